--- a/bench/src/loopback.rs
+++ b/bench/src/loopback.rs
@@ -7,7 +7,7 @@
 use std::time::{Duration, Instant};
 
 use control::{Action, Core, CoreTerms, Event, TeamLimit};
-use membership::{CellTerms, Contact, EndpointSpec, Load};
+use membership::{Contact, EndpointSpec, Load, NodeIdentity};
 use rand::SeedableRng;
 use rand_chacha::ChaCha8Rng;
 use state::Reply;
@@ -116,7 +116,7 @@
 
 impl Member {
     fn new(n: usize, socket: UdpSocket, addresses: &[String], workers: usize) -> Self {
-        let cell = CellTerms {
+        let cell = NodeIdentity {
             name: format!("entry-{n}"),
             cell: "hall-1".into(),
             address: addresses[n].clone(),
--- a/components/control/src/core.rs
+++ b/components/control/src/core.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use membership::{Cell, CellTerms, Output};
+use membership::{Cell, NodeIdentity, Output};
 use rand::{Rng, RngExt};
 use schema::messages::MemberState;
 use state::{
@@ -34,7 +34,7 @@
 #[derive(Clone, Debug)]
 pub struct CoreTerms {
     /// Its place in its cell.
-    pub cell: CellTerms,
+    pub cell: NodeIdentity,
     /// Region whose fleet work the lease is for.
     pub region: String,
     /// Platform calls a second it may make.
--- a/components/membership/src/cell.rs
+++ b/components/membership/src/cell.rs
@@ -48,16 +48,16 @@
 /// How long the hash of a configuration is reported after it changed.
 const TELL_HASH_FOR: Duration = Duration::from_secs(60);
 
-/// Who this node is.
+/// Identity of this node in its cell.
 #[derive(Clone, Debug)]
-pub struct CellTerms {
+pub struct NodeIdentity {
     /// Name of the node.
     pub name: String,
     /// Name of its cell.
     pub cell: String,
-    /// Its address for packets.
+    /// Address on which it receives packets.
     pub address: String,
-    /// Grows with each start of the node.
+    /// Incarnation; higher at each start of the node.
     pub incarnation: i64,
 }
 
@@ -94,7 +94,7 @@
 /// One node's view of its cell and of the other cells.
 #[derive(Debug)]
 pub struct Cell {
-    terms: CellTerms,
+    terms: NodeIdentity,
     state: MemberState,
     sender: Sender,
     members: Members,
@@ -123,7 +123,7 @@
 
 impl Cell {
     /// A node that knows nobody yet.
-    pub fn new(terms: CellTerms) -> Self {
+    pub fn new(terms: NodeIdentity) -> Self {
         let sender = Sender::new(&terms.name, terms.incarnation);
         let round = terms.incarnation;
         let mut cell = Cell {
--- a/components/membership/src/lib.rs
+++ b/components/membership/src/lib.rs
@@ -13,7 +13,7 @@
 mod rumors;
 mod summaries;
 
-pub use cell::{Cell, CellTerms, Output};
+pub use cell::{Cell, NodeIdentity, Output};
 pub use contacts::Contact;
 pub use endpoints::{EndpointSpec, Load};
 pub use members::Member;
--- a/components/membership/tests/common/mod.rs
+++ b/components/membership/tests/common/mod.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use fakes::Wire;
-use membership::{Cell, CellTerms, Contact, EndpointSpec, Load, Output};
+use membership::{Cell, Contact, EndpointSpec, Load, NodeIdentity, Output};
 use rand::SeedableRng;
 use rand_chacha::ChaCha8Rng;
 use schema::messages::Packet;
@@ -64,7 +64,7 @@
 
     fn start(&mut self, n: usize, cell_name: &str, endpoints: &[&str]) -> Cell {
         let incarnation = 1 + self.now.as_millis() as i64;
-        let mut cell = Cell::new(CellTerms {
+        let mut cell = Cell::new(NodeIdentity {
             name: format!("n{n}"),
             cell: cell_name.into(),
             address: address(n),
--- a/components/membership/tests/promises.rs
+++ b/components/membership/tests/promises.rs
@@ -210,7 +210,7 @@
 fn a_node_started_again_with_an_older_clock_is_let_in() {
     let mut net = cell_of(5, 4);
     net.run(Duration::from_secs(20));
-    let terms = membership::CellTerms {
+    let terms = membership::NodeIdentity {
         name: "n2".into(),
         cell: "home".into(),
         address: common::address(2),
--- a/components/node/src/control.rs
+++ b/components/node/src/control.rs
@@ -8,7 +8,7 @@
 
 use control::{Action, Core, CoreTerms, Event, TeamLimit};
 use flume::{Receiver, RecvTimeoutError, Sender};
-use membership::{CellTerms, Contact, EndpointSpec};
+use membership::{Contact, EndpointSpec, NodeIdentity};
 use provider::{body_hash, Notice};
 use rand::SeedableRng;
 use rand_chacha::ChaCha8Rng;
@@ -90,7 +90,7 @@
         let settings = &shared.settings;
         let address = socket.local_addr().map(|a| a.to_string());
         let terms = CoreTerms {
-            cell: CellTerms {
+            cell: NodeIdentity {
                 name: settings.name.clone(),
                 cell: settings.cell.clone(),
                 address: address.unwrap_or_else(|_| settings.peer_listen.clone()),
--- a/fakes/src/fleet.rs
+++ b/fakes/src/fleet.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use control::{Action, CallId, Core, CoreTerms, Event, TeamLimit};
-use membership::{CellTerms, Contact, EndpointSpec, Load};
+use membership::{Contact, EndpointSpec, Load, NodeIdentity};
 use rand::RngExt;
 use rand_chacha::ChaCha8Rng;
 use schema::messages::{HeadRow, Packet};
@@ -197,7 +197,7 @@
 
     fn core(&self, n: usize, cell: usize, incarnation: i64) -> Core {
         let terms = CoreTerms {
-            cell: CellTerms {
+            cell: NodeIdentity {
                 name: format!("n{n}"),
                 cell: format!("c{cell}"),
                 address: address(n),
