--- a/components/control/src/core.rs
+++ b/components/control/src/core.rs
@@ -385,16 +385,18 @@
             match output {
                 Output::Send { to, packet } => actions.push(Action::Send { to, packet }),
                 Output::ReadLoads(names) => actions.push(Action::ReadLoads(names)),
-                Output::Read(name, load, age) => actions.push(Action::UseLoad(name, load, age)),
-                Output::Leaves(name, left) => actions.push(Action::Leave(name, left)),
-                Output::Replaced(name) => actions.push(Action::Return(name)),
-                Output::Silent(name) => actions.push(Action::Suspect(name)),
-                Output::SummaryHeard(summary) => actions.push(Action::UseSummary(summary)),
-                Output::ConfigHeard(peer, version) => {
+                Output::LoadUpdated(name, load, age) => {
+                    actions.push(Action::UseLoad(name, load, age))
+                }
+                Output::EndpointLeaving(name, left) => actions.push(Action::Leave(name, left)),
+                Output::EndpointReplaced(name) => actions.push(Action::Return(name)),
+                Output::EndpointSilent(name) => actions.push(Action::Suspect(name)),
+                Output::SummaryReceived(summary) => actions.push(Action::UseSummary(summary)),
+                Output::ConfigVersionReceived(peer, version) => {
                     let heard = ConfigEvent::Heard { peer, version };
                     actions.extend(self.follow(now, heard, rng));
                 }
-                Output::DemandHeard(demand) => {
+                Output::DemandReceived(demand) => {
                     let of_member = self.cell.address_of(&demand.source).is_some();
                     self.shares.receive(now, &demand, of_member);
                 }
--- a/components/membership/src/cell.rs
+++ b/components/membership/src/cell.rs
@@ -61,7 +61,7 @@
     pub incarnation: i64,
 }
 
-/// What a cell asks its owner to do or to know.
+/// An action for the owner of the cell to take, or a change it has to know of.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Output {
     /// Send a packet.
@@ -71,23 +71,24 @@
         /// The packet.
         packet: Box<Packet>,
     },
-    /// Read the loads of these endpoints.
+    /// Read the load of each of these endpoints.
     ReadLoads(Vec<String>),
-    /// A load was read, this long ago.
-    Read(String, Load, Duration),
-    /// An endpoint leaves after this time.
-    Leaves(String, Duration),
-    /// A new VM bears the endpoint's name.
-    Replaced(String),
-    /// An endpoint does not answer its readers.
-    Silent(String),
-    /// A peer has this configuration.
-    ConfigHeard(String, Version),
-    /// Another cell reported on a pool.
-    SummaryHeard(Summary),
-    /// A demand of the own cell or of another cell was heard.
-    DemandHeard(TeamDemand),
-    /// A member died, left or came.
+    /// Newer load of an endpoint, and its age.
+    LoadUpdated(String, Load, Duration),
+    /// An endpoint leaves after this time; zero if another cell reported it as leaving.
+    EndpointLeaving(String, Duration),
+    /// An endpoint counts as leaving no longer: a new VM runs under its name, or its cell stopped
+    /// listing it as leaving.
+    EndpointReplaced(String),
+    /// An endpoint did not answer two or more readings by this node in a row.
+    EndpointSilent(String),
+    /// A peer reported its configuration version.
+    ConfigVersionReceived(String, Version),
+    /// Newer summary of a pool of another cell.
+    SummaryReceived(Summary),
+    /// A demand reported by a member or by another cell.
+    DemandReceived(TeamDemand),
+    /// Gossip added a member or changed its state or incarnation, or this node declared it dead or gone.
     MemberChanged(String, MemberState),
 }
 
--- a/components/membership/src/cell/receive.rs
+++ b/components/membership/src/cell/receive.rs
@@ -78,7 +78,7 @@
             outputs.extend(self.take_summary(now, summary));
         }
         let demands = packet.demands.iter().flatten();
-        outputs.extend(demands.clone().cloned().map(Output::DemandHeard));
+        outputs.extend(demands.clone().cloned().map(Output::DemandReceived));
         if self.is_of_other_cell(packet) {
             self.relayed_demands.extend(demands.cloned());
             self.relayed_demands.truncate(MAX_RELAYED);
@@ -103,9 +103,11 @@
             return Vec::new();
         };
         let leaves = summary.leaving.iter().cloned();
-        let mut outputs: Vec<Output> = leaves.map(|n| Output::Leaves(n, Duration::ZERO)).collect();
-        outputs.extend(back.into_iter().map(Output::Replaced));
-        outputs.push(Output::SummaryHeard(summary.clone()));
+        let mut outputs: Vec<Output> = leaves
+            .map(|n| Output::EndpointLeaving(n, Duration::ZERO))
+            .collect();
+        outputs.extend(back.into_iter().map(Output::EndpointReplaced));
+        outputs.push(Output::SummaryReceived(summary.clone()));
         outputs
     }
 
@@ -114,7 +116,10 @@
             number: packet.config_version?,
             hash: packet.config_hash.clone()?,
         };
-        Some(Output::ConfigHeard(packet.sender.clone(), version))
+        Some(Output::ConfigVersionReceived(
+            packet.sender.clone(),
+            version,
+        ))
     }
 
     // Leaves are reported to the cell at once, all other changes with the next gossip.
@@ -123,10 +128,10 @@
         let mut outputs: Vec<Output> = changes
             .into_iter()
             .map(|change| match change {
-                Change::Read(name, load, age) => Output::Read(name, load, age),
-                Change::Leaves(name, left) => Output::Leaves(name, left),
-                Change::Replaced(name) => Output::Replaced(name),
-                Change::Silent(name) => Output::Silent(name),
+                Change::Read(name, load, age) => Output::LoadUpdated(name, load, age),
+                Change::Leaves(name, left) => Output::EndpointLeaving(name, left),
+                Change::Replaced(name) => Output::EndpointReplaced(name),
+                Change::Silent(name) => Output::EndpointSilent(name),
             })
             .collect();
         if leaves {
--- a/components/membership/tests/common/mod.rs
+++ b/components/membership/tests/common/mod.rs
@@ -89,12 +89,12 @@
         for output in outputs {
             match output {
                 Output::Send { to, packet } => self.send(n, &to, packet),
-                Output::Leaves(name, left) => {
+                Output::EndpointLeaving(name, left) => {
                     self.peers[n].leaving.entry(name).or_insert(self.now + left);
                 }
-                Output::Replaced(name) => drop(self.peers[n].leaving.remove(&name)),
+                Output::EndpointReplaced(name) => drop(self.peers[n].leaving.remove(&name)),
                 Output::ReadLoads(names) => self.peers[n].reads = names,
-                Output::ConfigHeard(_, version) => {
+                Output::ConfigVersionReceived(_, version) => {
                     let peer = &mut self.peers[n];
                     peer.received_version = peer.received_version.max(version.number);
                 }
