--- a/components/control/src/core.rs
+++ b/components/control/src/core.rs
@@ -134,11 +134,11 @@
         });
         CoreStatus {
             members: members.collect(),
-            other_cells: self.cell.other_cells(now),
+            other_cells: self.cell.other_cell_count(now),
             version: self.follower.applied().map(|(v, at)| (v.clone(), at)),
             peer_versions: self
                 .cell
-                .versions()
+                .config_versions()
                 .map(|(n, v, at)| (n.to_string(), v, at))
                 .collect(),
             lease: self
@@ -153,27 +153,31 @@
         match event {
             Event::Tick { demand } => self.tick(now, &demand, rng),
             Event::Packet(packet) => {
-                let outputs = self.cell.take(now, &packet);
+                let outputs = self.cell.receive(now, &packet);
                 self.outputs(now, outputs, rng)
             }
             Event::OldPacket(packet) => {
-                let outputs = self.cell.correct(now, &packet).into_iter().collect();
+                let outputs = self
+                    .cell
+                    .answer_stale_incarnation(now, &packet)
+                    .into_iter()
+                    .collect();
                 self.outputs(now, outputs, rng)
             }
             Event::Read(endpoint, load) => {
-                let outputs = self.cell.read(now, &endpoint, load);
+                let outputs = self.cell.record_load(now, &endpoint, load);
                 self.outputs(now, outputs, rng)
             }
             Event::Notice(endpoint, left) => {
-                let outputs = self.cell.notice(now, &endpoint, left);
+                let outputs = self.cell.record_reclaim_notice(now, &endpoint, left);
                 self.outputs(now, outputs, rng)
             }
             Event::Seeds(contacts) => {
-                self.cell.set_contacts(contacts);
+                self.cell.add_contacts(contacts);
                 Vec::new()
             }
             Event::Listed(contacts) => {
-                let outputs = self.cell.take_list(now, contacts);
+                let outputs = self.cell.apply_vm_list(now, contacts);
                 self.outputs(now, outputs, rng)
             }
             Event::Table(id, reply) => self.table(now, id, reply, rng),
@@ -203,7 +207,7 @@
     fn sizes(&self, now: Duration) -> (u64, u64) {
         (
             self.cell.size() as u64,
-            self.cell.other_cells(now) as u64 + 1,
+            self.cell.other_cell_count(now) as u64 + 1,
         )
     }
 
--- a/components/membership/src/cell.rs
+++ b/components/membership/src/cell.rs
@@ -163,7 +163,7 @@
 
     /// Takes nodes from a list: seeds of the settings, or the platform's lagging list. A listed
     /// node is only tried; it counts as alive once it is heard.
-    pub fn set_contacts(&mut self, contacts: Vec<Contact>) {
+    pub fn add_contacts(&mut self, contacts: Vec<Contact>) {
         for contact in contacts {
             if contact.name != self.terms.name && contact.address != self.terms.address {
                 self.contacts.list(contact);
@@ -172,10 +172,10 @@
     }
 
     /// Takes the platform's whole list: dead members that it does not name are gone for good.
-    pub fn take_list(&mut self, now: Duration, contacts: Vec<Contact>) -> Vec<Output> {
+    pub fn apply_vm_list(&mut self, now: Duration, contacts: Vec<Contact>) -> Vec<Output> {
         let is_listed = |name: &str| contacts.iter().any(|c| c.name == name);
         let gone = self.members.confirm_gone(now, is_listed);
-        self.set_contacts(contacts);
+        self.add_contacts(contacts);
         let size = self.size();
         let mut outputs = Vec::new();
         for gossip in gone {
@@ -200,13 +200,23 @@
     }
 
     /// Takes a reading that this node made.
-    pub fn read(&mut self, now: Duration, endpoint: &str, load: Option<Load>) -> Vec<Output> {
+    pub fn record_load(
+        &mut self,
+        now: Duration,
+        endpoint: &str,
+        load: Option<Load>,
+    ) -> Vec<Output> {
         let changes = self.endpoints.read(now, endpoint, load);
         self.changed(now, changes)
     }
 
     /// Takes a reclaim notice that this node was given.
-    pub fn notice(&mut self, now: Duration, endpoint: &str, left: Duration) -> Vec<Output> {
+    pub fn record_reclaim_notice(
+        &mut self,
+        now: Duration,
+        endpoint: &str,
+        left: Duration,
+    ) -> Vec<Output> {
         let changes = self.endpoints.notice(now, endpoint, left);
         self.changed(now, changes)
     }
@@ -230,14 +240,14 @@
     }
 
     /// Versions that senders were last heard with, and since when.
-    pub fn versions(&self) -> impl Iterator<Item = (&str, i64, Duration)> {
+    pub fn config_versions(&self) -> impl Iterator<Item = (&str, i64, Duration)> {
         self.versions
             .iter()
             .map(|(name, (number, since))| (name.as_str(), *number, *since))
     }
 
     /// Other cells heard from lately, directly or through members.
-    pub fn other_cells(&self, now: Duration) -> usize {
+    pub fn other_cell_count(&self, now: Duration) -> usize {
         let direct = self.contacts.live_cells(now);
         let reported = self.summaries.iter().map(|k| k.summary.cell.as_str());
         let mut cells: BTreeSet<&str> = direct.chain(reported).collect();
@@ -257,7 +267,7 @@
     }
 
     /// Whether this node is one of the readers of an endpoint.
-    pub fn reads(&self, endpoint: &str) -> bool {
+    pub fn is_reader_of(&self, endpoint: &str) -> bool {
         let names = self.active_names();
         self.endpoints
             .assigned(&self.terms.name, &names)
@@ -290,7 +300,7 @@
     }
 
     /// Takes a packet that was checked and not seen before.
-    pub fn take(&mut self, now: Duration, packet: &Packet) -> Vec<Output> {
+    pub fn receive(&mut self, now: Duration, packet: &Packet) -> Vec<Output> {
         self.note_version(now, packet);
         let mut outputs = self.take_members(now, packet);
         outputs.extend(self.receive_gossip(now, packet));
@@ -353,7 +363,7 @@
 
     /// Answers a packet whose sender has started again with a lower incarnation than it had: it is
     /// learns what it is known as, and takes a higher one.
-    pub fn correct(&mut self, now: Duration, packet: &Packet) -> Option<Output> {
+    pub fn answer_stale_incarnation(&mut self, now: Duration, packet: &Packet) -> Option<Output> {
         let to = self.reply_address(packet)?;
         let known = self.members.get(&packet.sender)?.gossip.clone();
         let mut answer = self.packet(now, Kind::NEWS);
--- a/components/membership/tests/common/mod.rs
+++ b/components/membership/tests/common/mod.rs
@@ -81,7 +81,7 @@
             cell: self.peers[m].cell_name.clone(),
             address: address(m),
         });
-        cell.set_contacts(seeds.collect());
+        cell.add_contacts(seeds.collect());
         cell
     }
 
@@ -120,7 +120,7 @@
         let now = self.now;
         for (_, to, packet) in self.wire.due(now) {
             if self.peers[to].alive {
-                let outputs = self.peers[to].cell.take(now, &packet);
+                let outputs = self.peers[to].cell.receive(now, &packet);
                 self.outputs(to, outputs);
             }
         }
@@ -132,7 +132,7 @@
             self.outputs(n, outputs);
             for name in std::mem::take(&mut self.peers[n].reads) {
                 let load = self.loads.get(&name).copied();
-                let outputs = self.peers[n].cell.read(now, &name, load);
+                let outputs = self.peers[n].cell.record_load(now, &name, load);
                 self.outputs(n, outputs);
             }
         }
--- a/components/membership/tests/promises.rs
+++ b/components/membership/tests/promises.rs
@@ -97,9 +97,10 @@
         let name = ENDPOINTS[net.rng.random_range(0..ENDPOINTS.len())];
         let reported = net.rng.random_range(0..net.peers.len());
         let now = net.now;
-        let outputs = net.peers[reported]
-            .cell
-            .notice(now, name, Duration::from_secs(30));
+        let outputs =
+            net.peers[reported]
+                .cell
+                .record_reclaim_notice(now, name, Duration::from_secs(30));
         net.outputs(reported, outputs);
         net.run(LEAVE_KNOWN);
         net.peers.iter().all(|p| p.leaving.contains_key(name))
@@ -112,7 +113,9 @@
         let mut net = cell_of(seed, 5);
         net.run(Duration::from_secs(3));
         let now = net.now;
-        let outputs = net.peers[0].cell.notice(now, "w2", Duration::from_secs(9));
+        let outputs = net.peers[0]
+            .cell
+            .record_reclaim_notice(now, "w2", Duration::from_secs(9));
         net.outputs(0, outputs);
         net.wire.loss = 0.2;
         net.run(LEAVE_KNOWN * 2);
@@ -127,7 +130,9 @@
     let mut net = cell_of(1, 5);
     net.run(Duration::from_secs(3));
     let now = net.now;
-    let outputs = net.peers[0].cell.notice(now, "w2", Duration::from_secs(9));
+    let outputs = net.peers[0]
+        .cell
+        .record_reclaim_notice(now, "w2", Duration::from_secs(9));
     net.outputs(0, outputs);
     net.run(LEAVE_KNOWN);
     net.loads.insert("w2".into(), load(0, 2));
@@ -143,7 +148,7 @@
         let now = net.now;
         let outputs = net.peers[0]
             .cell
-            .notice(now, "w2", Duration::from_secs(left));
+            .record_reclaim_notice(now, "w2", Duration::from_secs(left));
         net.peers[0].leaving.remove("w2");
         net.outputs(0, outputs);
     }
@@ -155,9 +160,10 @@
 fn a_notice_before_the_first_reading_is_not_forgotten_with_it() {
     let mut net = Net::new(1);
     net.add("home", &ENDPOINTS);
-    let outputs = net.peers[0]
-        .cell
-        .notice(Duration::ZERO, "w2", Duration::from_secs(9));
+    let outputs =
+        net.peers[0]
+            .cell
+            .record_reclaim_notice(Duration::ZERO, "w2", Duration::from_secs(9));
     net.outputs(0, outputs);
     net.loads.insert("w2".into(), load(0, 7));
     net.run(Duration::from_secs(3));
@@ -168,7 +174,7 @@
 fn every_endpoint_is_read_by_two_nodes() {
     let mut net = cell_of(3, 6);
     net.run(Duration::from_secs(3));
-    let read_by = |p: &common::Peer| ENDPOINTS.iter().filter(|e| p.cell.reads(e)).count();
+    let read_by = |p: &common::Peer| ENDPOINTS.iter().filter(|e| p.cell.is_reader_of(e)).count();
     let readers: usize = net.peers.iter().map(read_by).sum();
     assert_eq!(readers, 2 * ENDPOINTS.len());
 }
@@ -217,7 +223,7 @@
         incarnation: 1 - 1000,
     };
     let mut cell = membership::Cell::new(terms);
-    cell.set_contacts(vec![membership::Contact {
+    cell.add_contacts(vec![membership::Contact {
         name: "n0".into(),
         cell: "home".into(),
         address: common::address(0),
