--- a/components/membership/src/cell.rs
+++ b/components/membership/src/cell.rs
@@ -1,4 +1,4 @@
-//! One node's part in its cell: everything that is heard and reported.
+//! One node's view of its cell: takes in packets and readings, and returns what to send and to do.
 
 mod probing;
 mod receive;
@@ -13,40 +13,40 @@
 use xxhash_rust::xxh3::xxh3_64;
 
 use crate::contacts::{Contact, Contacts};
+use crate::dissemination::DisseminationQueue;
 use crate::endpoints::{EndpointSpec, Endpoints, Load};
 use crate::members::{Member, Members};
-use crate::packets::Sender;
+use crate::packets::PacketSequencer;
 use crate::probe::Prober;
-use crate::rumors::Rumors;
 use crate::summaries::Summaries;
 
-/// Nodes of a cell that speak for it to other cells.
-const SPEAKERS: usize = 2;
-/// Shortest and longest time between two tellings of loads; it grows with the cell, so that the
-/// bytes a node takes in stay bounded.
-const MIN_NEWS_INTERVAL: Duration = Duration::from_millis(500);
-const MAX_NEWS_INTERVAL: Duration = Duration::from_secs(2);
-/// Members at which the interval reaches its greatest.
-const NODES_AT_MAX: u32 = 30;
-/// Time between two summaries of one speaker to other cells; with two speakers the others hear of
-/// the cell twice as often.
+/// Nodes of a cell that send its summaries to other cells, called its speakers.
+const SPEAKERS_PER_CELL: usize = 2;
+/// Limits of the time between two rounds of gossip to the cell. The interval grows with the cell,
+/// so that the number of bytes a node receives stays bounded.
+const MIN_GOSSIP_INTERVAL: Duration = Duration::from_millis(500);
+const MAX_GOSSIP_INTERVAL: Duration = Duration::from_secs(2);
+/// Cell size at which the interval reaches its maximum.
+const NODES_AT_MAX_GOSSIP_INTERVAL: u32 = 30;
+/// Time between two rounds of summaries from one speaker to other cells. With two speakers the
+/// other cells receive summaries twice as often.
 const SUMMARY_INTERVAL: Duration = Duration::from_secs(4);
-/// Members named in a summary packet, so that other cells know whom to send to.
-const INTRODUCED: usize = 3;
-/// Time between two tries to join.
+/// Upper limit of members named in a summary packet, to which other cells can send theirs.
+const MAX_INTRODUCED_MEMBERS: usize = 3;
+/// Time between two join attempts while no other member is known.
 const JOIN_INTERVAL: Duration = Duration::from_millis(500);
-/// Time between two looks for lost members.
+/// Time between two searches for lost members and unknown contacts.
 const REJOIN_INTERVAL: Duration = Duration::from_secs(5);
-/// Number of the probes that introduce a node.
+/// Probe number of all join pings; they are answered with a snapshot.
 const JOIN_PROBE: i64 = 0;
-/// Contacts that a joining node pings at a time.
-const JOIN_CONTACTS: usize = 3;
-/// Demands of other cells that wait to be reported on.
-const MAX_RELAYED: usize = 400;
-/// Senders whose version is remembered.
-const MAX_VERSIONS: usize = 1024;
-/// How long the hash of a configuration is reported after it changed.
-const TELL_HASH_FOR: Duration = Duration::from_secs(60);
+/// Upper limit of contacts that a joining node pings in one attempt.
+const MAX_JOIN_CONTACTS: usize = 3;
+/// Upper limit of demands of other cells queued to be relayed to the own cell.
+const MAX_RELAYED_DEMANDS: usize = 400;
+/// Upper limit of senders whose configuration version is remembered.
+const MAX_CONFIG_VERSIONS: usize = 1024;
+/// How long packets carry the hash of the configuration after it changed.
+const CONFIG_HASH_DURATION: Duration = Duration::from_secs(60);
 
 /// Identity of this node in its cell.
 #[derive(Clone, Debug)]
@@ -57,7 +57,7 @@
     pub cell: String,
     /// Address on which it receives packets.
     pub address: String,
-    /// Incarnation; higher at each start of the node.
+    /// Incarnation; grows with each start of the node.
     pub incarnation: i64,
 }
 
@@ -88,90 +88,93 @@
     SummaryReceived(Summary),
     /// A demand reported by a member or by another cell.
     DemandReceived(TeamDemand),
-    /// Gossip added a member or changed its state or incarnation, or this node declared it dead or gone.
+    /// Gossip added a member or changed its state or incarnation, or this node declared it dead or
+    /// gone.
     MemberChanged(String, MemberState),
 }
 
 /// One node's view of its cell and of the other cells.
 #[derive(Debug)]
 pub struct Cell {
-    terms: NodeIdentity,
+    identity: NodeIdentity,
     state: MemberState,
-    sender: Sender,
+    sequencer: PacketSequencer,
     members: Members,
-    rumors: Rumors,
+    dissemination: DisseminationQueue,
     prober: Prober,
     contacts: Contacts,
     endpoints: Endpoints,
     summaries: Summaries,
     config: Version,
-    config_since: Duration,
-    demands: Vec<TeamDemand>,
+    config_changed_at: Duration,
+    own_demands: Vec<TeamDemand>,
     cell_demands: Vec<TeamDemand>,
-    demand_turn: usize,
-    // Demands of other cells heard from them, to be reported to the own cell once.
+    next_demand: usize,
+    // Demands received from other cells, to be relayed to the own cell once.
     relayed_demands: Vec<TeamDemand>,
-    // Pings made for others: own probe number to (asker's address, asker's probe).
-    relayed: BTreeMap<i64, (String, i64)>,
-    next_relay: i64,
-    round: i64,
-    // Versions that senders were last heard with, and since when.
-    versions: BTreeMap<String, (i64, Duration)>,
-    next_news: Duration,
-    next_summary: Duration,
-    next_join: Duration,
+    // Unanswered indirect probes: own probe number to (requester's address, requester's probe
+    // number).
+    relayed_pings: BTreeMap<i64, (String, i64)>,
+    last_relayed_probe: i64,
+    summary_round: i64,
+    // Latest configuration version of each sender, and when it first reported it.
+    sender_config_versions: BTreeMap<String, (i64, Duration)>,
+    next_gossip_at: Duration,
+    next_summary_at: Duration,
+    next_join_at: Duration,
 }
 
 impl Cell {
-    /// A node that knows nobody yet.
-    pub fn new(terms: NodeIdentity) -> Self {
-        let sender = Sender::new(&terms.name, terms.incarnation);
-        let round = terms.incarnation;
+    /// A node that knows no other node yet.
+    pub fn new(identity: NodeIdentity) -> Self {
+        let sequencer = PacketSequencer::new(&identity.name, identity.incarnation);
+        let summary_round = identity.incarnation;
         let mut cell = Cell {
-            terms,
+            identity,
             state: MemberState::ALIVE,
-            sender,
+            sequencer,
             members: Members::default(),
-            rumors: Rumors::default(),
+            dissemination: DisseminationQueue::default(),
             prober: Prober::default(),
             contacts: Contacts::default(),
             endpoints: Endpoints::default(),
             summaries: Summaries::default(),
             config: Version::default(),
-            config_since: Duration::ZERO,
-            demands: Vec::new(),
+            config_changed_at: Duration::ZERO,
+            own_demands: Vec::new(),
             cell_demands: Vec::new(),
-            demand_turn: 0,
+            next_demand: 0,
             relayed_demands: Vec::new(),
-            relayed: BTreeMap::new(),
-            next_relay: i64::MIN / 2,
-            round,
-            versions: BTreeMap::new(),
-            next_news: Duration::ZERO,
-            next_summary: Duration::ZERO,
-            next_join: Duration::ZERO,
+            relayed_pings: BTreeMap::new(),
+            last_relayed_probe: i64::MIN / 2,
+            summary_round,
+            sender_config_versions: BTreeMap::new(),
+            next_gossip_at: Duration::ZERO,
+            next_summary_at: Duration::ZERO,
+            next_join_at: Duration::ZERO,
         };
         let own = cell.own_gossip();
-        cell.rumors.add(own, 1);
+        cell.dissemination.add(own, 1);
         cell
     }
 
-    /// Takes the endpoints of the cell's data halls.
+    /// Sets the endpoints of the cell's data halls.
     pub fn set_endpoints(&mut self, endpoints: Vec<EndpointSpec>) {
         self.endpoints.configure(endpoints);
     }
 
-    /// Takes nodes from a list: seeds of the settings, or the platform's lagging list. A listed
-    /// node is only tried; it counts as alive once it is heard.
+    /// Adds nodes from the seeds in the settings or from the platform's VM list, which lags behind.
+    /// A listed node is only a contact to ping; gossip makes it a member.
     pub fn add_contacts(&mut self, contacts: Vec<Contact>) {
         for contact in contacts {
-            if contact.name != self.terms.name && contact.address != self.terms.address {
-                self.contacts.list(contact);
+            if contact.name != self.identity.name && contact.address != self.identity.address {
+                self.contacts.add_listed(contact);
             }
         }
     }
 
-    /// Takes the platform's whole list: dead members that it does not name are gone for good.
+    /// Applies the platform's complete VM list: marks dead members as gone if it does not name
+    /// them, and adds the listed nodes as contacts.
     pub fn apply_vm_list(&mut self, now: Duration, contacts: Vec<Contact>) -> Vec<Output> {
         let is_listed = |name: &str| contacts.iter().any(|c| c.name == name);
         let gone = self.members.confirm_gone(now, is_listed);
@@ -180,97 +183,102 @@
         let mut outputs = Vec::new();
         for gossip in gone {
             outputs.push(Output::MemberChanged(gossip.name.clone(), gossip.state));
-            self.rumors.add(gossip, size);
+            self.dissemination.add(gossip, size);
         }
         outputs
     }
 
-    /// Takes the configuration in force here.
+    /// Sets the version of the configuration in force on this node.
     pub fn set_config(&mut self, now: Duration, version: Version) {
         if version != self.config {
             self.config = version;
-            self.config_since = now;
+            self.config_changed_at = now;
         }
     }
 
-    /// Takes this node's demands, and those of its cell as a whole for the other cells.
-    pub fn set_demands(&mut self, own: Vec<TeamDemand>, of_cell: Vec<TeamDemand>) {
-        self.demands = own;
-        self.cell_demands = of_cell;
+    /// Sets this node's demands, sent to the cell, and those of the whole cell, sent to other
+    /// cells.
+    pub fn set_demands(&mut self, own_demands: Vec<TeamDemand>, cell_demands: Vec<TeamDemand>) {
+        self.own_demands = own_demands;
+        self.cell_demands = cell_demands;
     }
 
-    /// Takes a reading that this node made.
+    /// Records a reading by this node; `None` if the endpoint did not answer.
     pub fn record_load(
         &mut self,
         now: Duration,
         endpoint: &str,
         load: Option<Load>,
     ) -> Vec<Output> {
-        let changes = self.endpoints.read(now, endpoint, load);
-        self.changed(now, changes)
+        let changes = self.endpoints.record_load(now, endpoint, load);
+        self.report_changes(now, changes)
     }
 
-    /// Takes a reclaim notice that this node was given.
+    /// Records a reclaim notice given to this node: the endpoint's VM is reclaimed after
+    /// `time_left`.
     pub fn record_reclaim_notice(
         &mut self,
         now: Duration,
         endpoint: &str,
-        left: Duration,
+        time_left: Duration,
     ) -> Vec<Output> {
-        let changes = self.endpoints.notice(now, endpoint, left);
-        self.changed(now, changes)
+        let changes = self
+            .endpoints
+            .record_reclaim_notice(now, endpoint, time_left);
+        self.report_changes(now, changes)
     }
 
-    /// Reports to the cell that this node stops.
+    /// Announces to the cell that this node stops.
     pub fn leave(&mut self, now: Duration) -> Vec<Output> {
         self.state = MemberState::LEAVING;
         let own = self.own_gossip();
-        self.rumors.add(own, self.size());
+        self.dissemination.add(own, self.size());
         self.send_to_cell(now)
     }
 
-    /// Active members, this node included.
+    /// Number of active members, this node included.
     pub fn size(&self) -> usize {
         self.members.active().count() + 1
     }
 
-    /// All members known, dead ones included, this node not.
+    /// All known members, dead ones included, this node excluded.
     pub fn members(&self) -> impl Iterator<Item = &Member> {
         self.members.iter()
     }
 
-    /// Versions that senders were last heard with, and since when.
+    /// Latest configuration version of each sender, and when it first reported it.
     pub fn config_versions(&self) -> impl Iterator<Item = (&str, i64, Duration)> {
-        self.versions
+        self.sender_config_versions
             .iter()
             .map(|(name, (number, since))| (name.as_str(), *number, *since))
     }
 
-    /// Other cells heard from lately, directly or through members.
+    /// Number of other cells with a recently seen contact or a known summary.
     pub fn other_cell_count(&self, now: Duration) -> usize {
-        let direct = self.contacts.live_cells(now);
-        let reported = self.summaries.iter().map(|k| k.summary.cell.as_str());
-        let mut cells: BTreeSet<&str> = direct.chain(reported).collect();
-        cells.remove(self.terms.cell.as_str());
+        let contact_cells = self.contacts.recently_seen_cells(now);
+        let summary_cells = self.summaries.iter().map(|k| k.summary.cell.as_str());
+        let mut cells: BTreeSet<&str> = contact_cells.chain(summary_cells).collect();
+        cells.remove(self.identity.cell.as_str());
         cells.remove("");
         cells.len()
     }
 
-    /// Whether this node is one of the `count` that a duty falls to.
+    /// Whether this node is one of the `count` active nodes that a duty is assigned to by
+    /// rendezvous hashing.
     pub fn has_duty(&self, duty: &str, count: usize) -> bool {
         if self.state != MemberState::ALIVE {
             return false;
         }
         let names = self.active_names();
         let key = xxh3_64(duty.as_bytes());
-        routing::rank(key, names.into_iter(), count).contains(&self.terms.name.as_str())
+        routing::rank(key, names.into_iter(), count).contains(&self.identity.name.as_str())
     }
 
-    /// Whether this node is one of the readers of an endpoint.
+    /// Whether this node is one of the nodes that read the load of an endpoint.
     pub fn is_reader_of(&self, endpoint: &str) -> bool {
         let names = self.active_names();
         self.endpoints
-            .assigned(&self.terms.name, &names)
+            .assigned_to(&self.identity.name, &names)
             .contains(&endpoint)
     }
 
@@ -279,35 +287,35 @@
         self.members.get(name).map(|m| m.gossip.address.as_str())
     }
 
-    /// Does what is due.
+    /// Runs what is due: expiry of members, joining, probing, gossip, load readings and summaries.
     pub fn tick(&mut self, now: Duration, rng: &mut impl Rng) -> Vec<Output> {
         let mut outputs = self.expire(now);
         outputs.extend(self.join(now, rng));
         outputs.extend(self.probe(now, rng));
-        if now >= self.next_news {
-            // A little jitter keeps the nodes from telling all at once.
+        if now >= self.next_gossip_at {
+            // Jitter keeps the nodes from sending gossip all at once.
             let jitter = Duration::from_millis(rng.random_range(0..50));
-            self.next_news = now + self.gossip_interval() + jitter;
+            self.next_gossip_at = now + self.gossip_interval() + jitter;
             outputs.extend(self.send_to_cell(now));
             outputs.push(self.read_loads());
         }
-        if now >= self.next_summary {
+        if now >= self.next_summary_at {
             let jitter = Duration::from_millis(rng.random_range(0..500));
-            self.next_summary = now + SUMMARY_INTERVAL - jitter;
+            self.next_summary_at = now + SUMMARY_INTERVAL - jitter;
             outputs.extend(self.send_to_other_cells(now, rng));
         }
         outputs
     }
 
-    /// Takes a packet that was checked and not seen before.
+    /// Processes a packet that was verified and is not a replay.
     pub fn receive(&mut self, now: Duration, packet: &Packet) -> Vec<Output> {
-        self.note_version(now, packet);
-        let mut outputs = self.take_members(now, packet);
+        self.record_config_version(now, packet);
+        let mut outputs = self.receive_members(now, packet);
         outputs.extend(self.receive_gossip(now, packet));
         match packet.kind {
-            Kind::PING => outputs.extend(self.answer(now, packet)),
-            Kind::ACK => outputs.extend(self.take_ack(packet)),
-            Kind::PING_REQUEST => outputs.extend(self.relay(packet)),
+            Kind::PING => outputs.extend(self.answer_ping(now, packet)),
+            Kind::ACK => outputs.extend(self.receive_ack(packet)),
+            Kind::PING_REQUEST => outputs.extend(self.relay_ping(packet)),
             _ => {}
         }
         outputs
@@ -315,30 +323,30 @@
 
     fn own_gossip(&self) -> MemberGossip {
         MemberGossip {
-            name: self.terms.name.clone(),
-            cell: self.terms.cell.clone(),
-            address: self.terms.address.clone(),
-            incarnation: self.terms.incarnation,
+            name: self.identity.name.clone(),
+            cell: self.identity.cell.clone(),
+            address: self.identity.address.clone(),
+            incarnation: self.identity.incarnation,
             state: self.state,
         }
     }
 
     fn active_names(&self) -> Vec<&str> {
         let others = self.members.active().map(|m| m.gossip.name.as_str());
-        others.chain([self.terms.name.as_str()]).collect()
+        others.chain([self.identity.name.as_str()]).collect()
     }
 
     fn gossip_interval(&self) -> Duration {
-        let nodes = (self.size() as u32).min(NODES_AT_MAX);
-        (MAX_NEWS_INTERVAL * nodes / NODES_AT_MAX).max(MIN_NEWS_INTERVAL)
+        let nodes = (self.size() as u32).min(NODES_AT_MAX_GOSSIP_INTERVAL);
+        (MAX_GOSSIP_INTERVAL * nodes / NODES_AT_MAX_GOSSIP_INTERVAL).max(MIN_GOSSIP_INTERVAL)
     }
 
     fn packet(&mut self, now: Duration, kind: Kind) -> Packet {
-        let mut packet = self.sender.packet(kind);
-        let gossip = self.rumors.take();
+        let mut packet = self.sequencer.next_packet(kind);
+        let gossip = self.dissemination.take_for_packet();
         packet.members = (!gossip.is_empty()).then_some(gossip);
         packet.config_version = Some(self.config.number);
-        if now < self.config_since + TELL_HASH_FOR {
+        if now < self.config_changed_at + CONFIG_HASH_DURATION {
             packet.config_hash = Some(self.config.hash.clone());
         }
         packet
@@ -356,15 +364,16 @@
         let mut outputs = Vec::new();
         for gossip in self.members.expire(now) {
             outputs.push(Output::MemberChanged(gossip.name.clone(), gossip.state));
-            self.rumors.add(gossip, size);
+            self.dissemination.add(gossip, size);
         }
         outputs
     }
 
-    /// Answers a packet whose sender has started again with a lower incarnation than it had: it is
-    /// learns what it is known as, and takes a higher one.
+    /// Answers a packet whose sender restarted with a lower incarnation than it had before. The
+    /// answer holds the gossip known about the sender, from which it takes a higher incarnation.
+    /// `None` if the sender is no known member.
     pub fn answer_stale_incarnation(&mut self, now: Duration, packet: &Packet) -> Option<Output> {
-        let to = self.reply_address(packet)?;
+        let to = self.sender_address(packet)?;
         let known = self.members.get(&packet.sender)?.gossip.clone();
         let mut answer = self.packet(now, Kind::NEWS);
         answer.members = Some(vec![known]);
@@ -373,7 +382,7 @@
 
     fn read_loads(&self) -> Output {
         let names = self.active_names();
-        let assigned = self.endpoints.assigned(&self.terms.name, &names);
+        let assigned = self.endpoints.assigned_to(&self.identity.name, &names);
         Output::ReadLoads(assigned.into_iter().map(str::to_string).collect())
     }
 }
--- a/components/membership/src/cell/probing.rs
+++ b/components/membership/src/cell/probing.rs
@@ -1,57 +1,60 @@
-//! Joining a cell, probing its members, and answering both.
+//! Joining a cell, probing its members, and answering join pings and probes.
 
 use std::time::Duration;
 
 use rand::{Rng, RngExt};
 use schema::messages::{Kind, MemberGossip, Packet};
 
-use super::{Cell, Output, JOIN_CONTACTS, JOIN_INTERVAL, JOIN_PROBE, REJOIN_INTERVAL};
+use super::{Cell, Output, JOIN_INTERVAL, JOIN_PROBE, MAX_JOIN_CONTACTS, REJOIN_INTERVAL};
 use crate::contacts::Contact;
-use crate::packets::{parts, MEMBERS_PER_PACKET};
-use crate::probe::{ProbeStep, HELPERS};
+use crate::packets::{split_into_chunks, MAX_MEMBERS_PER_SNAPSHOT_PACKET};
+use crate::probe::{ProbeStep, MAX_INDIRECT_PROBES};
 
 impl Cell {
-    // A node that knows no member pings contacts until one answers; one that does looks now and
-    // then for nodes of its cell that it does not know: members it lost, since they may live on
-    // behind a cut, and contacts, since a cell that starts at once starts in several parts.
+    // A node that knows no active member pings contacts until one answers. Otherwise it pings, from
+    // time to time, nodes of its cell that are not active members: lost members, since they may
+    // still run on the other side of a network partition, and unknown contacts, since nodes of a
+    // cell that start at the same time can form several separate groups.
     pub(super) fn join(&mut self, now: Duration, rng: &mut impl Rng) -> Vec<Output> {
-        if now < self.next_join {
+        if now < self.next_join_at {
             return Vec::new();
         }
-        let alone = self.members.active().next().is_none();
-        self.next_join = now
-            + if alone {
+        let is_alone = self.members.active().next().is_none();
+        self.next_join_at = now
+            + if is_alone {
                 JOIN_INTERVAL
             } else {
                 REJOIN_INTERVAL
             };
-        let lost = self.members.pick_lost(rng);
-        let strangers = self.strangers(if alone { JOIN_CONTACTS } else { 1 }, rng);
+        let lost = self.members.random_lost(rng);
+        let unknown_contacts =
+            self.unknown_contacts(if is_alone { MAX_JOIN_CONTACTS } else { 1 }, rng);
         let mut outputs = Vec::new();
         if let Some(gossip) = lost {
             outputs.push(self.join_ping(now, &gossip.address, Some(&gossip)));
         }
-        for contact in strangers {
+        for contact in unknown_contacts {
             outputs.push(self.join_ping(now, &contact.address, None));
         }
         outputs
     }
 
-    // Contacts that are, or may be, of this cell and are no members as far as is known.
-    pub(super) fn strangers(&self, count: usize, rng: &mut impl Rng) -> Vec<Contact> {
-        let known: Vec<&str> = self
+    // Contacts that are or may be of this cell and are not known as active members.
+    pub(super) fn unknown_contacts(&self, count: usize, rng: &mut impl Rng) -> Vec<Contact> {
+        let member_addresses: Vec<&str> = self
             .members
             .active()
             .map(|m| m.gossip.address.as_str())
             .collect();
-        let stranger = |c: &Contact| {
-            let of_cell = c.cell.is_empty() || c.cell == self.terms.cell;
-            of_cell && !known.contains(&c.address.as_str())
+        let is_unknown = |c: &Contact| {
+            let may_be_of_cell = c.cell.is_empty() || c.cell == self.identity.cell;
+            may_be_of_cell && !member_addresses.contains(&c.address.as_str())
         };
-        self.contacts.pick(count, stranger, rng)
+        self.contacts.pick_matching(count, is_unknown, rng)
     }
 
-    // A ping that introduces this node, and reports to the other what it is taken for.
+    // A ping that introduces this node. With `about`, it also tells the receiver what is known
+    // about it, so that a receiver declared dead can refute that.
     pub(super) fn join_ping(
         &mut self,
         now: Duration,
@@ -80,9 +83,9 @@
         for step in steps {
             match step {
                 ProbeStep::Ping { probe, member } => outputs.extend(self.ping(now, probe, &member)),
-                ProbeStep::AskHelpers { probe, member } => {
+                ProbeStep::ProbeIndirectly { probe, member } => {
                     outputs.extend(self.ping(now, probe, &member));
-                    outputs.extend(self.ask_helpers(now, probe, &member, rng));
+                    outputs.extend(self.request_indirect_probes(now, probe, &member, rng));
                 }
                 ProbeStep::Unanswered(member) => self.suspect(now, &member),
             }
@@ -94,14 +97,14 @@
         let to = self.address_of(member)?.to_string();
         let mut packet = self.packet(now, Kind::PING);
         packet.probe = Some(probe);
-        // Gossip spreads by chance and can miss a node. Each member is pinged in turn, so whoever
-        // knows a node without being known to it is heard of before long.
+        // Gossip is spread at random and can miss a node. Since each member is pinged in turn, a
+        // node that does not know this one learns of it from a ping.
         let own = self.own_gossip();
         packet.members.get_or_insert_default().push(own);
         Some(Self::send(&to, packet))
     }
 
-    pub(super) fn ask_helpers(
+    pub(super) fn request_indirect_probes(
         &mut self,
         now: Duration,
         probe: i64,
@@ -111,7 +114,7 @@
         let others = self.members.active().filter(|m| m.gossip.name != member);
         let mut helpers: Vec<String> = others.map(|m| m.gossip.address.clone()).collect();
         let mut outputs = Vec::new();
-        for _ in 0..HELPERS.min(helpers.len()) {
+        for _ in 0..MAX_INDIRECT_PROBES.min(helpers.len()) {
             let helper = helpers.swap_remove(rng.random_range(0..helpers.len()));
             let mut packet = self.packet(now, Kind::PING_REQUEST);
             packet.probe = Some(probe);
@@ -124,12 +127,12 @@
     pub(super) fn suspect(&mut self, now: Duration, member: &str) {
         let size = self.size();
         if let Some(gossip) = self.members.suspect(now, member) {
-            self.rumors.add(gossip, size);
+            self.dissemination.add(gossip, size);
         }
     }
 
-    pub(super) fn answer(&mut self, now: Duration, packet: &Packet) -> Vec<Output> {
-        let Some(to) = self.reply_address(packet) else {
+    pub(super) fn answer_ping(&mut self, now: Duration, packet: &Packet) -> Vec<Output> {
+        let Some(to) = self.sender_address(packet) else {
             return Vec::new();
         };
         let mut ack = self.packet(now, Kind::ACK);
@@ -145,12 +148,12 @@
         }
         let mut outputs = vec![Self::send(&to, ack)];
         if packet.probe == Some(JOIN_PROBE) {
-            outputs.extend(self.welcome(now, &to));
+            outputs.extend(self.send_snapshot(now, &to));
         }
         outputs
     }
 
-    pub(super) fn reply_address(&self, packet: &Packet) -> Option<String> {
+    pub(super) fn sender_address(&self, packet: &Packet) -> Option<String> {
         let reported = packet
             .members
             .iter()
@@ -160,48 +163,49 @@
         reported.or_else(|| self.address_of(&packet.sender).map(str::to_string))
     }
 
-    // All that a node that has just started needs to know.
-    pub(super) fn welcome(&mut self, now: Duration, to: &str) -> Vec<Output> {
+    // Sends a joining node the active members, the configuration version and all endpoints.
+    pub(super) fn send_snapshot(&mut self, now: Duration, to: &str) -> Vec<Output> {
         let mut members: Vec<MemberGossip> =
             self.members.active().map(|m| m.gossip.clone()).collect();
         members.push(self.own_gossip());
         let mut outputs = Vec::new();
-        for members in members.chunks(MEMBERS_PER_PACKET) {
+        for members in members.chunks(MAX_MEMBERS_PER_SNAPSHOT_PACKET) {
             let mut packet = self.packet(now, Kind::NEWS);
             packet.members = Some(members.to_vec());
             packet.config_hash = Some(self.config.hash.clone());
             outputs.push(Self::send(to, packet));
         }
-        for part in parts(self.endpoints.all_gossip(now)) {
+        for chunk in split_into_chunks(self.endpoints.snapshot_gossip(now)) {
             let mut packet = self.packet(now, Kind::NEWS);
-            packet.endpoints = Some(part);
+            packet.endpoints = Some(chunk);
             outputs.push(Self::send(to, packet));
         }
         outputs
     }
 
-    pub(super) fn take_ack(&mut self, packet: &Packet) -> Option<Output> {
+    pub(super) fn receive_ack(&mut self, packet: &Packet) -> Option<Output> {
         let probe = packet.probe?;
-        if let Some((asker, asked)) = self.relayed.remove(&probe) {
-            let mut ack = self.sender.packet(Kind::ACK);
-            ack.probe = Some(asked);
-            return Some(Self::send(&asker, ack));
+        if let Some((requester, requester_probe)) = self.relayed_pings.remove(&probe) {
+            let mut ack = self.sequencer.next_packet(Kind::ACK);
+            ack.probe = Some(requester_probe);
+            return Some(Self::send(&requester, ack));
         }
-        self.prober.answered(probe);
+        self.prober.acknowledge(probe);
         None
     }
 
-    pub(super) fn relay(&mut self, packet: &Packet) -> Option<Output> {
-        let asker = self.reply_address(packet)?;
+    pub(super) fn relay_ping(&mut self, packet: &Packet) -> Option<Output> {
+        let requester = self.sender_address(packet)?;
         let to = self.address_of(packet.subject.as_deref()?)?.to_string();
-        self.next_relay += 1;
-        self.relayed.insert(self.next_relay, (asker, packet.probe?));
-        // Those that were never answered are of no use any more.
-        while self.relayed.len() > 64 {
-            self.relayed.pop_first();
+        self.last_relayed_probe += 1;
+        self.relayed_pings
+            .insert(self.last_relayed_probe, (requester, packet.probe?));
+        // Drops the oldest pings, which will not be answered any more.
+        while self.relayed_pings.len() > 64 {
+            self.relayed_pings.pop_first();
         }
-        let mut ping = self.sender.packet(Kind::PING);
-        ping.probe = Some(self.next_relay);
+        let mut ping = self.sequencer.next_packet(Kind::PING);
+        ping.probe = Some(self.last_relayed_probe);
         Some(Self::send(&to, ping))
     }
 }
--- a/components/membership/src/cell/receive.rs
+++ b/components/membership/src/cell/receive.rs
@@ -1,24 +1,24 @@
-//! What a node takes from the packets of others.
+//! Merging what packets from other nodes carry.
 
 use std::time::Duration;
 
 use schema::messages::{MemberGossip, Packet, Summary};
 use state::Version;
 
-use super::{Cell, Output, MAX_RELAYED, MAX_VERSIONS};
+use super::{Cell, Output, MAX_CONFIG_VERSIONS, MAX_RELAYED_DEMANDS};
 use crate::contacts::Contact;
-use crate::endpoints::Change;
+use crate::endpoints::EndpointChange;
 
 impl Cell {
-    pub(super) fn note_version(&mut self, now: Duration, packet: &Packet) {
+    pub(super) fn record_config_version(&mut self, now: Duration, packet: &Packet) {
         let Some(number) = packet.config_version else {
             return;
         };
-        if self.versions.len() >= MAX_VERSIONS {
-            self.versions.clear();
+        if self.sender_config_versions.len() >= MAX_CONFIG_VERSIONS {
+            self.sender_config_versions.clear();
         }
         let known = self
-            .versions
+            .sender_config_versions
             .entry(packet.sender.clone())
             .or_insert((number, now));
         if known.0 != number {
@@ -26,46 +26,47 @@
         }
     }
 
-    pub(super) fn take_members(&mut self, now: Duration, packet: &Packet) -> Vec<Output> {
+    pub(super) fn receive_members(&mut self, now: Duration, packet: &Packet) -> Vec<Output> {
         let mut outputs = Vec::new();
         for gossip in packet.members.iter().flatten() {
-            if gossip.name == self.terms.name {
+            if gossip.name == self.identity.name {
                 self.refute(gossip);
-            } else if gossip.cell == self.terms.cell {
-                outputs.extend(self.merge(now, gossip));
+            } else if gossip.cell == self.identity.cell {
+                outputs.extend(self.merge_member(now, gossip));
             } else {
                 let contact = Contact {
                     name: gossip.name.clone(),
                     cell: gossip.cell.clone(),
                     address: gossip.address.clone(),
                 };
-                self.contacts.receive(now, contact);
+                self.contacts.add_seen(now, contact);
             }
         }
         outputs
     }
 
-    pub(super) fn merge(&mut self, now: Duration, gossip: &MemberGossip) -> Option<Output> {
+    pub(super) fn merge_member(&mut self, now: Duration, gossip: &MemberGossip) -> Option<Output> {
         if !self.members.merge(now, gossip) {
             return None;
         }
         let size = self.size();
-        self.rumors.add(gossip.clone(), size);
+        self.dissemination.add(gossip.clone(), size);
         Some(Output::MemberChanged(gossip.name.clone(), gossip.state))
     }
 
-    // Gossip that takes this node for something else than it is: a higher incarnation ends it.
+    // Refutes gossip that has another state or address for this node, or a later incarnation, by
+    // taking a higher incarnation.
     pub(super) fn refute(&mut self, gossip: &MemberGossip) {
-        let as_it_is = gossip.state == self.state && gossip.address == self.terms.address;
-        let newer = gossip.incarnation > self.terms.incarnation;
-        let wrong = gossip.incarnation == self.terms.incarnation && !as_it_is;
-        if !newer && !wrong {
+        let is_accurate = gossip.state == self.state && gossip.address == self.identity.address;
+        let is_newer = gossip.incarnation > self.identity.incarnation;
+        let is_wrong = gossip.incarnation == self.identity.incarnation && !is_accurate;
+        if !is_newer && !is_wrong {
             return;
         }
-        self.terms.incarnation = gossip.incarnation + 1;
-        self.sender.set_incarnation(self.terms.incarnation);
+        self.identity.incarnation = gossip.incarnation + 1;
+        self.sequencer.set_incarnation(self.identity.incarnation);
         let own = self.own_gossip();
-        self.rumors.add(own, self.size());
+        self.dissemination.add(own, self.size());
     }
 
     pub(super) fn receive_gossip(&mut self, now: Duration, packet: &Packet) -> Vec<Output> {
@@ -73,45 +74,47 @@
         for gossip in packet.endpoints.iter().flatten() {
             changes.extend(self.endpoints.receive(now, gossip));
         }
-        let mut outputs = self.changed(now, changes);
+        let mut outputs = self.report_changes(now, changes);
         for summary in packet.summaries.iter().flatten() {
-            outputs.extend(self.take_summary(now, summary));
+            outputs.extend(self.receive_summary(now, summary));
         }
         let demands = packet.demands.iter().flatten();
         outputs.extend(demands.clone().cloned().map(Output::DemandReceived));
-        if self.is_of_other_cell(packet) {
+        if self.is_from_other_cell(packet) {
             self.relayed_demands.extend(demands.cloned());
-            self.relayed_demands.truncate(MAX_RELAYED);
-            self.summaries.relay(packet.summaries.iter().flatten());
+            self.relayed_demands.truncate(MAX_RELAYED_DEMANDS);
+            self.summaries
+                .queue_for_relay(packet.summaries.iter().flatten());
         }
-        outputs.extend(self.take_config(packet));
+        outputs.extend(self.receive_config_version(packet));
         outputs
     }
 
-    // Packets between cells name members of the sender's cell.
-    pub(super) fn is_of_other_cell(&self, packet: &Packet) -> bool {
-        let mut named = packet.members.iter().flatten();
-        named.any(|m| m.cell != self.terms.cell)
+    // A packet from another cell names members of that cell.
+    pub(super) fn is_from_other_cell(&self, packet: &Packet) -> bool {
+        let mut members = packet.members.iter().flatten();
+        members.any(|m| m.cell != self.identity.cell)
     }
 
-    // What another cell reports of its leaving endpoints holds until it reports otherwise.
-    pub(super) fn take_summary(&mut self, now: Duration, summary: &Summary) -> Vec<Output> {
-        if summary.cell == self.terms.cell {
+    // An endpoint that another cell reports as leaving stays so until a newer summary leaves it
+    // out.
+    pub(super) fn receive_summary(&mut self, now: Duration, summary: &Summary) -> Vec<Output> {
+        if summary.cell == self.identity.cell {
             return Vec::new();
         }
-        let Some(back) = self.summaries.receive(now, summary) else {
+        let Some(no_longer_leaving) = self.summaries.receive(now, summary) else {
             return Vec::new();
         };
-        let leaves = summary.leaving.iter().cloned();
-        let mut outputs: Vec<Output> = leaves
-            .map(|n| Output::EndpointLeaving(n, Duration::ZERO))
+        let leaving = summary.leaving.iter().cloned();
+        let mut outputs: Vec<Output> = leaving
+            .map(|name| Output::EndpointLeaving(name, Duration::ZERO))
             .collect();
-        outputs.extend(back.into_iter().map(Output::EndpointReplaced));
+        outputs.extend(no_longer_leaving.into_iter().map(Output::EndpointReplaced));
         outputs.push(Output::SummaryReceived(summary.clone()));
         outputs
     }
 
-    pub(super) fn take_config(&self, packet: &Packet) -> Option<Output> {
+    pub(super) fn receive_config_version(&self, packet: &Packet) -> Option<Output> {
         let version = Version {
             number: packet.config_version?,
             hash: packet.config_hash.clone()?,
@@ -122,19 +125,29 @@
         ))
     }
 
-    // Leaves are reported to the cell at once, all other changes with the next gossip.
-    pub(super) fn changed(&mut self, now: Duration, changes: Vec<Change>) -> Vec<Output> {
-        let leaves = changes.iter().any(|c| matches!(c, Change::Leaves(..)));
+    // Leaves are sent to the cell at once, other changes with the next round of gossip.
+    pub(super) fn report_changes(
+        &mut self,
+        now: Duration,
+        changes: Vec<EndpointChange>,
+    ) -> Vec<Output> {
+        let has_leave = changes
+            .iter()
+            .any(|c| matches!(c, EndpointChange::Leaving(..)));
         let mut outputs: Vec<Output> = changes
             .into_iter()
             .map(|change| match change {
-                Change::Read(name, load, age) => Output::LoadUpdated(name, load, age),
-                Change::Leaves(name, left) => Output::EndpointLeaving(name, left),
-                Change::Replaced(name) => Output::EndpointReplaced(name),
-                Change::Silent(name) => Output::EndpointSilent(name),
+                EndpointChange::LoadUpdated(name, load, age) => {
+                    Output::LoadUpdated(name, load, age)
+                }
+                EndpointChange::Leaving(name, time_left) => {
+                    Output::EndpointLeaving(name, time_left)
+                }
+                EndpointChange::Replaced(name) => Output::EndpointReplaced(name),
+                EndpointChange::Silent(name) => Output::EndpointSilent(name),
             })
             .collect();
-        if leaves {
+        if has_leave {
             outputs.extend(self.send_to_cell(now));
         }
         outputs
--- a/components/membership/src/contacts.rs
+++ b/components/membership/src/contacts.rs
@@ -1,119 +1,121 @@
-//! Nodes of other cells that summaries can be sent to.
+//! Known nodes of any cell: receivers of summaries in other cells, and of join pings in the own
+//! cell.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
 
 use rand::{Rng, RngExt};
 
-/// Contacts kept for each cell.
-const MAX_PER_CELL: usize = 12;
-/// How long a contact that was heard is preferred to one that was only listed.
-const FRESH_FOR: Duration = Duration::from_secs(60);
+/// Upper limit of contacts kept per cell.
+const MAX_CONTACTS_PER_CELL: usize = 12;
+/// Time since the last gossip about a contact up to which it is preferred to one that was only
+/// listed.
+const MAX_RECENT_AGE: Duration = Duration::from_secs(60);
 
-/// A node of any cell, from the platform's list or from what was heard.
+/// A node of any cell, known from the settings, the platform's VM list or gossip.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Contact {
     /// Name.
     pub name: String,
-    /// Its cell; empty when it is not known.
+    /// Its cell; empty if unknown.
     pub cell: String,
-    /// Its address.
+    /// Address on which it receives packets.
     pub address: String,
 }
 
 #[derive(Debug)]
-struct Known {
+struct KnownContact {
     contact: Contact,
-    heard: Option<Duration>,
+    last_seen: Option<Duration>,
 }
 
-/// Known nodes of other cells.
+/// Known nodes by cell name; nodes of unknown cell are under the empty name.
 #[derive(Debug, Default)]
 pub struct Contacts {
-    cells: BTreeMap<String, Vec<Known>>,
+    cells: BTreeMap<String, Vec<KnownContact>>,
 }
 
 impl Contacts {
-    /// Takes a contact from a list; what was heard of it is kept.
-    pub fn list(&mut self, contact: Contact) {
+    /// Adds or updates a contact from a list; the time it was last seen is kept.
+    pub fn add_listed(&mut self, contact: Contact) {
         self.insert(contact, None);
     }
 
-    /// Takes a contact that was heard just now.
-    pub fn receive(&mut self, now: Duration, contact: Contact) {
+    /// Adds or updates a contact from gossip received now.
+    pub fn add_seen(&mut self, now: Duration, contact: Contact) {
         self.insert(contact, Some(now));
     }
 
-    fn insert(&mut self, contact: Contact, heard: Option<Duration>) {
+    fn insert(&mut self, contact: Contact, last_seen: Option<Duration>) {
         let known = self.cells.entry(contact.cell.clone()).or_default();
-        if let Some(same) = known.iter_mut().find(|k| k.contact.name == contact.name) {
-            same.contact = contact;
-            same.heard = heard.or(same.heard);
+        if let Some(existing) = known.iter_mut().find(|k| k.contact.name == contact.name) {
+            existing.contact = contact;
+            existing.last_seen = last_seen.or(existing.last_seen);
             return;
         }
-        if known.len() >= MAX_PER_CELL {
-            if heard.is_none() {
+        if known.len() >= MAX_CONTACTS_PER_CELL {
+            if last_seen.is_none() {
                 return;
             }
-            // The one heard longest ago makes room.
-            known.sort_by_key(|k| k.heard);
+            // Evicts a contact that was only listed, else the one seen longest ago.
+            known.sort_by_key(|k| k.last_seen);
             known.remove(0);
         }
-        known.push(Known { contact, heard });
+        known.push(KnownContact { contact, last_seen });
     }
 
-    /// One contact of each cell: mostly one heard lately, sometimes any, so that a cell whose
-    /// known nodes were all replaced is found again.
-    pub fn one_each(&self, now: Duration, rng: &mut impl Rng) -> Vec<Contact> {
+    /// One random contact of each cell: usually a recently seen one, sometimes any, so that a cell
+    /// whose recently seen nodes were all replaced is found again.
+    pub fn pick_one_per_cell(&self, now: Duration, rng: &mut impl Rng) -> Vec<Contact> {
         self.cells
             .values()
-            .filter_map(|known| pick(now, known, rng))
+            .filter_map(|known| pick_in_cell(now, known, rng))
             .collect()
     }
 
-    /// Some of the contacts that fit.
-    pub fn pick(
+    /// Up to `count` random contacts that match.
+    pub fn pick_matching(
         &self,
         count: usize,
-        fits: impl Fn(&Contact) -> bool,
+        is_match: impl Fn(&Contact) -> bool,
         rng: &mut impl Rng,
     ) -> Vec<Contact> {
         let all = self.cells.values().flatten().map(|known| &known.contact);
-        let mut fitting: Vec<&Contact> = all.filter(|c| fits(c)).collect();
+        let mut matching: Vec<&Contact> = all.filter(|c| is_match(c)).collect();
         let mut picked = Vec::new();
-        while picked.len() < count && !fitting.is_empty() {
+        while picked.len() < count && !matching.is_empty() {
             picked.push(
-                fitting
-                    .swap_remove(rng.random_range(0..fitting.len()))
+                matching
+                    .swap_remove(rng.random_range(0..matching.len()))
                     .clone(),
             );
         }
         picked
     }
 
-    /// Cells heard from lately.
-    pub fn live_cells(&self, now: Duration) -> impl Iterator<Item = &str> {
-        let live = move |known: &&Known| is_fresh(now, known);
+    /// Cells with a recently seen contact.
+    pub fn recently_seen_cells(&self, now: Duration) -> impl Iterator<Item = &str> {
+        let is_recent = move |known: &&KnownContact| is_recently_seen(now, known);
         let cells = self.cells.iter();
         cells
-            .filter(move |(_, k)| k.iter().any(|k| live(&k)))
+            .filter(move |(_, k)| k.iter().any(|k| is_recent(&k)))
             .map(|(cell, _)| cell.as_str())
     }
 }
 
-fn pick(now: Duration, known: &[Known], rng: &mut impl Rng) -> Option<Contact> {
-    let fresh: Vec<&Known> = known.iter().filter(|k| is_fresh(now, k)).collect();
-    let any: Vec<&Known> = known.iter().collect();
-    let among = match fresh.is_empty() || rng.random_ratio(1, 8) {
-        true => any,
-        false => fresh,
+fn pick_in_cell(now: Duration, known: &[KnownContact], rng: &mut impl Rng) -> Option<Contact> {
+    let recent: Vec<&KnownContact> = known.iter().filter(|k| is_recently_seen(now, k)).collect();
+    let all_known: Vec<&KnownContact> = known.iter().collect();
+    let candidates = match recent.is_empty() || rng.random_ratio(1, 8) {
+        true => all_known,
+        false => recent,
     };
-    let at = rng.random_range(0..among.len().max(1));
-    among.get(at).map(|k| k.contact.clone())
+    let index = rng.random_range(0..candidates.len().max(1));
+    candidates.get(index).map(|k| k.contact.clone())
 }
 
-fn is_fresh(now: Duration, known: &Known) -> bool {
+fn is_recently_seen(now: Duration, known: &KnownContact) -> bool {
     known
-        .heard
-        .is_some_and(|at| now.saturating_sub(at) < FRESH_FOR)
+        .last_seen
+        .is_some_and(|seen_at| now.saturating_sub(seen_at) < MAX_RECENT_AGE)
 }
--- a/components/membership/src/endpoints.rs
+++ b/components/membership/src/endpoints.rs
@@ -1,7 +1,7 @@
-//! The endpoints of a cell: their loads, who reads them, and which of them leave.
+//! The endpoints of a cell: their loads, the nodes that read them, and which endpoints are leaving.
 //!
-//! A leave is sticky: once heard from any source, nothing about the same incarnation of the
-//! endpoint makes it usable again.
+//! Leaving is final for an incarnation: once a notice has come from any source, no later report
+//! about the same incarnation of the endpoint makes it usable again.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -9,27 +9,27 @@
 use schema::messages::EndpointGossip;
 use xxhash_rust::xxh3::xxh3_64;
 
-/// Nodes that read each endpoint.
-pub const READERS: usize = 2;
-/// Rounds in which gossip of a leave is reported by each node that has heard it.
-const LEAVE_ROUNDS: u32 = 4;
-/// A second notice counts when it is sooner than the first by more than this.
-const SOONER: Duration = Duration::from_millis(500);
-/// Age in milliseconds that stands for any greater one.
+/// Nodes that read the load of each endpoint.
+pub const READERS_PER_ENDPOINT: usize = 2;
+/// Gossip rounds in which each node that knows of a leave repeats it.
+const LEAVE_GOSSIP_ROUNDS: u32 = 4;
+/// A second notice replaces the first only if its leave time is earlier by more than this.
+const MIN_LEAVE_TIME_ADVANCE: Duration = Duration::from_millis(500);
+/// Upper limit of a reported age in milliseconds; greater ages are reported as this.
 const MAX_AGE_MS: i32 = 600_000;
 
-/// What a cell needs to know of an endpoint beforehand.
+/// An endpoint as configured.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct EndpointSpec {
     /// Name.
     pub name: String,
     /// Pool.
     pub pool: String,
-    /// Requests it runs at once.
+    /// Requests that it can run at the same time.
     pub slots: u32,
 }
 
-/// A reading of an endpoint.
+/// The load of an endpoint, as read from it or reported by another node.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Load {
     /// Requests running.
@@ -38,119 +38,129 @@
     pub queued: u32,
     /// Incarnation of the endpoint.
     pub incarnation: i64,
-    /// Time left before its VM goes, once it has a notice.
+    /// Time left until its VM is reclaimed, if it has a notice.
     pub leaving_in: Option<Duration>,
 }
 
 #[derive(Clone, Debug)]
-struct Known {
+struct KnownEndpoint {
     spec: EndpointSpec,
     load: Option<(Load, Duration)>,
-    // This node's own counter of readings, and the newest one heard.
-    reading: i64,
-    own: bool,
-    silent: bool,
+    // Number of readings by this node, answered or not.
+    reading_count: i64,
+    has_new_reading: bool,
+    is_silent: bool,
     incarnation: i64,
     leaving_at: Option<Duration>,
-    leave_rounds: u32,
+    leave_rounds_left: u32,
 }
 
-/// A change that the owner of routing must know.
+/// A change that concerns routing.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Change {
-    /// A load was read, this long ago.
-    Read(String, Load, Duration),
+pub enum EndpointChange {
+    /// Newer load of the endpoint, and its age.
+    LoadUpdated(String, Load, Duration),
     /// The endpoint leaves after this time.
-    Leaves(String, Duration),
-    /// A new VM bears the endpoint's name.
+    Leaving(String, Duration),
+    /// A new VM runs under the endpoint's name.
     Replaced(String),
-    /// The endpoint does not answer its readers.
+    /// The endpoint did not answer two or more readings by this node in a row.
     Silent(String),
 }
 
-/// A pool of one cell in sum.
+/// Totals of one pool in one cell.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct Total {
-    /// Endpoints that answer and stay.
+pub struct PoolTotal {
+    /// Endpoints that answer and are not leaving.
     pub endpoints: i32,
     /// Their free slots.
     pub free_slots: i32,
-    /// Requests waiting there.
+    /// Requests waiting at them.
     pub queued: i32,
-    /// Endpoints that leave.
+    /// Names of the endpoints that are leaving.
     pub leaving: Vec<String>,
 }
 
 /// The endpoints of one cell.
 #[derive(Debug, Default)]
 pub struct Endpoints {
-    known: BTreeMap<String, Known>,
+    known: BTreeMap<String, KnownEndpoint>,
 }
 
 impl Endpoints {
-    /// Takes the endpoints of a configuration; what is known of those that stay is kept.
+    /// Sets the endpoints of a configuration; the known state of those that stay is kept.
     pub fn configure(&mut self, specs: Vec<EndpointSpec>) {
         let mut old = std::mem::take(&mut self.known);
         for spec in specs {
             let known = match old.remove(&spec.name) {
-                Some(known) => Known {
+                Some(known) => KnownEndpoint {
                     spec: spec.clone(),
                     ..known
                 },
-                None => Known {
+                None => KnownEndpoint {
                     spec: spec.clone(),
                     load: None,
-                    reading: 0,
-                    own: false,
-                    silent: false,
+                    reading_count: 0,
+                    has_new_reading: false,
+                    is_silent: false,
                     incarnation: 0,
                     leaving_at: None,
-                    leave_rounds: 0,
+                    leave_rounds_left: 0,
                 },
             };
             self.known.insert(spec.name, known);
         }
     }
 
-    /// The endpoints that `node` reads among these active nodes, itself included.
-    pub fn assigned<'a>(&'a self, node: &str, nodes: &[&str]) -> Vec<&'a str> {
-        let reads = |name: &&str| {
+    /// The endpoints that `node` reads; `nodes` are all active nodes, itself included.
+    pub fn assigned_to<'a>(&'a self, node: &str, nodes: &[&str]) -> Vec<&'a str> {
+        let is_reader = |name: &&str| {
             let key = xxh3_64(name.as_bytes());
-            routing::rank(key, nodes.iter().copied(), READERS).contains(&node)
+            routing::rank(key, nodes.iter().copied(), READERS_PER_ENDPOINT).contains(&node)
         };
         self.known
             .keys()
             .map(String::as_str)
-            .filter(reads)
+            .filter(is_reader)
             .collect()
     }
 
-    /// Takes a reading of this node's own; `None` if the endpoint did not answer.
-    pub fn read(&mut self, now: Duration, name: &str, load: Option<Load>) -> Vec<Change> {
+    /// Records a reading by this node; `None` if the endpoint did not answer.
+    pub fn record_load(
+        &mut self,
+        now: Duration,
+        name: &str,
+        load: Option<Load>,
+    ) -> Vec<EndpointChange> {
         let Some(known) = self.known.get_mut(name) else {
             return Vec::new();
         };
-        known.reading += 1;
-        known.own = true;
-        let was_silent = std::mem::replace(&mut known.silent, load.is_none());
+        known.reading_count += 1;
+        known.has_new_reading = true;
+        let was_silent = std::mem::replace(&mut known.is_silent, load.is_none());
         match load {
-            Some(load) => known.take(now, load, now),
-            None if was_silent => vec![Change::Silent(name.to_string())],
+            Some(load) => known.apply_load(now, load, now),
+            None if was_silent => vec![EndpointChange::Silent(name.to_string())],
             None => Vec::new(),
         }
     }
 
-    /// Takes a reclaim notice of this node's own.
-    pub fn notice(&mut self, now: Duration, name: &str, left: Duration) -> Vec<Change> {
+    /// Records a reclaim notice that was given to this node.
+    pub fn record_reclaim_notice(
+        &mut self,
+        now: Duration,
+        name: &str,
+        time_left: Duration,
+    ) -> Vec<EndpointChange> {
         let Some(known) = self.known.get_mut(name) else {
             return Vec::new();
         };
         let incarnation = known.incarnation;
-        known.leave(now, incarnation, left)
+        known.mark_leaving(now, incarnation, time_left)
     }
 
-    /// Takes what another node reports.
-    pub fn receive(&mut self, now: Duration, gossip: &EndpointGossip) -> Vec<Change> {
+    /// Merges gossip from another node.
+    pub fn receive(&mut self, now: Duration, gossip: &EndpointGossip) -> Vec<EndpointChange> {
         let Some(known) = self.known.get_mut(&gossip.name) else {
             return Vec::new();
         };
@@ -163,48 +173,49 @@
                 .map(|ms| Duration::from_millis(ms.max(0) as u64)),
         };
         let age = Duration::from_millis(gossip.age_ms.clamp(0, MAX_AGE_MS) as u64);
-        let at = now.saturating_sub(age);
+        let read_at = now.saturating_sub(age);
         if gossip.silent {
-            return load
-                .leaving_in
-                .map_or_else(Vec::new, |left| known.leave(now, gossip.incarnation, left));
+            return load.leaving_in.map_or_else(Vec::new, |time_left| {
+                known.mark_leaving(now, gossip.incarnation, time_left)
+            });
         }
-        known.take(now, load, at)
+        known.apply_load(now, load, read_at)
     }
 
-    /// Gossip to report to the cell: this node's own readings and leaves heard lately.
-    pub fn gossip(&mut self, now: Duration) -> Vec<EndpointGossip> {
+    /// Gossip for the next round: endpoints that this node read since the last round, and recent
+    /// leaves.
+    pub fn take_round_gossip(&mut self, now: Duration) -> Vec<EndpointGossip> {
         let mut gossip = Vec::new();
         for known in self.known.values_mut() {
-            let leaving = known.leave_rounds > 0;
-            if known.own || leaving {
-                known.leave_rounds = known.leave_rounds.saturating_sub(1);
-                gossip.push(known.gossip(now));
+            let has_recent_leave = known.leave_rounds_left > 0;
+            if known.has_new_reading || has_recent_leave {
+                known.leave_rounds_left = known.leave_rounds_left.saturating_sub(1);
+                gossip.push(known.to_gossip(now));
             }
-            known.own = false;
+            known.has_new_reading = false;
         }
         gossip
     }
 
-    /// Everything known, for a node that has just started.
-    pub fn all_gossip(&self, now: Duration) -> Vec<EndpointGossip> {
-        let reported = self
+    /// Gossip of every endpoint with a known load or leave, for a joining node.
+    pub fn snapshot_gossip(&self, now: Duration) -> Vec<EndpointGossip> {
+        let known = self
             .known
             .values()
             .filter(|k| k.load.is_some() || k.leaving_at.is_some());
-        reported.map(|k| k.gossip(now)).collect()
+        known.map(|k| k.to_gossip(now)).collect()
     }
 
-    /// For each pool, what the cell reports to other cells.
-    pub fn totals(&self) -> BTreeMap<&str, Total> {
-        let mut totals: BTreeMap<&str, Total> = BTreeMap::new();
+    /// Totals per pool, as reported to other cells.
+    pub fn totals(&self) -> BTreeMap<&str, PoolTotal> {
+        let mut totals: BTreeMap<&str, PoolTotal> = BTreeMap::new();
         for known in self.known.values() {
             let total = totals.entry(&known.spec.pool).or_default();
             if known.leaving_at.is_some() {
                 total.leaving.push(known.spec.name.clone());
                 continue;
             }
-            let Some((load, _)) = known.load.filter(|_| !known.silent) else {
+            let Some((load, _)) = known.load.filter(|_| !known.is_silent) else {
                 continue;
             };
             total.endpoints += 1;
@@ -215,46 +226,58 @@
     }
 }
 
-impl Known {
-    fn take(&mut self, now: Duration, load: Load, at: Duration) -> Vec<Change> {
+impl KnownEndpoint {
+    fn apply_load(&mut self, now: Duration, load: Load, read_at: Duration) -> Vec<EndpointChange> {
         let name = self.spec.name.clone();
         let mut changes = Vec::new();
         if load.incarnation < self.incarnation {
             return changes;
         }
         if load.incarnation > self.incarnation {
-            // The first reading names the incarnation that a notice before it was about.
+            // Incarnation 0 means that none is known yet: a notice that came before the first
+            // reading is about the incarnation that this reading names, so the leave is kept.
             let replaced = self.incarnation > 0 && self.leaving_at.take().is_some();
             self.incarnation = load.incarnation;
             self.load = None;
             if replaced {
-                changes.push(Change::Replaced(name.clone()));
+                changes.push(EndpointChange::Replaced(name.clone()));
             }
         }
-        if self.load.is_none_or(|(_, known_at)| at > known_at) {
-            self.load = Some((load, at));
-            changes.push(Change::Read(name, load, now.saturating_sub(at)));
+        if self.load.is_none_or(|(_, known_at)| read_at > known_at) {
+            self.load = Some((load, read_at));
+            changes.push(EndpointChange::LoadUpdated(
+                name,
+                load,
+                now.saturating_sub(read_at),
+            ));
         }
-        if let Some(left) = load.leaving_in {
-            changes.extend(self.leave(now, load.incarnation, left));
+        if let Some(time_left) = load.leaving_in {
+            changes.extend(self.mark_leaving(now, load.incarnation, time_left));
         }
         changes
     }
 
-    fn leave(&mut self, now: Duration, incarnation: i64, left: Duration) -> Vec<Change> {
-        let at = now + left;
-        let known = self.leaving_at.is_some_and(|known| at + SOONER >= known);
-        if incarnation < self.incarnation || known {
+    fn mark_leaving(
+        &mut self,
+        now: Duration,
+        incarnation: i64,
+        time_left: Duration,
+    ) -> Vec<EndpointChange> {
+        let leaving_at = now + time_left;
+        let is_known = self
+            .leaving_at
+            .is_some_and(|known_at| leaving_at + MIN_LEAVE_TIME_ADVANCE >= known_at);
+        if incarnation < self.incarnation || is_known {
             return Vec::new();
         }
         self.incarnation = incarnation;
-        self.leaving_at = Some(at);
-        self.leave_rounds = LEAVE_ROUNDS;
-        vec![Change::Leaves(self.spec.name.clone(), left)]
+        self.leaving_at = Some(leaving_at);
+        self.leave_rounds_left = LEAVE_GOSSIP_ROUNDS;
+        vec![EndpointChange::Leaving(self.spec.name.clone(), time_left)]
     }
 
-    fn gossip(&self, now: Duration) -> EndpointGossip {
-        let (load, at) = self.load.unwrap_or((
+    fn to_gossip(&self, now: Duration) -> EndpointGossip {
+        let (load, read_at) = self.load.unwrap_or((
             Load {
                 running: 0,
                 queued: 0,
@@ -263,16 +286,19 @@
             },
             Duration::ZERO,
         ));
-        let left = self.leaving_at.map(|at| at.saturating_sub(now));
+        let time_left = self.leaving_at.map(|at| at.saturating_sub(now));
         EndpointGossip {
             name: self.spec.name.clone(),
             incarnation: self.incarnation,
-            reading: self.reading,
+            reading: self.reading_count,
             running: load.running as i32,
             queued: load.queued as i32,
-            age_ms: now.saturating_sub(at).as_millis().min(MAX_AGE_MS as u128) as i32,
-            leaving_in_ms: left.map(|left| left.as_millis() as i32),
-            silent: self.load.is_none() || self.silent,
+            age_ms: now
+                .saturating_sub(read_at)
+                .as_millis()
+                .min(MAX_AGE_MS as u128) as i32,
+            leaving_in_ms: time_left.map(|time_left| time_left.as_millis() as i32),
+            silent: self.load.is_none() || self.is_silent,
         }
     }
 }
--- a/components/membership/src/lib.rs
+++ b/components/membership/src/lib.rs
@@ -1,16 +1,17 @@
-//! Which nodes live, and what they report to each other, as a pure state machine.
+//! Cell membership and gossip between nodes, as a state machine without I/O or clocks.
 //!
-//! Nodes of one cell (a data hall, or the whole of a small fleet) know each other and every load;
-//! cells exchange one summary a pool. Each node probes one member a second, directly and then
-//! through others, so the cost of membership does not grow with the fleet.
+//! A cell is a data hall, or the whole of a small fleet. Nodes of one cell know each other and the
+//! load of every endpoint; cells exchange one summary per pool. Each node probes one member per
+//! second, first directly and then through other members, so the cost of failure detection per node
+//! does not grow with the fleet.
 
 mod cell;
 mod contacts;
+mod dissemination;
 mod endpoints;
 mod members;
 mod packets;
 mod probe;
-mod rumors;
 mod summaries;
 
 pub use cell::{Cell, NodeIdentity, Output};
--- a/components/membership/src/members.rs
+++ b/components/membership/src/members.rs
@@ -1,4 +1,4 @@
-//! The members of a cell and how gossip of them is merged.
+//! The members of a cell, and how gossip about them is merged.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -6,30 +6,32 @@
 use rand::{Rng, RngExt};
 use schema::messages::{MemberGossip, MemberState};
 
-/// How long a suspected member may refute before it is taken for dead.
-const SUSPECT_FOR: Duration = Duration::from_secs(5);
-/// How long a dead or gone member is remembered, so that old gossip does not bring it back.
-const REMEMBER_DEAD: Duration = Duration::from_secs(60);
+/// How long a suspect member may refute the suspicion before it is declared dead.
+const SUSPICION_TIMEOUT: Duration = Duration::from_secs(5);
+/// How long a leaving, dead or gone member is remembered, so that stale gossip does not add it
+/// again.
+const INACTIVE_RETENTION: Duration = Duration::from_secs(60);
 
-/// Lost members that are looked for; the platform's list names others.
-const MAX_LOST: usize = 64;
+/// Upper limit of lost members that are pinged to find them again. Members beyond it can still be
+/// found through the platform's VM list.
+const MAX_LOST_MEMBERS: usize = 64;
 
 /// One member as this node knows it.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Member {
-    /// Its gossip.
+    /// Its newest gossip.
     pub gossip: MemberGossip,
-    /// When its state changed here.
+    /// When its state or incarnation last changed here.
     pub since: Duration,
 }
 
 impl Member {
-    /// Whether it takes part: it is alive, suspected or leaving.
+    /// Whether it still takes part in the cell: alive, suspect or leaving.
     pub fn is_reachable(&self) -> bool {
         self.gossip.state < MemberState::DEAD
     }
 
-    /// Whether it may be given duties.
+    /// Whether it may be given duties: alive or suspect.
     pub fn is_active(&self) -> bool {
         matches!(self.gossip.state, MemberState::ALIVE | MemberState::SUSPECT)
     }
@@ -39,16 +41,17 @@
 #[derive(Debug, Default)]
 pub struct Members {
     members: BTreeMap<String, Member>,
-    // The last gossip of members taken for dead, until they are heard again or say that they leave.
+    // Gossip of members that this node declared dead.
     lost: BTreeMap<String, MemberGossip>,
 }
 
 impl Members {
-    /// Merges gossip; `true` if it changed anything. Within an incarnation the later state wins.
+    /// Merges gossip; `true` if it changed anything. The higher incarnation wins, and within an
+    /// incarnation the later state in the order of `MemberState`.
     pub fn merge(&mut self, now: Duration, gossip: &MemberGossip) -> bool {
         let known = self.members.get(&gossip.name).map(|m| &m.gossip);
-        let newer = known.is_none_or(|k| rank(gossip) > rank(k));
-        if !newer {
+        let is_newer = known.is_none_or(|k| precedence(gossip) > precedence(k));
+        if !is_newer {
             return false;
         }
         let member = Member {
@@ -59,21 +62,22 @@
         true
     }
 
-    fn note_lost(&mut self, gossip: &MemberGossip) {
+    fn update_lost(&mut self, gossip: &MemberGossip) {
         if gossip.state != MemberState::DEAD {
             self.lost.remove(&gossip.name);
-        } else if self.lost.len() < MAX_LOST {
+        } else if self.lost.len() < MAX_LOST_MEMBERS {
             self.lost.insert(gossip.name.clone(), gossip.clone());
         }
     }
 
-    /// One of the members taken for dead.
-    pub fn pick_lost(&mut self, rng: &mut impl Rng) -> Option<MemberGossip> {
-        let at = rng.random_range(0..self.lost.len().max(1));
-        self.lost.values().nth(at).cloned()
+    /// A random member that this node declared dead.
+    pub fn random_lost(&mut self, rng: &mut impl Rng) -> Option<MemberGossip> {
+        let index = rng.random_range(0..self.lost.len().max(1));
+        self.lost.values().nth(index).cloned()
     }
 
-    /// Suspects a member that did not answer; returns the gossip to spread.
+    /// Marks a member that did not answer a probe as suspect. Returns the gossip to spread, or
+    /// `None` if the member is not alive.
     pub fn suspect(&mut self, now: Duration, name: &str) -> Option<MemberGossip> {
         let member = self.members.get_mut(name)?;
         if member.gossip.state != MemberState::ALIVE {
@@ -84,13 +88,14 @@
         Some(member.gossip.clone())
     }
 
-    /// Takes dead members whose VM the platform does not list for gone. Returns the gossip to spread.
+    /// Marks lost members as gone if the platform does not list their VM. Returns the gossip to
+    /// spread.
     pub fn confirm_gone(
         &mut self,
         now: Duration,
         is_listed: impl Fn(&str) -> bool,
     ) -> Vec<MemberGossip> {
-        let unlisted = self.lost.values().filter(|n| !is_listed(&n.name));
+        let unlisted = self.lost.values().filter(|g| !is_listed(&g.name));
         let gone: Vec<MemberGossip> = unlisted
             .map(|gossip| MemberGossip {
                 state: MemberState::GONE,
@@ -102,21 +107,22 @@
             .collect()
     }
 
-    /// Takes members suspected for too long for dead, and forgets old dead ones. Returns the gossip
-    /// to spread.
+    /// Declares members dead whose suspicion timed out, and forgets members that have been inactive
+    /// for longer than `INACTIVE_RETENTION`. Returns the gossip to spread.
     pub fn expire(&mut self, now: Duration) -> Vec<MemberGossip> {
-        let old = |m: &Member| !m.is_active() && now.saturating_sub(m.since) > REMEMBER_DEAD;
-        self.members.retain(|_, m| !old(m));
+        let is_expired =
+            |m: &Member| !m.is_active() && now.saturating_sub(m.since) > INACTIVE_RETENTION;
+        self.members.retain(|_, m| !is_expired(m));
         let mut gossip = Vec::new();
         for member in self.members.values_mut() {
-            let waited = now.saturating_sub(member.since) > SUSPECT_FOR;
-            if member.gossip.state == MemberState::SUSPECT && waited {
+            let has_timed_out = now.saturating_sub(member.since) > SUSPICION_TIMEOUT;
+            if member.gossip.state == MemberState::SUSPECT && has_timed_out {
                 member.gossip.state = MemberState::DEAD;
                 member.since = now;
                 gossip.push(member.gossip.clone());
             }
         }
-        gossip.iter().for_each(|n| self.note_lost(n));
+        gossip.iter().for_each(|g| self.update_lost(g));
         gossip
     }
 
@@ -130,7 +136,7 @@
         self.members.values()
     }
 
-    /// Members that take part.
+    /// Members that still take part in the cell.
     pub fn reachable(&self) -> impl Iterator<Item = &Member> {
         self.members.values().filter(|m| m.is_reachable())
     }
@@ -141,6 +147,6 @@
     }
 }
 
-fn rank(gossip: &MemberGossip) -> (i64, MemberState) {
+fn precedence(gossip: &MemberGossip) -> (i64, MemberState) {
     (gossip.incarnation, gossip.state)
 }
--- a/components/membership/src/packets.rs
+++ b/components/membership/src/packets.rs
@@ -1,33 +1,34 @@
-//! Packets and what fits into one.
+//! Packets and the limits of what one packet carries.
 
 use schema::messages::{EndpointGossip, Kind, Packet, Summary, TeamDemand};
 use schema::SCHEMA_VERSION;
 
-/// Gossip of endpoints in one packet; with all else a packet stays below the largest datagram.
-pub const ENDPOINTS_PER_PACKET: usize = 16;
-/// Members in one packet to a node that has just started.
-pub const MEMBERS_PER_PACKET: usize = 16;
-/// Demands in one packet that carries nothing else.
-pub const DEMANDS_PER_PACKET: usize = 20;
-/// Demands of the node itself in a packet with gossip of endpoints.
-pub const OWN_DEMANDS_PER_PACKET: usize = 5;
-/// Summaries in one packet that carries nothing else.
-pub const SUMMARIES_PER_PACKET: usize = 8;
+/// Upper limit of endpoints in one packet. With everything else it carries, such a packet stays
+/// below the maximum datagram size.
+pub const MAX_ENDPOINTS_PER_PACKET: usize = 16;
+/// Upper limit of members in one packet of the snapshot for a joining node.
+pub const MAX_MEMBERS_PER_SNAPSHOT_PACKET: usize = 16;
+/// Upper limit of demands in a packet without endpoints and summaries.
+pub const MAX_DEMANDS_PER_PACKET: usize = 20;
+/// Upper limit of the node's own demands in a packet that also carries endpoints.
+pub const MAX_OWN_DEMANDS_PER_PACKET: usize = 5;
+/// Upper limit of summaries in a packet without endpoints and demands.
+pub const MAX_SUMMARIES_PER_PACKET: usize = 8;
 
-/// What one packet of gossip carries to all members.
+/// Gossip that is sent to all members of the cell in one packet each.
 #[derive(Clone, Debug, Default)]
-pub struct Body {
-    /// Gossip of endpoints.
+pub struct GossipPayload {
+    /// Loads and leaves of endpoints.
     pub endpoints: Vec<EndpointGossip>,
     /// Summaries of other cells.
     pub summaries: Vec<Summary>,
-    /// Demands of this node, or of other cells.
+    /// Demands of this node or of other cells.
     pub demands: Vec<TeamDemand>,
 }
 
-impl Body {
-    /// The packet with this in it.
-    pub fn put_into(&self, mut packet: Packet) -> Packet {
+impl GossipPayload {
+    /// Puts the payload into a packet; an empty list is left out.
+    pub fn add_to(&self, mut packet: Packet) -> Packet {
         packet.endpoints = Some(self.endpoints.clone()).filter(|e| !e.is_empty());
         packet.summaries = Some(self.summaries.clone()).filter(|s| !s.is_empty());
         packet.demands = Some(self.demands.clone()).filter(|d| !d.is_empty());
@@ -35,32 +36,32 @@
     }
 }
 
-/// Numbers the packets of one node.
+/// Creates the packets of one node and numbers them.
 #[derive(Debug)]
-pub struct Sender {
+pub struct PacketSequencer {
     name: String,
     incarnation: i64,
     sequence: i64,
 }
 
-impl Sender {
-    /// A sender of this name and incarnation.
+impl PacketSequencer {
+    /// Starts at sequence 1 for a node of this name and incarnation.
     pub fn new(name: &str, incarnation: i64) -> Self {
-        Sender {
+        PacketSequencer {
             name: name.to_string(),
             incarnation,
             sequence: 0,
         }
     }
 
-    /// Takes a higher incarnation.
+    /// Sets a higher incarnation and restarts the sequence.
     pub fn set_incarnation(&mut self, incarnation: i64) {
         self.incarnation = incarnation;
         self.sequence = 0;
     }
 
-    /// An empty packet with the next sequence.
-    pub fn packet(&mut self, kind: Kind) -> Packet {
+    /// An empty packet with the next sequence number.
+    pub fn next_packet(&mut self, kind: Kind) -> Packet {
         self.sequence += 1;
         Packet {
             schema_version: SCHEMA_VERSION,
@@ -80,13 +81,13 @@
     }
 }
 
-/// Cuts gossip into parts that fit into a packet; there is at least one part.
-pub fn parts(gossip: Vec<EndpointGossip>) -> Vec<Vec<EndpointGossip>> {
+/// Splits endpoint gossip into chunks of one packet each. Empty gossip gives one empty chunk.
+pub fn split_into_chunks(gossip: Vec<EndpointGossip>) -> Vec<Vec<EndpointGossip>> {
     if gossip.is_empty() {
         return vec![gossip];
     }
     gossip
-        .chunks(ENDPOINTS_PER_PACKET)
+        .chunks(MAX_ENDPOINTS_PER_PACKET)
         .map(<[EndpointGossip]>::to_vec)
         .collect()
 }
--- a/components/membership/src/probe.rs
+++ b/components/membership/src/probe.rs
@@ -1,18 +1,19 @@
-//! Probing one member at a time: directly, again, and through others.
+//! Failure detector: probes one member at a time, first directly, then again and through other
+//! members.
 
 use std::time::Duration;
 
 use rand::seq::SliceRandom;
 use rand::Rng;
 
-/// Time between probes.
-const INTERVAL: Duration = Duration::from_secs(1);
-/// Time after which an unanswered probe is repeated and others are asked to probe.
-const REPEAT_AFTER: Duration = Duration::from_millis(300);
-/// Others asked to probe.
-pub const HELPERS: usize = 3;
+/// Time between two probes, in which a probe has to be answered.
+const PROBE_INTERVAL: Duration = Duration::from_secs(1);
+/// Time after which an unanswered probe is repeated and other members are asked to probe.
+const INDIRECT_PROBE_DELAY: Duration = Duration::from_millis(300);
+/// Upper limit of members asked for an indirect probe.
+pub const MAX_INDIRECT_PROBES: usize = 3;
 
-/// What to do about a probe.
+/// What to do for a probe.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum ProbeStep {
     /// Ping this member.
@@ -22,36 +23,37 @@
         /// Member to ping.
         member: String,
     },
-    /// Ping it again, and ask helpers to.
-    AskHelpers {
+    /// Ping it again, and ask other members to ping it.
+    ProbeIndirectly {
         /// Number of the probe.
         probe: i64,
         /// Member to ping.
         member: String,
     },
-    /// It did not answer in time.
+    /// This member did not answer in time.
     Unanswered(String),
 }
 
 #[derive(Debug)]
-struct Current {
+struct PendingProbe {
     probe: i64,
     member: String,
-    sent: Duration,
-    helped: bool,
+    sent_at: Duration,
+    is_indirect: bool,
 }
 
-/// The probes of one node.
+/// The probes made by one node.
 #[derive(Debug, Default)]
 pub struct Prober {
     order: Vec<String>,
-    current: Option<Current>,
-    next_probe: i64,
-    next_at: Duration,
+    pending: Option<PendingProbe>,
+    last_probe_number: i64,
+    next_probe_at: Duration,
 }
 
 impl Prober {
-    /// The steps due now. `members` are those to probe, each once before any twice.
+    /// The steps due now. `members` are the names to probe, in random order, each once before any
+    /// twice.
     pub fn tick<'a>(
         &mut self,
         now: Duration,
@@ -59,30 +61,30 @@
         rng: &mut impl Rng,
     ) -> Vec<ProbeStep> {
         let mut steps = Vec::new();
-        if let Some(current) = &mut self.current {
-            if !current.helped && now >= current.sent + REPEAT_AFTER {
-                current.helped = true;
-                let (probe, member) = (current.probe, current.member.clone());
-                steps.push(ProbeStep::AskHelpers { probe, member });
+        if let Some(pending) = &mut self.pending {
+            if !pending.is_indirect && now >= pending.sent_at + INDIRECT_PROBE_DELAY {
+                pending.is_indirect = true;
+                let (probe, member) = (pending.probe, pending.member.clone());
+                steps.push(ProbeStep::ProbeIndirectly { probe, member });
             }
         }
-        if now < self.next_at {
+        if now < self.next_probe_at {
             return steps;
         }
-        self.next_at = now + INTERVAL;
-        steps.extend(self.current.take().map(|c| ProbeStep::Unanswered(c.member)));
-        steps.extend(self.start(now, members, rng));
+        self.next_probe_at = now + PROBE_INTERVAL;
+        steps.extend(self.pending.take().map(|p| ProbeStep::Unanswered(p.member)));
+        steps.extend(self.start_probe(now, members, rng));
         steps
     }
 
-    /// Notes an answer.
-    pub fn answered(&mut self, probe: i64) {
-        if self.current.as_ref().is_some_and(|c| c.probe == probe) {
-            self.current = None;
+    /// Records the answer to a probe; answers to other probes than the current one are ignored.
+    pub fn acknowledge(&mut self, probe: i64) {
+        if self.pending.as_ref().is_some_and(|p| p.probe == probe) {
+            self.pending = None;
         }
     }
 
-    fn start<'a>(
+    fn start_probe<'a>(
         &mut self,
         now: Duration,
         members: impl Iterator<Item = &'a str>,
@@ -95,13 +97,13 @@
             self.order.shuffle(rng);
         }
         let member = self.order.pop()?;
-        self.next_probe += 1;
-        let probe = self.next_probe;
-        self.current = Some(Current {
+        self.last_probe_number += 1;
+        let probe = self.last_probe_number;
+        self.pending = Some(PendingProbe {
             probe,
             member: member.clone(),
-            sent: now,
-            helped: false,
+            sent_at: now,
+            is_indirect: false,
         });
         Some(ProbeStep::Ping { probe, member })
     }
--- a/components/membership/src/summaries.rs
+++ b/components/membership/src/summaries.rs
@@ -1,67 +1,78 @@
-//! What other cells report of their pools.
+//! Pool summaries received from other cells.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
 
 use schema::messages::Summary;
 
-/// Summaries that wait to be reported on.
-const MAX_RELAYED: usize = 64;
-/// Age at which a summary is forgotten.
-const KEEP: Duration = Duration::from_secs(120);
+/// Upper limit of summaries queued to be relayed to the own cell.
+const MAX_RELAYED_SUMMARIES: usize = 64;
+/// Age at which a summary is dropped.
+const SUMMARY_TTL: Duration = Duration::from_secs(120);
 
-/// A summary and when it was heard.
+/// A summary and when it was received.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct KnownSummary {
-    /// What was reported.
+    /// The summary as received.
     pub summary: Summary,
-    /// When it was heard here.
-    pub heard: Duration,
+    /// When this node received it.
+    pub received_at: Duration,
 }
 
 /// The newest summary of each pool of each other cell.
 #[derive(Debug, Default)]
 pub struct Summaries {
     known: BTreeMap<(String, String), KnownSummary>,
-    relayed: Vec<Summary>,
+    relay_queue: Vec<Summary>,
 }
 
 impl Summaries {
-    /// Takes a summary; if it is gossip, names the endpoints that the one before had as leaving and
-    /// this one has not. Of one speaker the higher round counts, and another
-    /// speaker of the cell counts when it is heard directly or the known one is old.
+    /// Stores a summary that is newer than the known one. Returns the endpoints that the known one
+    /// listed as leaving and the new one does not, or `None` if the summary was not stored.
+    ///
+    /// A summary with a higher round is newer. Each speaker counts rounds from its own incarnation,
+    /// so a summary from another speaker is also stored once the known one is older than a quarter
+    /// of `SUMMARY_TTL`.
     pub fn receive(&mut self, now: Duration, summary: &Summary) -> Option<Vec<String>> {
         let key = (summary.cell.clone(), summary.pool.clone());
-        let stale = |known: &KnownSummary| match known.summary.speaker == summary.speaker {
+        let is_superseded = |known: &KnownSummary| match known.summary.speaker == summary.speaker {
             true => summary.round > known.summary.round,
-            false => summary.round > known.summary.round || now > known.heard + KEEP / 4,
+            false => {
+                summary.round > known.summary.round || now > known.received_at + SUMMARY_TTL / 4
+            }
         };
-        if !self.known.get(&key).is_none_or(stale) {
+        if !self.known.get(&key).is_none_or(is_superseded) {
             return None;
         }
         let known = KnownSummary {
             summary: summary.clone(),
-            heard: now,
+            received_at: now,
         };
-        let before = self.known.insert(key, known);
-        let left = before.map(|k| k.summary.leaving).unwrap_or_default();
-        let back = |name: &String| !summary.leaving.contains(name);
-        Some(left.into_iter().filter(back).collect())
+        let previous = self.known.insert(key, known);
+        let was_leaving = previous.map(|k| k.summary.leaving).unwrap_or_default();
+        let is_no_longer_leaving = |name: &String| !summary.leaving.contains(name);
+        Some(
+            was_leaving
+                .into_iter()
+                .filter(is_no_longer_leaving)
+                .collect(),
+        )
     }
 
-    /// Keeps what another cell reported to this node, to be reported to the own cell once.
-    pub fn relay<'a>(&mut self, summaries: impl Iterator<Item = &'a Summary>) {
-        self.relayed.extend(summaries.cloned());
-        self.relayed.truncate(MAX_RELAYED);
+    /// Queues summaries received from another cell, to be relayed to the own cell once.
+    pub fn queue_for_relay<'a>(&mut self, summaries: impl Iterator<Item = &'a Summary>) {
+        self.relay_queue.extend(summaries.cloned());
+        self.relay_queue.truncate(MAX_RELAYED_SUMMARIES);
     }
 
-    /// Summaries for the next packet to the own cell.
-    pub fn take_relayed(&mut self, now: Duration) -> Vec<Summary> {
-        self.known.retain(|_, k| now.saturating_sub(k.heard) < KEEP);
-        std::mem::take(&mut self.relayed)
+    /// Drops summaries older than `SUMMARY_TTL` and returns the ones queued for the own cell.
+    pub fn drain_relay_queue(&mut self, now: Duration) -> Vec<Summary> {
+        self.known
+            .retain(|_, k| now.saturating_sub(k.received_at) < SUMMARY_TTL);
+        std::mem::take(&mut self.relay_queue)
     }
 
-    /// All summaries.
+    /// All known summaries.
     pub fn iter(&self) -> impl Iterator<Item = &KnownSummary> {
         self.known.values()
     }
--- a/components/membership/tests/common/mod.rs
+++ b/components/membership/tests/common/mod.rs
@@ -1,4 +1,5 @@
-//! Several cells joined by a queue in virtual time with loss, delay, doubling, cuts and pauses.
+//! Nodes of several cells that exchange packets in virtual time, with loss, delay, duplication and
+//! partitions.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -19,14 +20,14 @@
     pub leaving: BTreeMap<String, Duration>,
     pub version: Version,
     pub received_version: i64,
-    pub reads: Vec<String>,
+    pub due_reads: Vec<String>,
 }
 
-pub struct Net {
+pub struct TestNetwork {
     pub peers: Vec<Peer>,
     pub rng: ChaCha8Rng,
     pub wire: Wire<Box<Packet>>,
-    /// What endpoints would answer to a reading.
+    /// Load that each endpoint answers with; an endpoint that is not listed does not answer.
     pub loads: BTreeMap<String, Load>,
     pub now: Duration,
 }
@@ -35,9 +36,9 @@
     format!("10.0.0.{n}:7000")
 }
 
-impl Net {
+impl TestNetwork {
     pub fn new(seed: u64) -> Self {
-        Net {
+        TestNetwork {
             peers: Vec::new(),
             rng: ChaCha8Rng::seed_from_u64(seed),
             wire: Wire::default(),
@@ -46,7 +47,7 @@
         }
     }
 
-    /// Adds a node that knows the first nodes as contacts, and reads these endpoints.
+    /// Adds a node that knows the first three nodes as contacts, in a cell with these endpoints.
     pub fn add(&mut self, cell_name: &str, endpoints: &[&str]) -> usize {
         let n = self.peers.len();
         let cell = self.start(n, cell_name, endpoints);
@@ -57,7 +58,7 @@
             leaving: BTreeMap::new(),
             version: Version::default(),
             received_version: 0,
-            reads: Vec::new(),
+            due_reads: Vec::new(),
         });
         n
     }
@@ -85,15 +86,18 @@
         cell
     }
 
-    pub fn outputs(&mut self, n: usize, outputs: Vec<Output>) {
+    pub fn apply_outputs(&mut self, n: usize, outputs: Vec<Output>) {
         for output in outputs {
             match output {
                 Output::Send { to, packet } => self.send(n, &to, packet),
-                Output::EndpointLeaving(name, left) => {
-                    self.peers[n].leaving.entry(name).or_insert(self.now + left);
+                Output::EndpointLeaving(name, time_left) => {
+                    self.peers[n]
+                        .leaving
+                        .entry(name)
+                        .or_insert(self.now + time_left);
                 }
                 Output::EndpointReplaced(name) => drop(self.peers[n].leaving.remove(&name)),
-                Output::ReadLoads(names) => self.peers[n].reads = names,
+                Output::ReadLoads(names) => self.peers[n].due_reads = names,
                 Output::ConfigVersionReceived(_, version) => {
                     let peer = &mut self.peers[n];
                     peer.received_version = peer.received_version.max(version.number);
@@ -110,8 +114,8 @@
         self.wire.send(self.now, from, to, packet, &mut self.rng);
     }
 
-    /// Parts the nodes below a number from the rest.
-    pub fn cut(&mut self, below: usize) {
+    /// Separates the nodes with numbers below `below` from the rest.
+    pub fn partition(&mut self, below: usize) {
         self.wire.groups = (0..below).map(|n| (n, 1)).collect();
     }
 
@@ -121,7 +125,7 @@
         for (_, to, packet) in self.wire.due(now) {
             if self.peers[to].alive {
                 let outputs = self.peers[to].cell.receive(now, &packet);
-                self.outputs(to, outputs);
+                self.apply_outputs(to, outputs);
             }
         }
         for n in 0..self.peers.len() {
@@ -129,11 +133,11 @@
                 continue;
             }
             let outputs = self.peers[n].cell.tick(now, &mut self.rng);
-            self.outputs(n, outputs);
-            for name in std::mem::take(&mut self.peers[n].reads) {
+            self.apply_outputs(n, outputs);
+            for name in std::mem::take(&mut self.peers[n].due_reads) {
                 let load = self.loads.get(&name).copied();
                 let outputs = self.peers[n].cell.record_load(now, &name, load);
-                self.outputs(n, outputs);
+                self.apply_outputs(n, outputs);
             }
         }
     }
@@ -145,18 +149,18 @@
         }
     }
 
-    /// Whether every living node knows exactly the living nodes of its cell.
-    pub fn agrees(&self) -> bool {
-        let alive = |cell: &str| {
+    /// Whether every live node counts as many active members as its cell has live nodes.
+    pub fn has_converged(&self) -> bool {
+        let live_count = |cell: &str| {
             self.peers
                 .iter()
                 .filter(|p| p.alive && p.cell_name == cell)
                 .count()
         };
-        let living = self.peers.iter().filter(|p| p.alive);
-        living
+        let live_peers = self.peers.iter().filter(|p| p.alive);
+        live_peers
             .into_iter()
-            .all(|p| p.cell.size() == alive(&p.cell_name))
+            .all(|p| p.cell.size() == live_count(&p.cell_name))
     }
 }
 
