--- a/components/control/src/gate.rs
+++ b/components/control/src/gate.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use limits::Bucket;
+use limits::TokenBucket;
 use rand::{Rng, RngExt};
 
 /// First pause after a call without an answer; it doubles with each one.
@@ -27,7 +27,7 @@
 /// The budget and what is known of the platform's health.
 #[derive(Clone, Debug)]
 pub struct PlatformGate {
-    rate: Bucket,
+    rate: TokenBucket,
     unanswered: u32,
     closed_until: Duration,
     pause: Duration,
@@ -38,7 +38,7 @@
     /// A budget of so many calls a second, with at most this pause while the platform is down.
     pub fn new(now: Duration, calls_a_second: u64, max_pause: Duration) -> Self {
         PlatformGate {
-            rate: Bucket::new(now, calls_a_second * 1000),
+            rate: TokenBucket::new(now, calls_a_second * 1000),
             unanswered: 0,
             closed_until: Duration::ZERO,
             pause: FIRST_PAUSE.min(max_pause),
--- a/components/limits/src/bucket.rs
+++ b/components/limits/src/bucket.rs
@@ -7,14 +7,14 @@
 
 /// A bucket that fills at a rate and holds so many seconds' worth, but at least one whole unit.
 #[derive(Clone, Debug)]
-pub struct Bucket {
+pub struct TokenBucket {
     rate_milli: u64,
     burst_secs: u64,
     level_milli: u64,
     filled_at: Duration,
 }
 
-impl Bucket {
+impl TokenBucket {
     /// A full bucket that holds one second's worth. `rate_milli` is in thousandths of a unit a
     /// second.
     pub fn new(now: Duration, rate_milli: u64) -> Self {
@@ -23,7 +23,7 @@
 
     /// A full bucket that holds so many seconds' worth.
     pub fn with_burst(now: Duration, rate_milli: u64, burst_secs: u64) -> Self {
-        Bucket {
+        TokenBucket {
             rate_milli,
             burst_secs,
             level_milli: (rate_milli * burst_secs).max(MILLI),
@@ -81,7 +81,7 @@
 
     #[test]
     fn can_fill_at_its_rate_and_no_faster() {
-        let mut bucket = Bucket::new(Duration::ZERO, 2_000);
+        let mut bucket = TokenBucket::new(Duration::ZERO, 2_000);
         let taken = (0..10_000)
             .filter(|ms| bucket.take(Duration::from_millis(*ms), 1).is_ok())
             .count();
@@ -90,7 +90,7 @@
 
     #[test]
     fn says_when_to_come_back() {
-        let mut bucket = Bucket::new(Duration::ZERO, 500);
+        let mut bucket = TokenBucket::new(Duration::ZERO, 500);
         assert!(bucket.take(Duration::ZERO, 1).is_ok());
         let wait = bucket.take(Duration::ZERO, 1).unwrap_err();
         assert!(bucket.take(wait - Duration::from_millis(1), 1).is_err());
--- a/components/limits/src/lib.rs
+++ b/components/limits/src/lib.rs
@@ -13,7 +13,7 @@
 mod shared_quota;
 mod team;
 
-pub use bucket::Bucket;
+pub use bucket::TokenBucket;
 pub use budget::Budget;
 pub use gate::{Gate, Verdict, Waiter};
 pub use link::{link_part, Decider, LinkBudget};
--- a/components/limits/src/team.rs
+++ b/components/limits/src/team.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use crate::bucket::Bucket;
+use crate::bucket::TokenBucket;
 
 /// Time to come back when the team's concurrency is used up.
 const CONCURRENCY_RETRY: Duration = Duration::from_millis(200);
@@ -54,8 +54,8 @@
 #[derive(Clone, Debug)]
 pub struct TeamMeter {
     limits: Limits,
-    rate: Bucket,
-    spending: Bucket,
+    rate: TokenBucket,
+    spending: TokenBucket,
     running: u64,
     asked: u64,
 }
@@ -65,8 +65,8 @@
     pub fn new(now: Duration, limits: Limits) -> Self {
         TeamMeter {
             limits,
-            rate: Bucket::new(now, limits.rate_milli),
-            spending: Bucket::with_burst(now, spending_rate(limits), SPENDING_BURST_SECS),
+            rate: TokenBucket::new(now, limits.rate_milli),
+            spending: TokenBucket::with_burst(now, spending_rate(limits), SPENDING_BURST_SECS),
             running: 0,
             asked: 0,
         }
