--- a/components/limits/src/lib.rs
+++ b/components/limits/src/lib.rs
@@ -14,7 +14,7 @@
 mod team;
 
 pub use bucket::TokenBucket;
-pub use budget::Budget;
+pub use budget::AttemptBudget;
 pub use gate::{Gate, Verdict, Waiter};
 pub use link::{link_part, Decider, LinkBudget};
 pub use quota::{Demand, Quota, FLOOR_MILLI};
--- a/components/node/src/traffic.rs
+++ b/components/node/src/traffic.rs
@@ -6,7 +6,7 @@
 use std::time::Duration;
 
 use flume::Sender;
-use limits::{Budget, Gate, Limits, Refused, TeamMeter, Verdict, Waiter};
+use limits::{AttemptBudget, Gate, Limits, Refused, TeamMeter, Verdict, Waiter};
 use rand::SeedableRng;
 use rand_chacha::ChaCha8Rng;
 use routing::{Ask, Decision, Router};
@@ -62,8 +62,8 @@
     meters: BTreeMap<String, TeamMeter>,
     parts_milli: BTreeMap<String, u64>,
     waiting: HashMap<u64, Sender<RunEvent>>,
-    retries: Budget,
-    hedges: Budget,
+    retries: AttemptBudget,
+    hedges: AttemptBudget,
     rng: ChaCha8Rng,
     in_flight: usize,
 }
@@ -78,8 +78,8 @@
             meters: BTreeMap::new(),
             parts_milli: BTreeMap::new(),
             waiting: HashMap::new(),
-            retries: Budget::new(RETRY_BURST, RETRIES_PER_SUCCESS_MILLI),
-            hedges: Budget::new(HEDGE_BURST, HEDGES_PER_SUCCESS_MILLI),
+            retries: AttemptBudget::new(RETRY_BURST, RETRIES_PER_SUCCESS_MILLI),
+            hedges: AttemptBudget::new(HEDGE_BURST, HEDGES_PER_SUCCESS_MILLI),
             rng: ChaCha8Rng::seed_from_u64(seed),
             in_flight: 0,
         }
@@ -246,17 +246,17 @@
 
     /// Notes a request answered whole.
     pub fn succeeded(&mut self) {
-        self.retries.earn();
-        self.hedges.earn();
+        self.retries.record_success();
+        self.hedges.record_success();
     }
 
     /// Takes a retry from the budget.
     pub fn may_retry(&mut self) -> bool {
-        self.retries.spend()
+        self.retries.try_spend()
     }
 
     /// Takes a hedge from the budget.
     pub fn may_hedge(&mut self) -> bool {
-        self.hedges.spend()
+        self.hedges.try_spend()
     }
 }
--- a/components/replay/src/node.rs
+++ b/components/replay/src/node.rs
@@ -3,7 +3,7 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-use limits::{Budget, Gate};
+use limits::{AttemptBudget, Gate};
 use routing::{Policy, Rates, Router};
 use schema::settings::Endpoint;
 
@@ -21,9 +21,9 @@
     /// The gate of each pool.
     pub gates: BTreeMap<String, Gate>,
     /// Its budget of retries.
-    pub retries: Budget,
+    pub retries: AttemptBudget,
     /// Its budget of hedges.
-    pub hedges: Budget,
+    pub hedges: AttemptBudget,
 }
 
 impl Node {
@@ -41,8 +41,8 @@
         Node {
             router,
             gates: BTreeMap::new(),
-            retries: Budget::new(RETRY_BURST, RETRIES_PER_SUCCESS_MILLI),
-            hedges: Budget::new(HEDGE_BURST, HEDGES_PER_SUCCESS_MILLI),
+            retries: AttemptBudget::new(RETRY_BURST, RETRIES_PER_SUCCESS_MILLI),
+            hedges: AttemptBudget::new(HEDGE_BURST, HEDGES_PER_SUCCESS_MILLI),
         }
     }
 
--- a/components/replay/src/world.rs
+++ b/components/replay/src/world.rs
@@ -414,8 +414,8 @@
         self.requests[id].outcome = Some(outcome);
         if matches!(outcome, Outcome::Done { .. }) {
             let node = self.requests[id].node;
-            self.nodes[node].retries.earn();
-            self.nodes[node].hedges.earn();
+            self.nodes[node].retries.record_success();
+            self.nodes[node].hedges.record_success();
         }
         let streams: Vec<usize> = self.requests[id].live.drain(..).map(|(_, s)| s).collect();
         streams.into_iter().for_each(|s| self.close(s));
--- a/components/replay/src/world/streams.rs
+++ b/components/replay/src/world/streams.rs
@@ -31,7 +31,7 @@
             return;
         }
         let node = self.requests[id].node;
-        if cause == Cause::Retry && !self.nodes[node].retries.spend() {
+        if cause == Cause::Retry && !self.nodes[node].retries.try_spend() {
             return self.step(id, Event::NoEndpoint { attempt });
         }
         let Some((name, import)) = self.choose(id) else {
@@ -242,7 +242,7 @@
         let request = &self.requests[id];
         let waits = request.outcome.is_none() && request.first_at.is_none();
         let same = request.live.iter().any(|(a, _)| *a == attempt);
-        if waits && same && self.nodes[request.node].hedges.spend() {
+        if waits && same && self.nodes[request.node].hedges.try_spend() {
             self.step(id, Event::Hedge);
         }
     }
