--- a/components/gateway/src/state.rs
+++ b/components/gateway/src/state.rs
@@ -6,7 +6,7 @@
 use std::time::Duration;
 
 use directory::{Configuration, Directory, Tenant};
-use limits::{Limit, RepeatBudget, RepeatTerms, SendAccounts, SharedQuota};
+use limits::{Limit, RetryBudget, RetryTerms, SendAccounts, SharedQuota};
 use memory::Ledger;
 use quarantine::Quarantine;
 use rand::{RngExt, SeedableRng};
@@ -31,7 +31,7 @@
     pub directory: Option<Rc<Directory>>,
     pub pool: Pool,
     pub quotas: BTreeMap<String, SharedQuota>,
-    pub repeats: BTreeMap<String, RepeatBudget>,
+    pub repeats: BTreeMap<String, RetryBudget>,
     pub tally: Tally,
     pub fleet: Fleet,
     // The most gateways that were ever known.
@@ -130,8 +130,8 @@
         let budgets = &mut self.repeats;
         budgets
             .entry(service.to_string())
-            .or_insert_with(|| RepeatBudget::new(terms))
-            .request(now);
+            .or_insert_with(|| RetryBudget::new(terms))
+            .record_request(now);
     }
 
     /// Puts a configuration in force.
@@ -200,8 +200,8 @@
     }
 
     /// What repeats are allowed.
-    pub fn repeat_terms(&self) -> RepeatTerms {
-        RepeatTerms {
+    pub fn repeat_terms(&self) -> RetryTerms {
+        RetryTerms {
             ratio: f64::from(self.settings.repeats_milli) / 1000.0,
             extra: f64::from(self.settings.repeats_extra),
             window: Duration::from_millis(self.settings.repeats_window_ms.max(1) as u64),
--- a/components/gateway/src/traffic.rs
+++ b/components/gateway/src/traffic.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 
 use flume::TrySendError;
-use limits::{QuotaState, RepeatBudget};
+use limits::{QuotaState, RetryBudget};
 use routing::placement::{incarnation, Placement, Ticket};
 use schema::settings::GatewaySettings;
 use slog::{info, warn, Logger};
@@ -237,8 +237,8 @@
         let budgets = &mut state.repeats;
         let budget = budgets
             .entry(service.to_string())
-            .or_insert_with(|| RepeatBudget::new(terms));
-        let allowed = budget.spend(now, gateways);
+            .or_insert_with(|| RetryBudget::new(terms));
+        let allowed = budget.try_spend(now, gateways);
         self.metrics.count(match allowed {
             true => Counter::Retries,
             false => Counter::RetryBudget,
--- a/components/limits/src/lib.rs
+++ b/components/limits/src/lib.rs
@@ -18,7 +18,7 @@
 pub use gate::{Gate, Verdict, Waiter};
 pub use link::{link_part, Decider, LinkBudget};
 pub use quota::{Demand, Quota, FLOOR_MILLI};
-pub use repeats::{RepeatBudget, RepeatTerms};
+pub use repeats::{RetryBudget, RetryTerms};
 pub use send_account::{SendAccounts, SendTerms, MOST_ACCOUNTS};
 pub use send_rate::SendRate;
 pub use shared_quota::{Limit, QuotaState, SharedQuota};
--- a/components/limits/src/repeats.rs
+++ b/components/limits/src/repeats.rs
@@ -13,7 +13,7 @@
 
 /// What is allowed over all gateways.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct RepeatTerms {
+pub struct RetryTerms {
     /// Repeats for each request.
     pub ratio: f64,
     /// Repeats beside those.
@@ -31,27 +31,27 @@
 
 /// The budget of one service at one gateway.
 #[derive(Debug)]
-pub struct RepeatBudget {
-    terms: RepeatTerms,
+pub struct RetryBudget {
+    terms: RetryTerms,
     slices: VecDeque<Slice>,
 }
 
-impl RepeatBudget {
+impl RetryBudget {
     /// A budget in which nothing was counted yet.
-    pub fn new(terms: RepeatTerms) -> Self {
-        RepeatBudget {
+    pub fn new(terms: RetryTerms) -> Self {
+        RetryBudget {
             terms,
             slices: VecDeque::new(),
         }
     }
 
     /// Counts a request.
-    pub fn request(&mut self, now: Duration) {
+    pub fn record_request(&mut self, now: Duration) {
         self.slice(now).requests += 1;
     }
 
     /// Takes one repeat, if this gateway's part of the budget has one left.
-    pub fn spend(&mut self, now: Duration, gateways: usize) -> bool {
+    pub fn try_spend(&mut self, now: Duration, gateways: usize) -> bool {
         self.slice(now);
         let requests: u64 = self.slices.iter().map(|s| s.requests).sum();
         let repeats: u64 = self.slices.iter().map(|s| s.repeats).sum();
--- a/components/limits/tests/fleet.rs
+++ b/components/limits/tests/fleet.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use limits::{Limit, RepeatBudget, RepeatTerms, SharedQuota};
+use limits::{Limit, RetryBudget, RetryTerms, SharedQuota};
 use quickcheck::quickcheck;
 
 const LIMIT: Limit = Limit {
@@ -77,17 +77,17 @@
 
 quickcheck! {
     fn repeats_stay_within_the_budget_in_every_window(calls: Vec<(u8, bool)>) -> bool {
-        let terms = RepeatTerms { ratio: 0.2, extra: 16.0, window: Duration::from_secs(10) };
+        let terms = RetryTerms { ratio: 0.2, extra: 16.0, window: Duration::from_secs(10) };
         let gateways = 4;
-        let mut budget = RepeatBudget::new(terms);
+        let mut budget = RetryBudget::new(terms);
         let mut now = Duration::ZERO;
         let mut log: Vec<(Duration, bool)> = Vec::new();
         for (pause, repeat) in calls {
             now += ms(u64::from(pause) * 4);
             if !repeat {
-                budget.request(now);
+                budget.record_request(now);
                 log.push((now, false));
-            } else if budget.spend(now, gateways) {
+            } else if budget.try_spend(now, gateways) {
                 log.push((now, true));
             }
         }
