--- a/components/limits/src/gate.rs
+++ b/components/limits/src/gate.rs
@@ -23,10 +23,10 @@
 
 /// Answer to a request for admission.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Verdict {
+pub enum AdmissionDecision {
     /// Run now.
     Run,
-    /// Wait; [`Gate::release`] names the waiter when its time has come.
+    /// Wait; [`AdmissionQueue::admit_next`] names the waiter when its time has come.
     Wait,
     /// Shed; come back after this time.
     Shed(Duration),
@@ -45,17 +45,17 @@
 
 /// The gate of one pool at one node.
 #[derive(Debug, Default)]
-pub struct Gate {
+pub struct AdmissionQueue {
     waiting: BTreeSet<Waiter>,
 }
 
-impl Gate {
+impl AdmissionQueue {
     /// Asks for admission at a pool utilization given in thousandths.
-    pub fn enter(&mut self, waiter: Waiter, utilization_milli: u64) -> Verdict {
+    pub fn admit(&mut self, waiter: Waiter, utilization_milli: u64) -> AdmissionDecision {
         let class = class_of(waiter.priority);
         let behind = self.waiting.iter().any(|w| w.priority <= waiter.priority);
         if utilization_milli < WAIT_FROM_MILLI[class] && !behind {
-            return Verdict::Run;
+            return AdmissionDecision::Run;
         }
         let queued = self
             .waiting
@@ -63,14 +63,14 @@
             .filter(|w| w.priority == waiter.priority)
             .count();
         if utilization_milli >= SHED_FROM_MILLI[class] || queued >= MAX_WAITING[class] {
-            return Verdict::Shed(RETRY_AFTER[class]);
+            return AdmissionDecision::Shed(RETRY_AFTER[class]);
         }
         self.waiting.insert(waiter);
-        Verdict::Wait
+        AdmissionDecision::Wait
     }
 
     /// The next waiter that may run at this utilization, the most urgent first.
-    pub fn release(&mut self, utilization_milli: u64) -> Option<Waiter> {
+    pub fn admit_next(&mut self, utilization_milli: u64) -> Option<Waiter> {
         let first = *self.waiting.first()?;
         if utilization_milli >= WAIT_FROM_MILLI[class_of(first.priority)] {
             return None;
@@ -80,13 +80,13 @@
     }
 
     /// Takes out a waiter that is gone: it must not hold up those behind it.
-    pub fn leave(&mut self, id: u64) {
+    pub fn remove(&mut self, id: u64) {
         self.waiting.retain(|w| w.id != id);
     }
 
     /// Which of the running requests, given as `(class, id, started)`, should yield its slot:
     /// the batch request started last, if a request above batch waits.
-    pub fn to_yield(
+    pub fn preemption_victim(
         &self,
         running: &[(Priority, u64, Duration)],
         utilization_milli: u64,
@@ -107,7 +107,7 @@
     }
 
     /// Requests that wait.
-    pub fn waiting(&self) -> usize {
+    pub fn queue_depth(&self) -> usize {
         self.waiting.len()
     }
 }
--- a/components/limits/src/lib.rs
+++ b/components/limits/src/lib.rs
@@ -15,7 +15,7 @@
 
 pub use bucket::TokenBucket;
 pub use budget::AttemptBudget;
-pub use gate::{Gate, Verdict, Waiter};
+pub use gate::{AdmissionDecision, AdmissionQueue, Waiter};
 pub use link::{link_part, Decider, LinkBudget};
 pub use quota::{Demand, Quota, FLOOR_MILLI};
 pub use repeats::{RetryBudget, RetryTerms};
--- a/components/limits/tests/promises.rs
+++ b/components/limits/tests/promises.rs
@@ -2,7 +2,9 @@
 
 use std::time::Duration;
 
-use limits::{Demand, Gate, Limits, Quota, Refused, TeamMeter, Verdict, Waiter};
+use limits::{
+    AdmissionDecision, AdmissionQueue, Demand, Limits, Quota, Refused, TeamMeter, Waiter,
+};
 use quickcheck::{Gen, QuickCheck, Testable};
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
@@ -131,8 +133,8 @@
             deadline: Duration::from_secs(seed % 9 + 1),
             id,
         };
-        let verdict = |p| Gate::default().enter(waiter(p, 1), load);
-        let runs = |p| verdict(p) == Verdict::Run;
+        let verdict = |p| AdmissionQueue::default().admit(waiter(p, 1), load);
+        let runs = |p| verdict(p) == AdmissionDecision::Run;
         let order = [Priority::INTERACTIVE, Priority::STANDARD, Priority::BATCH];
         order.windows(2).all(|w| runs(w[0]) || !runs(w[1]))
     }
@@ -141,26 +143,26 @@
 
 #[test]
 fn waiters_are_released_by_class_then_deadline() {
-    let mut gate = Gate::default();
+    let mut gate = AdmissionQueue::default();
     let waiter = |priority, secs, id| Waiter {
         priority,
         deadline: Duration::from_secs(secs),
         id,
     };
     assert_eq!(
-        gate.enter(waiter(Priority::BATCH, 1, 1), 1100),
-        Verdict::Wait
+        gate.admit(waiter(Priority::BATCH, 1, 1), 1100),
+        AdmissionDecision::Wait
     );
     assert_eq!(
-        gate.enter(waiter(Priority::STANDARD, 9, 2), 1100),
-        Verdict::Wait
+        gate.admit(waiter(Priority::STANDARD, 9, 2), 1100),
+        AdmissionDecision::Wait
     );
     assert_eq!(
-        gate.enter(waiter(Priority::STANDARD, 5, 3), 1100),
-        Verdict::Wait
+        gate.admit(waiter(Priority::STANDARD, 5, 3), 1100),
+        AdmissionDecision::Wait
     );
-    assert_eq!(gate.release(1100), None);
-    let order: Vec<u64> = std::iter::from_fn(|| gate.release(0))
+    assert_eq!(gate.admit_next(1100), None);
+    let order: Vec<u64> = std::iter::from_fn(|| gate.admit_next(0))
         .map(|w| w.id)
         .collect();
     assert_eq!(order, [3, 2, 1]);
@@ -168,48 +170,48 @@
 
 #[test]
 fn a_queue_that_is_full_sheds_at_once() {
-    let mut gate = Gate::default();
+    let mut gate = AdmissionQueue::default();
     let waiter = |id| Waiter {
         priority: Priority::BATCH,
         deadline: Duration::from_secs(9),
         id,
     };
-    let verdicts: Vec<Verdict> = (0..65).map(|id| gate.enter(waiter(id), 1000)).collect();
-    assert_eq!(verdicts[63], Verdict::Wait);
-    assert!(matches!(verdicts[64], Verdict::Shed(after) if after > Duration::ZERO));
+    let verdicts: Vec<AdmissionDecision> = (0..65).map(|id| gate.admit(waiter(id), 1000)).collect();
+    assert_eq!(verdicts[63], AdmissionDecision::Wait);
+    assert!(matches!(verdicts[64], AdmissionDecision::Shed(after) if after > Duration::ZERO));
 }
 
 #[test]
 fn the_youngest_batch_request_yields_to_a_waiting_one() {
-    let mut gate = Gate::default();
+    let mut gate = AdmissionQueue::default();
     let waiter = Waiter {
         priority: Priority::STANDARD,
         deadline: Duration::from_secs(9),
         id: 9,
     };
-    gate.enter(waiter, 1000);
+    gate.admit(waiter, 1000);
     let running = [
         (Priority::BATCH, 1, Duration::from_secs(1)),
         (Priority::BATCH, 2, Duration::from_secs(2)),
         (Priority::INTERACTIVE, 3, Duration::from_secs(3)),
     ];
-    assert_eq!(gate.to_yield(&running, 1000), Some(2));
-    assert_eq!(gate.to_yield(&running, 500), None);
+    assert_eq!(gate.preemption_victim(&running, 1000), Some(2));
+    assert_eq!(gate.preemption_victim(&running, 500), None);
 }
 
 #[test]
 fn a_waiter_that_is_gone_holds_up_nobody() {
-    let mut gate = Gate::default();
+    let mut gate = AdmissionQueue::default();
     let waiter = |id| Waiter {
         priority: Priority::STANDARD,
         deadline: Duration::from_secs(9),
         id,
     };
-    assert_eq!(gate.enter(waiter(1), 1000), Verdict::Wait);
-    assert_eq!(gate.enter(waiter(2), 500), Verdict::Wait);
-    gate.leave(1);
-    gate.leave(2);
-    assert_eq!(gate.enter(waiter(3), 500), Verdict::Run);
+    assert_eq!(gate.admit(waiter(1), 1000), AdmissionDecision::Wait);
+    assert_eq!(gate.admit(waiter(2), 500), AdmissionDecision::Wait);
+    gate.remove(1);
+    gate.remove(2);
+    assert_eq!(gate.admit(waiter(3), 500), AdmissionDecision::Run);
 }
 
 #[test]
--- a/components/node/src/admission.rs
+++ b/components/node/src/admission.rs
@@ -6,7 +6,7 @@
 
 use errors::{Kind, Problem};
 use flume::{Receiver, RecvTimeoutError, Sender};
-use limits::{Verdict, Waiter};
+use limits::{AdmissionDecision, Waiter};
 use telemetry::Counter;
 
 use crate::attempt::RunEvent;
@@ -79,9 +79,9 @@
     };
     let verdict = shared.traffic().enter(now, pool, waiter, sender);
     match verdict {
-        Verdict::Run => {}
-        Verdict::Wait => wait(shared, call, receiver)?,
-        Verdict::Shed(after) => return Err(shed(shared, call, after)),
+        AdmissionDecision::Run => {}
+        AdmissionDecision::Wait => wait(shared, call, receiver)?,
+        AdmissionDecision::Shed(after) => return Err(shed(shared, call, after)),
     }
     admission.spent_milli.set(None);
     shared.metrics.count(Counter::Accepted);
--- a/components/node/src/chat_run/dispatch.rs
+++ b/components/node/src/chat_run/dispatch.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use fleet::Move;
-use limits::{Verdict, Waiter};
+use limits::{AdmissionDecision, Waiter};
 use routing::{Ask, Decision};
 use schema::settings::Priority;
 use session::{Cause, Event};
@@ -64,7 +64,7 @@
             .shared
             .traffic()
             .enter(now, &self.pool.name, waiter, &self.sender);
-        self.yielding = verdict == Verdict::Wait;
+        self.yielding = verdict == AdmissionDecision::Wait;
         self.yielding
     }
 
--- a/components/node/src/traffic.rs
+++ b/components/node/src/traffic.rs
@@ -6,7 +6,9 @@
 use std::time::Duration;
 
 use flume::Sender;
-use limits::{AttemptBudget, Gate, Limits, Refused, TeamMeter, Verdict, Waiter};
+use limits::{
+    AdmissionDecision, AdmissionQueue, AttemptBudget, Limits, Refused, TeamMeter, Waiter,
+};
 use rand::SeedableRng;
 use rand_chacha::ChaCha8Rng;
 use routing::{Ask, Decision, Router};
@@ -58,7 +60,7 @@
 pub struct Traffic {
     pub router: Router,
     pub live: HashMap<u64, Live>,
-    gates: BTreeMap<String, Gate>,
+    gates: BTreeMap<String, AdmissionQueue>,
     meters: BTreeMap<String, TeamMeter>,
     parts_milli: BTreeMap<String, u64>,
     waiting: HashMap<u64, Sender<RunEvent>>,
@@ -172,11 +174,11 @@
         pool: &str,
         waiter: Waiter,
         events: &Sender<RunEvent>,
-    ) -> Verdict {
+    ) -> AdmissionDecision {
         let utilization = self.router.utilization_milli(now, pool);
         let gate = self.gates.entry(pool.to_string()).or_default();
-        let verdict = gate.enter(waiter, utilization);
-        if verdict == Verdict::Wait {
+        let verdict = gate.admit(waiter, utilization);
+        if verdict == AdmissionDecision::Wait {
             self.waiting.insert(waiter.id, events.clone());
             self.ask_to_yield(pool, utilization);
         }
@@ -187,7 +189,7 @@
     pub fn forget(&mut self, id: u64) {
         self.live.remove(&id);
         if self.waiting.remove(&id).is_some() {
-            self.gates.values_mut().for_each(|gate| gate.leave(id));
+            self.gates.values_mut().for_each(|gate| gate.remove(id));
         }
     }
 
@@ -205,7 +207,7 @@
             return;
         };
         // One at a time: the utilization changes only once the released request is sent.
-        if let Some(waiter) = gate.release(utilization) {
+        if let Some(waiter) = gate.admit_next(utilization) {
             if let Some(events) = self.waiting.remove(&waiter.id) {
                 let _ = events.send(RunEvent::Admitted);
             }
@@ -221,7 +223,7 @@
             .map(|(id, l)| (l.priority, *id, l.started))
             .collect();
         let gate = self.gates.get(pool);
-        let yielding = gate.and_then(|g| g.to_yield(&running, utilization));
+        let yielding = gate.and_then(|g| g.preemption_victim(&running, utilization));
         if let Some(live) = yielding.and_then(|id| self.live.get(&id)) {
             let _ = live.events.send(RunEvent::Yield {
                 attempt: live.attempt,
--- a/components/replay/src/node.rs
+++ b/components/replay/src/node.rs
@@ -3,7 +3,7 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-use limits::{AttemptBudget, Gate};
+use limits::{AdmissionQueue, AttemptBudget};
 use routing::{Policy, Rates, Router};
 use schema::settings::Endpoint;
 
@@ -19,7 +19,7 @@
     /// Its routing.
     pub router: Router,
     /// The gate of each pool.
-    pub gates: BTreeMap<String, Gate>,
+    pub gates: BTreeMap<String, AdmissionQueue>,
     /// Its budget of retries.
     pub retries: AttemptBudget,
     /// Its budget of hedges.
@@ -47,7 +47,7 @@
     }
 
     /// Utilization of a pool and its gate.
-    pub fn gate(&mut self, now: Duration, pool: &str) -> (u64, &mut Gate) {
+    pub fn gate(&mut self, now: Duration, pool: &str) -> (u64, &mut AdmissionQueue) {
         let utilization = self.router.utilization_milli(now, pool);
         (utilization, self.gates.entry(pool.to_string()).or_default())
     }
--- a/components/replay/src/world.rs
+++ b/components/replay/src/world.rs
@@ -8,7 +8,7 @@
 use std::time::Duration;
 
 use fleet::MoveRates;
-use limits::{Verdict, Waiter};
+use limits::{AdmissionDecision, Waiter};
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 use routing::{Policy, Reading};
@@ -310,10 +310,10 @@
         let waiter = self.waiter(id);
         let pool = self.requests[id].line.pool.clone();
         let (utilization, gate) = self.nodes[node].gate(self.now, &pool);
-        match gate.enter(waiter, utilization) {
-            Verdict::Run => self.start(id),
-            Verdict::Wait => self.make_room(node, &pool),
-            Verdict::Shed(_) => {
+        match gate.admit(waiter, utilization) {
+            AdmissionDecision::Run => self.start(id),
+            AdmissionDecision::Wait => self.make_room(node, &pool),
+            AdmissionDecision::Shed(_) => {
                 self.requests[id].outcome = Some(Outcome::Refused(Reason::NoEndpoint));
             }
         }
@@ -345,7 +345,7 @@
             .map(|(id, r)| (Priority(r.line.class), id as u64, r.arrived()))
             .collect();
         let (utilization, gate) = self.nodes[node].gate(self.now, pool);
-        let Some(id) = gate.to_yield(&running, utilization) else {
+        let Some(id) = gate.preemption_victim(&running, utilization) else {
             return;
         };
         let id = id as usize;
@@ -359,7 +359,7 @@
     fn leave_gate(&mut self, id: usize) {
         let (node, pool) = (self.requests[id].node, self.requests[id].line.pool.clone());
         let (_, gate) = self.nodes[node].gate(self.now, &pool);
-        gate.leave(id as u64);
+        gate.remove(id as u64);
     }
 
     fn release(&mut self, node: usize) {
@@ -367,7 +367,7 @@
         for pool in pools {
             loop {
                 let (utilization, gate) = self.nodes[node].gate(self.now, &pool);
-                let Some(waiter) = gate.release(utilization) else {
+                let Some(waiter) = gate.admit_next(utilization) else {
                     break;
                 };
                 if self.requests[waiter.id as usize].outcome.is_none() {
