--- a/components/limits/src/team.rs
+++ b/components/limits/src/team.rs
@@ -23,7 +23,7 @@
 
 /// Which limit refused a request, and when to come back.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Refused {
+pub enum LimitExceeded {
     /// The rate.
     Rate(Duration),
     /// The concurrency.
@@ -32,20 +32,20 @@
     Budget(Duration),
 }
 
-impl Refused {
+impl LimitExceeded {
     /// When to come back.
     pub fn retry_after(self) -> Duration {
         match self {
-            Refused::Rate(d) | Refused::Concurrency(d) | Refused::Budget(d) => d,
+            LimitExceeded::Rate(d) | LimitExceeded::Concurrency(d) | LimitExceeded::Budget(d) => d,
         }
     }
 
     /// Name of the limit.
-    pub fn limit(self) -> &'static str {
+    pub fn limit_name(self) -> &'static str {
         match self {
-            Refused::Rate(_) => "rate",
-            Refused::Concurrency(_) => "concurrency",
-            Refused::Budget(_) => "budget",
+            LimitExceeded::Rate(_) => "rate",
+            LimitExceeded::Concurrency(_) => "concurrency",
+            LimitExceeded::Budget(_) => "budget",
         }
     }
 }
@@ -83,15 +83,15 @@
     }
 
     /// Admits a request that will cost about `cost_milli`, or says which limit refuses it.
-    pub fn admit(&mut self, now: Duration, cost_milli: u64) -> Result<(), Refused> {
+    pub fn admit(&mut self, now: Duration, cost_milli: u64) -> Result<(), LimitExceeded> {
         self.asked += 1;
         if self.running >= self.limits.concurrency.max(1) {
-            return Err(Refused::Concurrency(CONCURRENCY_RETRY));
+            return Err(LimitExceeded::Concurrency(CONCURRENCY_RETRY));
         }
-        self.rate.take(now, 1).map_err(Refused::Rate)?;
+        self.rate.take(now, 1).map_err(LimitExceeded::Rate)?;
         self.spending
             .take(now, cost_milli)
-            .map_err(Refused::Budget)?;
+            .map_err(LimitExceeded::Budget)?;
         self.running += 1;
         Ok(())
     }
--- a/components/limits/tests/promises.rs
+++ b/components/limits/tests/promises.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use limits::{
-    AdmissionDecision, AdmissionQueue, Demand, Limits, Quota, Refused, TeamMeter, Waiter,
+    AdmissionDecision, AdmissionQueue, Demand, LimitExceeded, Limits, Quota, TeamMeter, Waiter,
 };
 use quickcheck::{Gen, QuickCheck, Testable};
 use rand::{RngExt, SeedableRng};
@@ -226,12 +226,12 @@
     assert_eq!(meter.admit(Duration::ZERO, 40), Ok(()));
     assert!(matches!(
         meter.admit(Duration::ZERO, 40),
-        Err(Refused::Budget(_))
+        Err(LimitExceeded::Budget(_))
     ));
     meter.release(Duration::ZERO, 30);
     assert_eq!(meter.admit(Duration::ZERO, 40), Ok(()));
     assert!(matches!(
         meter.admit(Duration::ZERO, 40),
-        Err(Refused::Budget(_))
+        Err(LimitExceeded::Budget(_))
     ));
 }
--- a/components/node/src/admission.rs
+++ b/components/node/src/admission.rs
@@ -57,7 +57,7 @@
         .admit(now, &call.team.name, cost_milli)
         .err();
     if let Some(refused) = refused {
-        let limit = refused.limit();
+        let limit = refused.limit_name();
         record(shared, call, "admit", "refused", format!("team {limit}"));
         let message = format!("team {} is at its limit of {limit}", call.team.name);
         return Err(Problem::not_run(Kind::TeamLimit, message)
--- a/components/node/src/traffic.rs
+++ b/components/node/src/traffic.rs
@@ -7,7 +7,7 @@
 
 use flume::Sender;
 use limits::{
-    AdmissionDecision, AdmissionQueue, AttemptBudget, Limits, Refused, TeamMeter, Waiter,
+    AdmissionDecision, AdmissionQueue, AttemptBudget, LimitExceeded, Limits, TeamMeter, Waiter,
 };
 use rand::SeedableRng;
 use rand_chacha::ChaCha8Rng;
@@ -145,7 +145,12 @@
     }
 
     /// Admits a request by its team's limits.
-    pub fn admit(&mut self, now: Duration, team: &str, cost_milli: u64) -> Result<(), Refused> {
+    pub fn admit(
+        &mut self,
+        now: Duration,
+        team: &str,
+        cost_milli: u64,
+    ) -> Result<(), LimitExceeded> {
         match self.meters.get_mut(team) {
             Some(meter) => meter.admit(now, cost_milli),
             None => Ok(()),
