--- a/components/limits/src/lib.rs
+++ b/components/limits/src/lib.rs
@@ -22,4 +22,4 @@
 pub use send_account::{SendAccounts, SendTerms, MOST_ACCOUNTS};
 pub use send_rate::SendRate;
 pub use shared_quota::{Limit, QuotaState, SharedQuota};
-pub use team::{LimitExceeded, Limits, TeamMeter};
+pub use team::{LimitExceeded, TeamLimits, TeamMeter};
--- a/components/limits/src/team.rs
+++ b/components/limits/src/team.rs
@@ -12,7 +12,7 @@
 
 /// A node's part of a team's limits.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Limits {
+pub struct TeamLimits {
     /// Requests a second, in thousandths.
     pub rate_milli: u64,
     /// Requests at once.
@@ -53,7 +53,7 @@
 /// What a team uses at one node.
 #[derive(Clone, Debug)]
 pub struct TeamMeter {
-    limits: Limits,
+    limits: TeamLimits,
     rate: TokenBucket,
     spending: TokenBucket,
     running: u64,
@@ -62,7 +62,7 @@
 
 impl TeamMeter {
     /// A meter with full buckets.
-    pub fn new(now: Duration, limits: Limits) -> Self {
+    pub fn new(now: Duration, limits: TeamLimits) -> Self {
         TeamMeter {
             limits,
             rate: TokenBucket::new(now, limits.rate_milli),
@@ -73,7 +73,7 @@
     }
 
     /// Sets this node's part of the limits.
-    pub fn set_limits(&mut self, now: Duration, limits: Limits) {
+    pub fn set_limits(&mut self, now: Duration, limits: TeamLimits) {
         if limits == self.limits {
             return;
         }
@@ -103,7 +103,7 @@
     }
 
     /// Requests asked for since the last call, admitted or not: the demand reported to other nodes.
-    pub fn take_asked(&mut self) -> u64 {
+    pub fn take_demand(&mut self) -> u64 {
         std::mem::take(&mut self.asked)
     }
 
@@ -114,6 +114,6 @@
 }
 
 // Thousandths of a thousandth of the currency unit a second.
-fn spending_rate(limits: Limits) -> u64 {
+fn spending_rate(limits: TeamLimits) -> u64 {
     limits.budget_milli * 1000 / SECONDS_AN_HOUR
 }
--- a/components/limits/tests/promises.rs
+++ b/components/limits/tests/promises.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use limits::{
-    AdmissionDecision, AdmissionQueue, Demand, LimitExceeded, Limits, Quota, TeamMeter, Waiter,
+    AdmissionDecision, AdmissionQueue, Demand, LimitExceeded, Quota, TeamLimits, TeamMeter, Waiter,
 };
 use quickcheck::{Gen, QuickCheck, Testable};
 use rand::{RngExt, SeedableRng};
@@ -216,7 +216,7 @@
 
 #[test]
 fn a_team_pays_for_what_it_got_and_not_for_what_it_might_have() {
-    let limits = Limits {
+    let limits = TeamLimits {
         rate_milli: 100_000,
         concurrency: 10,
         // Sixty seconds' worth at once: 60 thousandths.
--- a/components/node/src/traffic.rs
+++ b/components/node/src/traffic.rs
@@ -7,7 +7,7 @@
 
 use flume::Sender;
 use limits::{
-    AdmissionDecision, AdmissionQueue, AttemptBudget, LimitExceeded, Limits, TeamMeter, Waiter,
+    AdmissionDecision, AdmissionQueue, AttemptBudget, LimitExceeded, TeamLimits, TeamMeter, Waiter,
 };
 use rand::SeedableRng;
 use rand_chacha::ChaCha8Rng;
@@ -112,13 +112,13 @@
         }
     }
 
-    fn limits_of(&self, team: &Team) -> Limits {
+    fn limits_of(&self, team: &Team) -> TeamLimits {
         let part = self
             .parts_milli
             .get(&team.name)
             .copied()
             .unwrap_or(WHOLE_MILLI);
-        Limits {
+        TeamLimits {
             rate_milli: team.rate as u64 * part,
             concurrency: (team.concurrency as u64 * part).div_ceil(WHOLE_MILLI),
             budget_milli: team.budget_milli as u64 * part / WHOLE_MILLI,
@@ -168,7 +168,7 @@
     pub fn take_demand(&mut self) -> BTreeMap<String, u64> {
         let meters = self.meters.iter_mut();
         meters
-            .map(|(team, meter)| (team.clone(), meter.take_asked()))
+            .map(|(team, meter)| (team.clone(), meter.take_demand()))
             .collect()
     }
 
