--- a/components/gateway/src/state.rs
+++ b/components/gateway/src/state.rs
@@ -6,7 +6,7 @@
 use std::time::Duration;
 
 use directory::{Configuration, Directory, Tenant};
-use limits::{Limit, RetryBudget, RetryTerms, SendAccounts, SharedQuota};
+use limits::{RateLimit, RetryBudget, RetryTerms, SendAccounts, SharedQuota};
 use memory::Ledger;
 use quarantine::Quarantine;
 use rand::{RngExt, SeedableRng};
@@ -156,14 +156,14 @@
     }
 
     // A part of what may be taken beyond the limit evens out the age of the others' gossip.
-    fn limit_of(&self, team: &Tenant) -> Option<Limit> {
+    fn limit_of(&self, team: &Tenant) -> Option<RateLimit> {
         const SLACK_PART: f64 = 0.25;
         let quota = team.quota?;
         let slack = match quota.plain_cost {
             Some(_) => self.settings.quota_slack as f64 * SLACK_PART,
             None => 0.0,
         };
-        Some(Limit {
+        Some(RateLimit {
             rate: quota.rate,
             burst: quota.burst + slack,
         })
--- a/components/gateway/src/traffic.rs
+++ b/components/gateway/src/traffic.rs
@@ -221,7 +221,7 @@
 
     /// Logs what a limit was refused by.
     pub fn log_limit(&self, now: Duration, id: &str, tenant: &str, cost: u64, quota: &QuotaState) {
-        let others_age = now.saturating_sub(quota.others_known_at);
+        let others_age = now.saturating_sub(quota.others_reported_at);
         info!(self.log, "over limit"; "id" => id, "tenant" => tenant,
             "cost" => cost, "level" => quota.level as i64, "part_milli" => (quota.part * 1000.0) as u64,
             "rate" => quota.limit.rate as u64, "burst" => quota.limit.burst as u64, "taken" => quota.taken,
--- a/components/limits/src/lib.rs
+++ b/components/limits/src/lib.rs
@@ -21,5 +21,5 @@
 pub use repeats::{RetryBudget, RetryTerms};
 pub use send_account::{SendAccounts, SendTerms, MOST_ACCOUNTS};
 pub use send_rate::SendRate;
-pub use shared_quota::{Limit, QuotaState, SharedQuota};
+pub use shared_quota::{QuotaState, RateLimit, SharedQuota};
 pub use team::{LimitExceeded, TeamLimits, TeamMeter};
--- a/components/limits/src/shared_quota.rs
+++ b/components/limits/src/shared_quota.rs
@@ -18,7 +18,7 @@
 
 /// A limit in units a second and units beyond the rate.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Limit {
+pub struct RateLimit {
     /// Units a second.
     pub rate: f64,
     /// Units beyond the rate.
@@ -29,7 +29,7 @@
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct QuotaState {
     /// The limit.
-    pub limit: Limit,
+    pub limit: RateLimit,
     /// Part of it used here, from 0 to 1.
     pub part: f64,
     /// Units in the bucket; below zero it owes some.
@@ -39,13 +39,13 @@
     /// Units that others took, as far as they reported.
     pub others_taken: u64,
     /// When others reported that last, zero if never.
-    pub others_known_at: Duration,
+    pub others_reported_at: Duration,
 }
 
 /// One tenant's bucket at one gateway.
 #[derive(Debug)]
 pub struct SharedQuota {
-    limit: Limit,
+    limit: RateLimit,
     // Part of the limit used here, from 0 to 1.
     part: f64,
     level: f64,
@@ -54,12 +54,12 @@
     taken: u64,
     // Totals of other processes, by gateway and incarnation.
     others: BTreeMap<(String, i64), u64>,
-    others_known_at: Duration,
+    others_reported_at: Duration,
 }
 
 impl SharedQuota {
     /// A bucket that is half full: what was taken before this process started is not known yet.
-    pub fn new(now: Duration, limit: Limit) -> Self {
+    pub fn new(now: Duration, limit: RateLimit) -> Self {
         SharedQuota {
             limit,
             part: 1.0,
@@ -67,12 +67,12 @@
             filled_at: now,
             taken: 0,
             others: BTreeMap::new(),
-            others_known_at: Duration::ZERO,
+            others_reported_at: Duration::ZERO,
         }
     }
 
     /// Sets the limit; what is in the bucket stays, up to the new size.
-    pub fn set_limit(&mut self, now: Duration, limit: Limit) {
+    pub fn set_limit(&mut self, now: Duration, limit: RateLimit) {
         self.fill(now);
         self.limit = limit;
         self.level = self.level.min(limit.burst);
@@ -123,7 +123,7 @@
         recent: bool,
     ) {
         self.fill(now);
-        self.others_known_at = now;
+        self.others_reported_at = now;
         let key = (gateway.to_string(), incarnation);
         let known = self.others.get(&key).copied();
         let before = known.unwrap_or(if recent { 0 } else { total });
@@ -140,7 +140,7 @@
             level: self.level,
             taken: self.taken,
             others_taken: self.others.values().sum(),
-            others_known_at: self.others_known_at,
+            others_reported_at: self.others_reported_at,
         }
     }
 
--- a/components/limits/tests/fleet.rs
+++ b/components/limits/tests/fleet.rs
@@ -2,10 +2,10 @@
 
 use std::time::Duration;
 
-use limits::{Limit, RetryBudget, RetryTerms, SharedQuota};
+use limits::{RateLimit, RetryBudget, RetryTerms, SharedQuota};
 use quickcheck::quickcheck;
 
-const LIMIT: Limit = Limit {
+const LIMIT: RateLimit = RateLimit {
     rate: 1000.0,
     burst: 1000.0,
 };
@@ -55,7 +55,7 @@
     let mut quota = SharedQuota::new(Duration::ZERO, LIMIT);
     quota.set_limit(
         ms(10_000),
-        Limit {
+        RateLimit {
             rate: 10.0,
             burst: 10.0,
         },
