--- a/components/control/src/shares.rs
+++ b/components/control/src/shares.rs
@@ -3,7 +3,7 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-use limits::{Demand, Quota};
+use limits::{PeerDemand, QuotaPart};
 use schema::messages::TeamDemand;
 
 /// Weight of the newest demand in its running mean, one part in this many.
@@ -30,8 +30,8 @@
 struct Share {
     limit_milli: u64,
     own_milli: u64,
-    in_cell: Quota,
-    of_cells: Quota,
+    in_cell: QuotaPart,
+    of_cells: QuotaPart,
     // Demand of the cell's other nodes, and when it was heard.
     nodes: BTreeMap<String, (u64, Duration)>,
     reported: u64,
@@ -68,8 +68,8 @@
                 .or_insert_with(|| Share {
                     limit_milli: team.rate_milli,
                     own_milli: 0,
-                    in_cell: Quota::new(now, nodes, RAISE_IN_CELL),
-                    of_cells: Quota::new(now, cells, RAISE_OF_CELLS),
+                    in_cell: QuotaPart::new(now, nodes, RAISE_IN_CELL),
+                    of_cells: QuotaPart::new(now, cells, RAISE_OF_CELLS),
                     nodes: BTreeMap::new(),
                     reported: WHOLE_MILLI,
                 });
@@ -90,10 +90,10 @@
         let Some(share) = self.shares.get_mut(&demand.team) else {
             return;
         };
-        let heard = Demand {
+        let heard = PeerDemand {
             round: demand.round.max(0) as u64,
             rate_milli: demand.rate_milli.max(0) as u64,
-            heard: now,
+            heard_at: now,
         };
         if demand.source == self.node || demand.source == self.cell {
             return;
@@ -112,7 +112,7 @@
     pub fn drop_member(&mut self, now: Duration, name: &str, nodes: u64) {
         for share in self.shares.values_mut() {
             share.nodes.remove(name);
-            share.in_cell.drop_peer(name, now, nodes);
+            share.in_cell.remove_peer(name, now, nodes);
         }
     }
 
@@ -131,8 +131,8 @@
                 .nodes
                 .retain(|_, (_, heard)| now.saturating_sub(*heard) < KEEP);
             let cell: u64 = share.own_milli + share.nodes.values().map(|(r, _)| r).sum::<u64>();
-            share.in_cell.set_own(share.own_milli);
-            share.of_cells.set_own(cell);
+            share.in_cell.set_own_demand(share.own_milli);
+            share.of_cells.set_own_demand(cell);
             own.push(reported(team, &self.node, share.own_milli, self.round));
             of_cell.push(reported(team, &self.cell, cell, self.round));
         }
--- a/components/limits/src/lib.rs
+++ b/components/limits/src/lib.rs
@@ -17,7 +17,7 @@
 pub use budget::AttemptBudget;
 pub use gate::{AdmissionDecision, AdmissionQueue, Waiter};
 pub use link::{link_part, Decider, LinkBudget};
-pub use quota::{Demand, Quota, FLOOR_MILLI};
+pub use quota::{PeerDemand, QuotaPart, MIN_EQUAL_PART_MILLI};
 pub use repeats::{RetryBudget, RetryTerms};
 pub use send_account::{SendAccounts, SendTerms, MOST_ACCOUNTS};
 pub use send_rate::SendRate;
--- a/components/limits/src/quota.rs
+++ b/components/limits/src/quota.rs
@@ -12,7 +12,7 @@
 use std::time::Duration;
 
 /// Least part of a limit that is shared equally, whatever the demand, in thousandths.
-pub const FLOOR_MILLI: u64 = 200;
+pub const MIN_EQUAL_PART_MILLI: u64 = 200;
 /// How long a peer must be silent before a report with a lower round is taken: another node may
 /// have taken over telling for it.
 const TAKEOVER_AFTER: Duration = Duration::from_secs(6);
@@ -23,32 +23,32 @@
 
 /// The demand of one peer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Demand {
+pub struct PeerDemand {
     /// Counter of the peer's reports; a higher one is newer.
     pub round: u64,
     /// Requests a second asked for, in thousandths.
     pub rate_milli: u64,
     /// When it was heard, on this node's clock.
-    pub heard: Duration,
+    pub heard_at: Duration,
 }
 
 /// One node's part of one team's limits, in thousandths of the whole.
 #[derive(Clone, Debug)]
-pub struct Quota {
+pub struct QuotaPart {
     own_milli: u64,
-    peers: BTreeMap<String, Demand>,
+    peers: BTreeMap<String, PeerDemand>,
     sizes: VecDeque<(Duration, u64)>,
     raise_after: Duration,
     part_milli: u64,
     raise: Option<(Duration, u64)>,
 }
 
-impl Quota {
+impl QuotaPart {
     /// A node that knows of `fleet` nodes, itself included: it starts with the equal share, which
     /// the others have to give up once they hear of it. `raise_after` is the time that gossip needs to reach everyone:
     /// a larger part must be justified for as long before it is taken.
     pub fn new(now: Duration, fleet: u64, raise_after: Duration) -> Self {
-        Quota {
+        QuotaPart {
             own_milli: 0,
             peers: BTreeMap::new(),
             sizes: VecDeque::from([(now, fleet.max(1))]),
@@ -59,14 +59,16 @@
     }
 
     /// Sets this node's own demand.
-    pub fn set_own(&mut self, rate_milli: u64) {
+    pub fn set_own_demand(&mut self, rate_milli: u64) {
         self.own_milli = rate_milli;
     }
 
     /// Takes the demand of a peer; old and doubled reports change nothing.
-    pub fn receive(&mut self, peer: &str, demand: Demand) {
+    pub fn receive(&mut self, peer: &str, demand: PeerDemand) {
         let known = self.peers.get(peer);
-        let newer = |k: &Demand| demand.round > k.round || demand.heard > k.heard + TAKEOVER_AFTER;
+        let newer = |k: &PeerDemand| {
+            demand.round > k.round || demand.heard_at > k.heard_at + TAKEOVER_AFTER
+        };
         if known.is_none_or(newer) {
             self.peers.insert(peer.to_string(), demand);
         }
@@ -74,7 +76,7 @@
 
     /// Drops a peer that said it leaves, or whose VM is gone for good: one node less runs, so the
     /// fleet is taken to have been one smaller all the time. `fleet` nodes are known to live.
-    pub fn drop_peer(&mut self, peer: &str, now: Duration, fleet: u64) {
+    pub fn remove_peer(&mut self, peer: &str, now: Duration, fleet: u64) {
         if self.peers.remove(peer).is_none() {
             return;
         }
@@ -108,8 +110,8 @@
     }
 
     fn justified(&self, now: Duration, fleet: u64, largest: u64, limit_milli: u64) -> u64 {
-        let heard = |d: &&Demand| now.saturating_sub(d.heard) < KEEP_SILENT;
-        let known: Vec<&Demand> = self.peers.values().filter(heard).collect();
+        let heard = |d: &&PeerDemand| now.saturating_sub(d.heard_at) < KEEP_SILENT;
+        let known: Vec<&PeerDemand> = self.peers.values().filter(heard).collect();
         let known_nodes = known.len() as u64 + 1;
         if known_nodes < fleet.min(largest) {
             // Too few are heard to know the demand: the equal share is safe.
@@ -119,7 +121,7 @@
         let whole = 1000 * known_nodes.min(largest) / largest;
         let total = self.own_milli + known.iter().map(|d| d.rate_milli).sum::<u64>();
         let used = (total * 1000 / (limit_milli * whole / 1000).max(1)).min(1000);
-        let equal = (1000 - used).max(FLOOR_MILLI);
+        let equal = (1000 - used).max(MIN_EQUAL_PART_MILLI);
         let by_demand = (whole * (1000 - equal) / 1000 * self.own_milli).checked_div(total);
         whole * equal / 1000 / known_nodes + by_demand.unwrap_or(0)
     }
--- a/components/limits/tests/promises.rs
+++ b/components/limits/tests/promises.rs
@@ -3,7 +3,8 @@
 use std::time::Duration;
 
 use limits::{
-    AdmissionDecision, AdmissionQueue, Demand, LimitExceeded, Quota, TeamLimits, TeamMeter, Waiter,
+    AdmissionDecision, AdmissionQueue, LimitExceeded, PeerDemand, QuotaPart, TeamLimits, TeamMeter,
+    Waiter,
 };
 use quickcheck::{Gen, QuickCheck, Testable};
 use rand::{RngExt, SeedableRng};
@@ -25,7 +26,7 @@
 }
 
 struct Fleet {
-    quotas: Vec<Quota>,
+    quotas: Vec<QuotaPart>,
     demand: Vec<u64>,
     rng: ChaCha8Rng,
     round: u64,
@@ -33,7 +34,7 @@
 
 impl Fleet {
     fn new(seed: u64, nodes: usize) -> Self {
-        let quota = || Quota::new(Duration::ZERO, nodes as u64, Duration::from_secs(4));
+        let quota = || QuotaPart::new(Duration::ZERO, nodes as u64, Duration::from_secs(4));
         Fleet {
             quotas: (0..nodes).map(|_| quota()).collect(),
             demand: vec![1000; nodes],
@@ -48,11 +49,11 @@
         let now = TICK * self.round as u32;
         let n = self.quotas.len();
         for from in 0..n {
-            self.quotas[from].set_own(self.demand[from]);
-            let demand = Demand {
+            self.quotas[from].set_own_demand(self.demand[from]);
+            let demand = PeerDemand {
                 round: self.round,
                 rate_milli: self.demand[from],
-                heard: now,
+                heard_at: now,
             };
             for to in 0..n {
                 let parted = cut.is_some_and(|c| (from < c) != (to < c));
