--- a/components/gateway/src/sends.rs
+++ b/components/gateway/src/sends.rs
@@ -7,7 +7,7 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-use limits::{SendRate, SendTerms, MOST_ACCOUNTS};
+use limits::{SendRate, SendTerms, MAX_SEND_ACCOUNTS};
 use lru::LruCache;
 use notices::LimitNotice;
 use routing::placement::Placement;
@@ -55,7 +55,7 @@
             Some(keeper) => keepers.put(start, keeper),
             None => keepers.pop(&start),
         };
-        if keepers.len() > MOST_ACCOUNTS {
+        if keepers.len() > MAX_SEND_ACCOUNTS {
             keepers.pop_lru();
         }
     }
--- a/components/limits/src/lib.rs
+++ b/components/limits/src/lib.rs
@@ -19,7 +19,7 @@
 pub use link::{link_part, Decider, LinkBudget};
 pub use quota::{PeerDemand, QuotaPart, MIN_EQUAL_PART_MILLI};
 pub use repeats::{RetryBudget, RetryTerms};
-pub use send_account::{SendAccounts, SendTerms, MOST_ACCOUNTS};
+pub use send_account::{SendAccounts, SendTerms, MAX_SEND_ACCOUNTS};
 pub use send_rate::SendRate;
 pub use shared_quota::{QuotaState, RateLimit, SharedQuota};
 pub use team::{LimitExceeded, TeamLimits, TeamMeter};
--- a/components/limits/src/send_account.rs
+++ b/components/limits/src/send_account.rs
@@ -7,7 +7,7 @@
 use crate::SendRate;
 
 /// Endpoints whose accounts are kept. One that gives way begins empty again.
-pub const MOST_ACCOUNTS: usize = 32_768;
+pub const MAX_SEND_ACCOUNTS: usize = 32_768;
 /// Sends that an account holds at most.
 const MOST_HELD: f64 = 3.0;
 /// What less urgent requests leave in an account for urgent ones.
@@ -96,7 +96,7 @@
             .accounts
             .get_or_insert_mut(start, || SendAccount::new(now));
         let granted = account.take(now, terms);
-        if self.accounts.len() > MOST_ACCOUNTS {
+        if self.accounts.len() > MAX_SEND_ACCOUNTS {
             self.accounts.pop_lru();
         }
         granted
