--- a/components/gateway/src/link_parts.rs
+++ b/components/gateway/src/link_parts.rs
@@ -2,7 +2,7 @@
 
 use std::collections::BTreeMap;
 
-use limits::{link_part, Decider};
+use limits::{link_part_bytes_per_s, Decider};
 use topology::Topology;
 
 use crate::peers::COORDINATORS;
@@ -26,7 +26,7 @@
             true => Decider::Coordinator(most_coordinators(topology, region)),
             false => Decider::Alone(gateways),
         };
-        link_part(kbit, decider)
+        link_part_bytes_per_s(kbit, decider)
     };
     others
         .map(|region| (region.to_string(), part(region)))
--- a/components/limits/src/lib.rs
+++ b/components/limits/src/lib.rs
@@ -16,7 +16,7 @@
 pub use bucket::TokenBucket;
 pub use budget::AttemptBudget;
 pub use gate::{AdmissionDecision, AdmissionQueue, Waiter};
-pub use link::{link_part, Decider, LinkBudget};
+pub use link::{link_part_bytes_per_s, Decider, LinkBudget};
 pub use quota::{PeerDemand, QuotaPart, MIN_EQUAL_PART_MILLI};
 pub use repeats::{RetryBudget, RetryTerms};
 pub use send_account::{SendAccounts, SendTerms, MAX_SEND_ACCOUNTS};
--- a/components/limits/src/link.rs
+++ b/components/limits/src/link.rs
@@ -27,7 +27,7 @@
 }
 
 /// Bytes a second of a decider's part of a link that carries `kbit` kilobits a second each way.
-pub fn link_part(kbit: u64, decider: Decider) -> f64 {
+pub fn link_part_bytes_per_s(kbit: u64, decider: Decider) -> f64 {
     let bytes = kbit as f64 * 125.0 * REQUESTS_PART;
     match decider {
         Decider::Coordinator(most) => bytes * (1.0 - ALONE_PART) / most.max(1) as f64,
@@ -76,7 +76,7 @@
 
     /// What a request of so many bytes must gain to pass while there is another place for it, in milliseconds: more
     /// for each byte the less is left, so that those of least bytes for their gain pass first.
-    pub fn least_gain_ms(&mut self, now: Duration, bytes: u64) -> f64 {
+    pub fn min_gain_ms(&mut self, now: Duration, bytes: u64) -> f64 {
         if !self.has_room(now, bytes) {
             return f64::INFINITY;
         }
@@ -91,7 +91,7 @@
     }
 
     /// Time until a request of so many bytes may pass.
-    pub fn wait(&mut self, now: Duration, bytes: u64) -> Duration {
+    pub fn time_until_room(&mut self, now: Duration, bytes: u64) -> Duration {
         self.fill(now);
         let lacking = (self.wanted(bytes) - self.level).max(0.0);
         Duration::from_secs_f64(lacking / self.rate)
--- a/components/limits/tests/link.rs
+++ b/components/limits/tests/link.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use limits::{link_part, Decider, LinkBudget};
+use limits::{link_part_bytes_per_s, Decider, LinkBudget};
 use quickcheck::quickcheck;
 
 /// Kilobits a second of the link in these tests.
@@ -18,8 +18,8 @@
     ) -> bool {
         let kbit = u64::from(kbit);
         let (coordinators, gateways) = (usize::from(coordinators) + 1, usize::from(gateways) + 1);
-        let deciding = link_part(kbit, Decider::Coordinator(coordinators)) * coordinators as f64;
-        let alone = link_part(kbit, Decider::Alone(gateways)) * gateways as f64;
+        let deciding = link_part_bytes_per_s(kbit, Decider::Coordinator(coordinators)) * coordinators as f64;
+        let alone = link_part_bytes_per_s(kbit, Decider::Alone(gateways)) * gateways as f64;
         let carried = kbit as f64 * 125.0;
         // Half of it stays for what must not wait behind requests.
         deciding + alone <= carried / 2.0 * (1.0 + 1e-9)
@@ -44,17 +44,17 @@
     fn a_request_of_more_bytes_must_gain_more(bytes: u16, more: u16, idle_ms: u16) -> bool {
         let now = ms(u64::from(idle_ms));
         let mut budget = LinkBudget::new(ms(0), 200_000.0);
-        let less = budget.least_gain_ms(now, u64::from(bytes));
-        budget.least_gain_ms(now, u64::from(bytes) + u64::from(more)) >= less
+        let less = budget.min_gain_ms(now, u64::from(bytes));
+        budget.min_gain_ms(now, u64::from(bytes) + u64::from(more)) >= less
     }
 }
 
 #[test]
 fn a_full_part_lets_small_requests_pass_for_little_gain() {
-    let mut budget = LinkBudget::new(ms(0), link_part(KBIT, Decider::Coordinator(18)));
+    let mut budget = LinkBudget::new(ms(0), link_part_bytes_per_s(KBIT, Decider::Coordinator(18)));
     let (small, large) = (1_500, 76_000);
-    let small_gain = budget.least_gain_ms(ms(2000), small);
-    let large_gain = budget.least_gain_ms(ms(2000), large);
+    let small_gain = budget.min_gain_ms(ms(2000), small);
+    let large_gain = budget.min_gain_ms(ms(2000), large);
     assert!(small_gain < 1.0, "{small_gain}");
     assert!((20.0..200.0).contains(&large_gain), "{large_gain}");
 }
@@ -62,22 +62,22 @@
 #[test]
 fn the_less_is_left_the_more_a_request_must_gain() {
     let mut budget = LinkBudget::new(ms(0), 100_000.0);
-    let mut before = budget.least_gain_ms(ms(2000), 5_000);
+    let mut before = budget.min_gain_ms(ms(2000), 5_000);
     for _ in 0..15 {
         budget.take(ms(2000), 6_000);
-        let now = budget.least_gain_ms(ms(2000), 5_000);
+        let now = budget.min_gain_ms(ms(2000), 5_000);
         assert!(now > before, "{now} {before}");
         before = now;
     }
     budget.take(ms(2000), 6_000);
-    assert!(budget.least_gain_ms(ms(2000), 5_000).is_infinite());
+    assert!(budget.min_gain_ms(ms(2000), 5_000).is_infinite());
 }
 
 #[test]
 fn the_time_until_there_is_room_is_true() {
     let mut budget = LinkBudget::new(ms(0), 100_000.0);
     budget.take(ms(2000), 100_000);
-    let wait = budget.wait(ms(2000), 30_000);
+    let wait = budget.time_until_room(ms(2000), 30_000);
     assert!(!budget.has_room(ms(2000) + wait - ms(1), 30_000));
     assert!(budget.has_room(ms(2000) + wait + ms(1), 30_000));
 }
--- a/components/routing/src/placement/departure.rs
+++ b/components/routing/src/placement/departure.rs
@@ -77,7 +77,7 @@
             return Departure::Leaves;
         };
         let allowed = match places.home_ms {
-            Some(_) => gain_ms >= part.least_gain_ms(now, places.bytes),
+            Some(_) => gain_ms >= part.min_gain_ms(now, places.bytes),
             None => part.has_room(now, places.bytes),
         };
         if !allowed {
@@ -93,7 +93,7 @@
     /// Time until the request decided last may leave; `None` if the link did not hold it back.
     pub fn wait(&mut self, now: Duration, bytes: u64) -> Option<Duration> {
         let part = self.parts.get_mut(self.blocked.as_ref()?)?;
-        Some(part.wait(now, bytes))
+        Some(part.time_until_room(now, bytes))
     }
 
     /// A request is decided of which nothing is known yet.
