--- a/components/gateway/src/contents.rs
+++ b/components/gateway/src/contents.rs
@@ -50,7 +50,7 @@
 
     /// A job ran to its end.
     pub fn note_whole(&self, job: &Job) {
-        let observation = Observation::Whole(job.content);
+        let observation = Observation::Completed(job.content);
         if self.take_observation(observation) {
             self.state.borrow_mut().tally.observations.push(observation);
         }
@@ -65,7 +65,7 @@
 
     fn take_observation(&self, observation: Observation) -> bool {
         let now = self.clock.now();
-        let (Observation::Ended { content, .. } | Observation::Whole(content)) = observation;
+        let (Observation::Ended { content, .. } | Observation::Completed(content)) = observation;
         self.change(now, content, |quarantine| quarantine.take(now, observation))
     }
 
--- a/components/gateway/src/control/quarantine.rs
+++ b/components/gateway/src/control/quarantine.rs
@@ -123,7 +123,7 @@
 
 impl Known {
     fn take_observation(&mut self, now: Duration, observation: Observation) -> Taken {
-        let (Observation::Ended { content, .. } | Observation::Whole(content)) = observation;
+        let (Observation::Ended { content, .. } | Observation::Completed(content)) = observation;
         let was_held = self.quarantine.held_for(now, content).is_some();
         let is_news = self.quarantine.take(now, observation);
         let is_held = self.quarantine.held_for(now, content).is_some();
@@ -147,7 +147,7 @@
         Observation::Ended { content, endpoint } => {
             ContentReport::new(content.0 as i64, Some(endpoint as i64))
         }
-        Observation::Whole(content) => ContentReport::new(content.0 as i64, None),
+        Observation::Completed(content) => ContentReport::new(content.0 as i64, None),
     }
 }
 
@@ -158,7 +158,7 @@
             content,
             endpoint: endpoint as u64,
         },
-        None => Observation::Whole(content),
+        None => Observation::Completed(content),
     }
 }
 
--- a/components/quarantine/src/quarantine.rs
+++ b/components/quarantine/src/quarantine.rs
@@ -41,7 +41,7 @@
         endpoint: u64,
     },
     /// It ran to its end.
-    Whole(Fingerprint),
+    Completed(Fingerprint),
 }
 
 /// A content that is held back.
@@ -92,7 +92,7 @@
     pub fn take(&mut self, now: Duration, observation: Observation) -> bool {
         match observation {
             Observation::Ended { content, endpoint } => self.note_end(now, content, endpoint),
-            Observation::Whole(content) => self.note_whole(now, content),
+            Observation::Completed(content) => self.note_whole(now, content),
         }
     }
 
--- a/components/quarantine/tests/promises.rs
+++ b/components/quarantine/tests/promises.rs
@@ -46,8 +46,11 @@
 #[test]
 fn a_whole_run_clears_a_content_and_speaks_for_it_for_a_while() {
     let mut quarantine = after_ends(&[1, 2]);
-    assert!(quarantine.take(NOW, Observation::Whole(DEADLY)));
-    assert!(!quarantine.take(NOW, Observation::Whole(DEADLY)), "no news");
+    assert!(quarantine.take(NOW, Observation::Completed(DEADLY)));
+    assert!(
+        !quarantine.take(NOW, Observation::Completed(DEADLY)),
+        "no news"
+    );
     for endpoint in 3..10 {
         quarantine.take(NOW, ended(DEADLY, endpoint));
     }
@@ -63,7 +66,7 @@
 fn a_content_that_was_under_way_elsewhere_and_ran_whole_is_let_go_everywhere() {
     let mut here = after_ends(&[1, 2, 3]);
     let mut there = after_ends(&[1, 2, 3]);
-    assert!(here.take(NOW, Observation::Whole(DEADLY)));
+    assert!(here.take(NOW, Observation::Completed(DEADLY)));
     assert!(!is_held(&here, NOW));
     for held in here.reported(NOW, 0, 8) {
         there.take_held(NOW, held);
