--- a/components/gateway/src/contents.rs
+++ b/components/gateway/src/contents.rs
@@ -18,7 +18,7 @@
         let now = self.clock.now();
         let left = {
             let state = self.state.borrow();
-            state.quarantine.held_for(now, job.content)?
+            state.quarantine.remaining_hold(now, job.content)?
         };
         let message = "the endpoints that ran this request ended";
         self.metrics.count(Counter::QuarantineRefused);
@@ -32,7 +32,7 @@
     pub fn may_go_on(&self, job: &Job) -> bool {
         let now = self.clock.now();
         let state = self.state.borrow();
-        state.quarantine.may_repeat(now, job.content)
+        state.quarantine.can_retry(now, job.content)
     }
 
     /// An endpoint ended while it ran a content.
@@ -66,7 +66,9 @@
     fn take_observation(&self, observation: Observation) -> bool {
         let now = self.clock.now();
         let (Observation::Ended { content, .. } | Observation::Completed(content)) = observation;
-        self.change(now, content, |quarantine| quarantine.take(now, observation))
+        self.change(now, content, |quarantine| {
+            quarantine.record(now, observation)
+        })
     }
 
     /// Takes what others hold back.
@@ -74,7 +76,7 @@
         let now = self.clock.now();
         for held in held {
             self.change(now, held.content, |quarantine| {
-                quarantine.take_held(now, *held)
+                quarantine.merge_held(now, *held)
             });
         }
     }
@@ -87,9 +89,9 @@
         change: impl FnOnce(&mut quarantine::Quarantine) -> bool,
     ) -> bool {
         let mut state = self.state.borrow_mut();
-        let before = state.quarantine.held_for(now, content);
+        let before = state.quarantine.remaining_hold(now, content);
         let changed = change(&mut state.quarantine);
-        let after = state.quarantine.held_for(now, content);
+        let after = state.quarantine.remaining_hold(now, content);
         match (before, after) {
             (None, Some(left)) => {
                 self.metrics.count(Counter::Quarantined);
--- a/components/gateway/src/control/kept.rs
+++ b/components/gateway/src/control/kept.rs
@@ -114,7 +114,7 @@
         let changed: Vec<Held> = held
             .iter()
             .copied()
-            .filter(|held| known.quarantine.take_held(now, *held))
+            .filter(|held| known.quarantine.merge_held(now, *held))
             .collect();
         drop(known);
         if !changed.is_empty() {
@@ -146,7 +146,7 @@
         let now = self.clock.now();
         let (held, store_now) = {
             let known = self.known.borrow();
-            let held: Vec<Held> = known.quarantine.all(now).collect();
+            let held: Vec<Held> = known.quarantine.all_held(now).collect();
             (held, known.store_clock.time_at(now))
         };
         let kept: BTreeMap<_, _> = held.iter().map(summary_of).collect();
--- a/components/gateway/src/control/quarantine.rs
+++ b/components/gateway/src/control/quarantine.rs
@@ -92,7 +92,7 @@
         }
         let held = gossip.held.iter().flatten().map(|held| received_held(held));
         let changed: Vec<Held> = held
-            .filter(|held| known.quarantine.take_held(now, *held))
+            .filter(|held| known.quarantine.merge_held(now, *held))
             .collect();
         drop(known);
         if is_urgent || !changed.is_empty() {
@@ -124,9 +124,9 @@
 impl Known {
     fn take_observation(&mut self, now: Duration, observation: Observation) -> Taken {
         let (Observation::Ended { content, .. } | Observation::Completed(content)) = observation;
-        let was_held = self.quarantine.held_for(now, content).is_some();
-        let is_news = self.quarantine.take(now, observation);
-        let is_held = self.quarantine.held_for(now, content).is_some();
+        let was_held = self.quarantine.remaining_hold(now, content).is_some();
+        let is_news = self.quarantine.record(now, observation);
+        let is_held = self.quarantine.remaining_hold(now, content).is_some();
         Taken {
             is_news,
             changes_hold: is_held != was_held,
@@ -136,7 +136,7 @@
     /// What is held back, as it is reported.
     pub fn held_to_send(&self, now: Duration) -> Option<Vec<HeldContent>> {
         let turn = self.sending.turn();
-        let held = self.quarantine.reported(now, turn, MOST_HELD);
+        let held = self.quarantine.held_to_report(now, turn, MOST_HELD);
         let reports = held.iter().map(held_report);
         (!held.is_empty()).then(|| reports.collect())
     }
--- a/components/quarantine/src/quarantine.rs
+++ b/components/quarantine/src/quarantine.rs
@@ -89,7 +89,7 @@
 
 impl Quarantine {
     /// Takes what this or another gateway saw. Returns whether it was news; what comes twice counts once.
-    pub fn take(&mut self, now: Duration, observation: Observation) -> bool {
+    pub fn record(&mut self, now: Duration, observation: Observation) -> bool {
         match observation {
             Observation::Ended { content, endpoint } => self.note_end(now, content, endpoint),
             Observation::Completed(content) => self.note_whole(now, content),
@@ -97,7 +97,7 @@
     }
 
     fn note_end(&mut self, now: Duration, content: Fingerprint, endpoint: u64) -> bool {
-        if self.whole.has(now, content) || self.held_for(now, content).is_some() {
+        if self.whole.has(now, content) || self.remaining_hold(now, content).is_some() {
             return false;
         }
         let suspect = self.suspects.get_or_insert_mut(content, Suspect::default);
@@ -157,8 +157,8 @@
     }
 
     /// Takes what another gateway holds back, or the store keeps. Returns whether it changed what is held back here.
-    pub fn take_held(&mut self, now: Duration, heard: Held) -> bool {
-        let was_held = self.held_for(now, heard.content).is_some();
+    pub fn merge_held(&mut self, now: Duration, heard: Held) -> bool {
+        let was_held = self.remaining_hold(now, heard.content).is_some();
         let left = heard.left.min(hold_time(heard.times));
         let until = now + left;
         let known = self.holds.get_mut(&heard.content);
@@ -176,7 +176,7 @@
                 self.make_room();
             }
         }
-        let is_held = self.held_for(now, heard.content).is_some();
+        let is_held = self.remaining_hold(now, heard.content).is_some();
         if is_held {
             self.suspects.pop(&heard.content);
         }
@@ -184,26 +184,26 @@
     }
 
     /// How much longer a content is held back, if it is.
-    pub fn held_for(&self, now: Duration, content: Fingerprint) -> Option<Duration> {
+    pub fn remaining_hold(&self, now: Duration, content: Fingerprint) -> Option<Duration> {
         let hold = self.holds.get(&content)?;
         let left = hold.until.saturating_sub(now);
         (!left.is_zero()).then_some(left)
     }
 
     /// Whether a request that was cut off may be sent on by the gateway itself.
-    pub fn may_repeat(&self, now: Duration, content: Fingerprint) -> bool {
+    pub fn can_retry(&self, now: Duration, content: Fingerprint) -> bool {
         let ended = self.suspects.peek(&content).map_or(0, |s| s.ended.len());
-        ended < ENDS_TO_STOP_REPEATS && self.held_for(now, content).is_none()
+        ended < ENDS_TO_STOP_REPEATS && self.remaining_hold(now, content).is_none()
     }
 
     /// Everything that is or was held back, as the store keeps it.
-    pub fn all(&self, now: Duration) -> impl Iterator<Item = Held> + '_ {
+    pub fn all_held(&self, now: Duration) -> impl Iterator<Item = Held> + '_ {
         let holds = self.holds.iter();
         holds.map(move |(content, hold)| held_of(now, *content, hold))
     }
 
     /// At most `most` of that for other gateways: what is new, and of the rest another part each `turn`.
-    pub fn reported(&self, now: Duration, turn: usize, most: usize) -> Vec<Held> {
+    pub fn held_to_report(&self, now: Duration, turn: usize, most: usize) -> Vec<Held> {
         let is_new = |hold: &Hold| now < hold.since + NEW_FOR;
         let new = self.holds.iter().filter(|(_, hold)| is_new(hold));
         let rest: Vec<_> = self.holds.iter().filter(|(_, h)| !is_new(h)).collect();
--- a/components/quarantine/tests/promises.rs
+++ b/components/quarantine/tests/promises.rs
@@ -16,13 +16,13 @@
 fn after_ends(endpoints: &[u64]) -> Quarantine {
     let mut quarantine = Quarantine::default();
     for endpoint in endpoints {
-        quarantine.take(NOW, ended(DEADLY, *endpoint));
+        quarantine.record(NOW, ended(DEADLY, *endpoint));
     }
     quarantine
 }
 
 fn is_held(quarantine: &Quarantine, now: Duration) -> bool {
-    quarantine.held_for(now, DEADLY).is_some()
+    quarantine.remaining_hold(now, DEADLY).is_some()
 }
 
 #[test]
@@ -38,26 +38,26 @@
 
 #[test]
 fn after_two_ends_a_gateway_sends_it_on_no_more() {
-    assert!(after_ends(&[1]).may_repeat(NOW, DEADLY));
-    assert!(!after_ends(&[1, 2]).may_repeat(NOW, DEADLY));
-    assert!(!after_ends(&[1, 2, 3]).may_repeat(NOW, DEADLY));
+    assert!(after_ends(&[1]).can_retry(NOW, DEADLY));
+    assert!(!after_ends(&[1, 2]).can_retry(NOW, DEADLY));
+    assert!(!after_ends(&[1, 2, 3]).can_retry(NOW, DEADLY));
 }
 
 #[test]
 fn a_whole_run_clears_a_content_and_speaks_for_it_for_a_while() {
     let mut quarantine = after_ends(&[1, 2]);
-    assert!(quarantine.take(NOW, Observation::Completed(DEADLY)));
+    assert!(quarantine.record(NOW, Observation::Completed(DEADLY)));
     assert!(
-        !quarantine.take(NOW, Observation::Completed(DEADLY)),
+        !quarantine.record(NOW, Observation::Completed(DEADLY)),
         "no news"
     );
     for endpoint in 3..10 {
-        quarantine.take(NOW, ended(DEADLY, endpoint));
+        quarantine.record(NOW, ended(DEADLY, endpoint));
     }
     assert!(!is_held(&quarantine, NOW));
     let later = NOW + HOUR;
     for endpoint in 10..13 {
-        quarantine.take(later, ended(DEADLY, endpoint));
+        quarantine.record(later, ended(DEADLY, endpoint));
     }
     assert!(is_held(&quarantine, later));
 }
@@ -66,14 +66,14 @@
 fn a_content_that_was_under_way_elsewhere_and_ran_whole_is_let_go_everywhere() {
     let mut here = after_ends(&[1, 2, 3]);
     let mut there = after_ends(&[1, 2, 3]);
-    assert!(here.take(NOW, Observation::Completed(DEADLY)));
+    assert!(here.record(NOW, Observation::Completed(DEADLY)));
     assert!(!is_held(&here, NOW));
-    for held in here.reported(NOW, 0, 8) {
-        there.take_held(NOW, held);
+    for held in here.held_to_report(NOW, 0, 8) {
+        there.merge_held(NOW, held);
     }
     assert!(!is_held(&there, NOW));
-    for held in there.reported(NOW, 0, 8) {
-        here.take_held(NOW, held);
+    for held in there.held_to_report(NOW, 0, 8) {
+        here.merge_held(NOW, held);
     }
     assert!(!is_held(&here, NOW));
 }
@@ -81,36 +81,36 @@
 #[test]
 fn what_was_held_back_before_is_held_back_longer_at_its_next_end() {
     let mut quarantine = after_ends(&[1, 2, 3]);
-    let first = quarantine.held_for(NOW, DEADLY).unwrap();
+    let first = quarantine.remaining_hold(NOW, DEADLY).unwrap();
     let over = NOW + first;
     assert!(!is_held(&quarantine, over));
-    quarantine.take(over, ended(DEADLY, 4));
-    assert!(quarantine.held_for(over, DEADLY).unwrap() > first);
+    quarantine.record(over, ended(DEADLY, 4));
+    assert!(quarantine.remaining_hold(over, DEADLY).unwrap() > first);
 }
 
 #[test]
 fn a_suspicion_is_forgotten() {
     let mut quarantine = after_ends(&[1, 2]);
-    quarantine.take(NOW + HOUR, ended(DEADLY, 3));
+    quarantine.record(NOW + HOUR, ended(DEADLY, 3));
     assert!(!is_held(&quarantine, NOW + HOUR));
 }
 
 #[test]
 fn word_between_gateways_does_not_make_a_hold_longer() {
     let mut quarantine = after_ends(&[1, 2, 3]);
-    let until = NOW + quarantine.held_for(NOW, DEADLY).unwrap();
+    let until = NOW + quarantine.remaining_hold(NOW, DEADLY).unwrap();
     let mut other = Quarantine::default();
     for round in 1..1000 {
         // Each message is 100 ms on its way.
         let sent = NOW + Duration::from_millis(200 * round);
         let received = sent + Duration::from_millis(100);
-        let reported = quarantine.reported(sent, 0, 8);
+        let reported = quarantine.held_to_report(sent, 0, 8);
         reported.into_iter().for_each(|held| {
-            other.take_held(received, held);
+            other.merge_held(received, held);
         });
-        let reported = other.reported(received, 0, 8);
+        let reported = other.held_to_report(received, 0, 8);
         reported.into_iter().for_each(|held| {
-            quarantine.take_held(received + Duration::from_millis(100), held);
+            quarantine.merge_held(received + Duration::from_millis(100), held);
         });
     }
     assert!(!is_held(&quarantine, until));
@@ -124,7 +124,7 @@
         left: Duration::MAX / 4,
         times: 1,
     };
-    assert!(quarantine.take_held(NOW, held));
+    assert!(quarantine.merge_held(NOW, held));
     assert!(!is_held(&quarantine, NOW + HOUR));
 }
 
@@ -133,7 +133,7 @@
     let mut quarantine = Quarantine::default();
     let hold = |quarantine: &mut Quarantine, now, content| {
         for endpoint in 1..=3 {
-            quarantine.take(now, ended(Fingerprint(content), endpoint));
+            quarantine.record(now, ended(Fingerprint(content), endpoint));
         }
     };
     for content in 1..=20 {
@@ -143,7 +143,7 @@
     hold(&mut quarantine, later, 99);
     let mut heard = Vec::new();
     for turn in 0..10 {
-        let reported = quarantine.reported(later, turn, 8);
+        let reported = quarantine.held_to_report(later, turn, 8);
         assert_eq!((reported.len(), reported[0].content.0), (8, 99));
         heard.extend(reported.iter().map(|held| held.content.0));
     }
@@ -173,15 +173,15 @@
 fn many_suspects_and_holds_stay_bounded_and_the_newest_are_kept() {
     let mut quarantine = Quarantine::default();
     for content in 0..20_000 {
-        quarantine.take(NOW, ended(Fingerprint(content), 1));
-        quarantine.take(NOW, ended(Fingerprint(content), 2));
+        quarantine.record(NOW, ended(Fingerprint(content), 1));
+        quarantine.record(NOW, ended(Fingerprint(content), 2));
     }
-    assert!(quarantine.may_repeat(NOW, Fingerprint(0)));
-    assert!(!quarantine.may_repeat(NOW, Fingerprint(19_999)));
+    assert!(quarantine.can_retry(NOW, Fingerprint(0)));
+    assert!(!quarantine.can_retry(NOW, Fingerprint(19_999)));
     for content in 0..2_000 {
         for endpoint in 1..=3 {
-            quarantine.take(NOW, ended(Fingerprint(content), endpoint));
+            quarantine.record(NOW, ended(Fingerprint(content), endpoint));
         }
     }
-    assert!(quarantine.all(NOW).count() <= 256);
+    assert!(quarantine.all_held(NOW).count() <= 256);
 }
