--- a/components/gateway/src/control/kept.rs
+++ b/components/gateway/src/control/kept.rs
@@ -179,7 +179,7 @@
 }
 
 fn kept_of(held: &Held, store_now: Duration) -> KeptContent {
-    let until = store_now.saturating_add(held.left);
+    let until = store_now.saturating_add(held.remaining);
     let until_ms = until.as_millis().min(i64::MAX as u128) as i64;
     KeptContent::new(held.content.0 as i64, until_ms, times_of(held))
 }
@@ -188,11 +188,11 @@
     let until = Duration::from_millis(kept.until_ms.max(0) as u64);
     Held {
         content: Fingerprint(kept.content as u64),
-        left: until.saturating_sub(store_now),
-        times: kept.times.max(1) as u32,
+        remaining: until.saturating_sub(store_now),
+        hold_count: kept.times.max(1) as u32,
     }
 }
 
 fn summary_of(held: &Held) -> (Fingerprint, (u32, bool)) {
-    (held.content, (held.times, !held.left.is_zero()))
+    (held.content, (held.hold_count, !held.remaining.is_zero()))
 }
--- a/components/gateway/src/control/quarantine.rs
+++ b/components/gateway/src/control/quarantine.rs
@@ -163,19 +163,19 @@
 }
 
 fn held_report(held: &Held) -> HeldContent {
-    let left_ms = held.left.as_millis().min(i64::MAX as u128) as i64;
+    let left_ms = held.remaining.as_millis().min(i64::MAX as u128) as i64;
     HeldContent::new(held.content.0 as i64, left_ms, times_of(held))
 }
 
 fn received_held(reported: &HeldContent) -> Held {
     Held {
         content: Fingerprint(reported.content as u64),
-        left: Duration::from_millis(reported.left_ms.max(0) as u64),
-        times: reported.times.max(1) as u32,
+        remaining: Duration::from_millis(reported.left_ms.max(0) as u64),
+        hold_count: reported.times.max(1) as u32,
     }
 }
 
 /// How often a content was held back, as it is reported.
 pub(super) fn times_of(held: &Held) -> i32 {
-    held.times.min(i32::MAX as u32) as i32
+    held.hold_count.min(i32::MAX as u32) as i32
 }
--- a/components/quarantine/src/quarantine.rs
+++ b/components/quarantine/src/quarantine.rs
@@ -50,9 +50,9 @@
     /// The content.
     pub content: Fingerprint,
     /// Time left; zero if it was let go.
-    pub left: Duration,
+    pub remaining: Duration,
     /// How often it was held back so far, 1 or more.
-    pub times: u32,
+    pub hold_count: u32,
 }
 
 #[derive(Clone, Debug, Default)]
@@ -65,7 +65,7 @@
 #[derive(Clone, Copy, Debug)]
 struct Hold {
     until: Duration,
-    times: u32,
+    hold_count: u32,
     since: Duration,
 }
 
@@ -110,21 +110,21 @@
         suspect.ended.push(endpoint);
         suspect.last = now;
         let ended = suspect.ended.len();
-        let times = self.holds.get(&content).map_or(0, |hold| hold.times);
+        let hold_count = self.holds.get(&content).map_or(0, |hold| hold.hold_count);
         // What was held back before has shown what it does.
-        if ended >= ENDS_TO_HOLD || times > 0 {
-            self.hold(now, content, times + 1);
+        if ended >= ENDS_TO_HOLD || hold_count > 0 {
+            self.hold(now, content, hold_count + 1);
         } else if self.suspects.len() > MOST_SUSPECTS {
             self.suspects.pop_lru();
         }
         true
     }
 
-    fn hold(&mut self, now: Duration, content: Fingerprint, times: u32) {
+    fn hold(&mut self, now: Duration, content: Fingerprint, hold_count: u32) {
         self.suspects.pop(&content);
         let hold = Hold {
-            until: now + hold_time(times),
-            times,
+            until: now + hold_time(hold_count),
+            hold_count,
             since: now,
         };
         self.holds.insert(content, hold);
@@ -159,17 +159,17 @@
     /// Takes what another gateway holds back, or the store keeps. Returns whether it changed what is held back here.
     pub fn merge_held(&mut self, now: Duration, heard: Held) -> bool {
         let was_held = self.remaining_hold(now, heard.content).is_some();
-        let left = heard.left.min(hold_time(heard.times));
+        let left = heard.remaining.min(hold_time(heard.hold_count));
         let until = now + left;
         let known = self.holds.get_mut(&heard.content);
         match known {
-            Some(hold) if hold.times > heard.times => return false,
+            Some(hold) if hold.hold_count > heard.hold_count => return false,
             // The shorter time is the nearer one to when it was held back, or says that it was let go.
-            Some(hold) if hold.times == heard.times => hold.until = hold.until.min(until),
+            Some(hold) if hold.hold_count == heard.hold_count => hold.until = hold.until.min(until),
             _ => {
                 let hold = Hold {
                     until,
-                    times: heard.times.max(1),
+                    hold_count: heard.hold_count.max(1),
                     since: now,
                 };
                 self.holds.insert(heard.content, hold);
@@ -218,13 +218,13 @@
 fn held_of(now: Duration, content: Fingerprint, hold: &Hold) -> Held {
     Held {
         content,
-        left: hold.until.saturating_sub(now),
-        times: hold.times,
+        remaining: hold.until.saturating_sub(now),
+        hold_count: hold.hold_count,
     }
 }
 
 // The first time, and each further time longer.
-fn hold_time(times: u32) -> Duration {
-    let growth = HOLD_GROWTH.saturating_pow(times.saturating_sub(1));
+fn hold_time(hold_count: u32) -> Duration {
+    let growth = HOLD_GROWTH.saturating_pow(hold_count.saturating_sub(1));
     FIRST_HOLD.saturating_mul(growth).min(LONGEST_HOLD)
 }
--- a/components/quarantine/tests/promises.rs
+++ b/components/quarantine/tests/promises.rs
@@ -121,8 +121,8 @@
     let mut quarantine = Quarantine::default();
     let held = Held {
         content: DEADLY,
-        left: Duration::MAX / 4,
-        times: 1,
+        remaining: Duration::MAX / 4,
+        hold_count: 1,
     };
     assert!(quarantine.merge_held(NOW, held));
     assert!(!is_held(&quarantine, NOW + HOUR));
