--- a/components/gateway/src/control/known.rs
+++ b/components/gateway/src/control/known.rs
@@ -13,7 +13,7 @@
 use schema::settings::GatewaySettings;
 use state::{Lease, LeaseTerms};
 use topology::Topology;
-use usage::{Forwarding, Ledger, Reporter, Terms};
+use usage::{Forwarding, Ledger, Reporter, WindowTiming};
 
 use crate::control::departures::Departures;
 use crate::control::engines::Engines;
@@ -224,11 +224,11 @@
     }
 }
 
-fn usage_terms(settings: &GatewaySettings) -> Terms {
+fn usage_terms(settings: &GatewaySettings) -> WindowTiming {
     let due = Duration::from_millis(settings.usage_due_ms.max(0) as u64);
-    Terms {
+    WindowTiming {
         window: Duration::from_millis(settings.usage_window_ms.max(1) as u64),
-        settle: due.mul_f64(SETTLE_PART),
+        settle_delay: due.mul_f64(SETTLE_PART),
         due,
     }
 }
--- a/components/usage/src/forwarding.rs
+++ b/components/usage/src/forwarding.rs
@@ -3,7 +3,7 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-use crate::reporter::Terms;
+use crate::reporter::WindowTiming;
 
 /// Times after the end of a window at which its counts are passed on, in milliseconds. The first is past the
 /// pause between reports of gateways (500 ms); the second makes a lost message good well before windows are
@@ -13,16 +13,16 @@
 /// Which windows were passed on, and to the holder of which epoch.
 #[derive(Debug)]
 pub struct Forwarding {
-    terms: Terms,
+    timing: WindowTiming,
     epoch: i64,
     times: BTreeMap<i64, usize>,
 }
 
 impl Forwarding {
     /// Nothing was passed on yet.
-    pub fn new(terms: Terms) -> Self {
+    pub fn new(timing: WindowTiming) -> Self {
         Forwarding {
-            terms,
+            timing,
             epoch: 0,
             times: BTreeMap::new(),
         }
@@ -35,9 +35,9 @@
             self.epoch = epoch;
             self.times.clear();
         }
-        let length = self.terms.window.as_millis().max(1) as u64;
+        let length = self.timing.window.as_millis().max(1) as u64;
         let at = |time: Duration| (time.as_millis() as u64 / length) as i64;
-        let first = at(wall.saturating_sub(self.terms.due + self.terms.window));
+        let first = at(wall.saturating_sub(self.timing.due + self.timing.window));
         self.times = self.times.split_off(&first);
         let mut due = Vec::new();
         for window in first..at(wall) {
--- a/components/usage/src/lib.rs
+++ b/components/usage/src/lib.rs
@@ -9,4 +9,4 @@
 
 pub use forwarding::Forwarding;
 pub use ledger::{Counts, Ledger, Source};
-pub use reporter::{Report, Reporter, Step, Terms};
+pub use reporter::{Report, Reporter, Step, WindowTiming};
--- a/components/usage/src/reporter.rs
+++ b/components/usage/src/reporter.rs
@@ -11,11 +11,11 @@
 
 /// Fixed terms of reporting.
 #[derive(Clone, Copy, Debug)]
-pub struct Terms {
+pub struct WindowTiming {
     /// Length of a window.
     pub window: Duration,
     /// Time after the end of a window until it is settled: late counts of others have come.
-    pub settle: Duration,
+    pub settle_delay: Duration,
     /// Time after the end of a window after which a report is of no use.
     pub due: Duration,
 }
@@ -41,7 +41,7 @@
 /// Progress of this process as the reporting gateway.
 #[derive(Debug)]
 pub struct Reporter {
-    terms: Terms,
+    timing: WindowTiming,
     // Settled and not yet accepted.
     settled: Option<Report>,
     done: BTreeSet<i64>,
@@ -49,9 +49,9 @@
 
 impl Reporter {
     /// Nothing reported yet.
-    pub fn new(terms: Terms) -> Self {
+    pub fn new(timing: WindowTiming) -> Self {
         Reporter {
-            terms,
+            timing,
             settled: None,
             done: BTreeSet::new(),
         }
@@ -59,14 +59,14 @@
 
     /// Wall-clock time from which a window may be settled.
     pub fn settles_at(&self, window: i64) -> Duration {
-        let window_ms = self.terms.window.as_millis() as u64;
+        let window_ms = self.timing.window.as_millis() as u64;
         let end_ms = window_ms.saturating_mul(window.max(0) as u64 + 1);
-        Duration::from_millis(end_ms).saturating_add(self.terms.settle)
+        Duration::from_millis(end_ms).saturating_add(self.timing.settle_delay)
     }
 
     /// Number of the window that a wall-clock time falls into.
     pub fn window_at(&self, wall: Duration) -> i64 {
-        (wall.as_millis() / self.terms.window.as_millis().max(1)) as i64
+        (wall.as_millis() / self.timing.window.as_millis().max(1)) as i64
     }
 
     /// The next step at a wall-clock time, if there is one.
@@ -96,17 +96,17 @@
 
     /// The oldest window that may still be asked for.
     pub fn oldest(&self, wall: Duration) -> i64 {
-        self.window_at(wall.saturating_sub(self.terms.due + self.terms.window))
+        self.window_at(wall.saturating_sub(self.timing.due + self.timing.window))
     }
 
     fn open_window(&self, wall: Duration) -> Option<i64> {
-        let last = self.window_at(wall.saturating_sub(self.terms.settle)) - 1;
+        let last = self.window_at(wall.saturating_sub(self.timing.settle_delay)) - 1;
         let first = self.oldest(wall);
         (first..=last).find(|window| !self.done.contains(window))
     }
 
     fn kept_windows(&self) -> i64 {
-        let span = self.terms.due + self.terms.window;
-        2 * (span.as_millis() / self.terms.window.as_millis().max(1)) as i64 + 2
+        let span = self.timing.due + self.timing.window;
+        2 * (span.as_millis() / self.timing.window.as_millis().max(1)) as i64 + 2
     }
 }
--- a/components/usage/tests/forwarding.rs
+++ b/components/usage/tests/forwarding.rs
@@ -2,12 +2,12 @@
 
 use std::time::Duration;
 
-use usage::{Forwarding, Terms};
+use usage::{Forwarding, WindowTiming};
 
 fn forwarding() -> Forwarding {
-    Forwarding::new(Terms {
+    Forwarding::new(WindowTiming {
         window: Duration::from_secs(5),
-        settle: Duration::from_millis(4500),
+        settle_delay: Duration::from_millis(4500),
         due: Duration::from_secs(10),
     })
 }
--- a/components/usage/tests/promises.rs
+++ b/components/usage/tests/promises.rs
@@ -3,11 +3,11 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-use usage::{Ledger, Report, Reporter, Source, Step, Terms};
+use usage::{Ledger, Report, Reporter, Source, Step, WindowTiming};
 
-const TERMS: Terms = Terms {
+const TIMING: WindowTiming = WindowTiming {
     window: Duration::from_secs(5),
-    settle: Duration::from_secs(2),
+    settle_delay: Duration::from_secs(2),
     due: Duration::from_secs(10),
 };
 
@@ -48,7 +48,7 @@
     let mut ledger = Ledger::default();
     let a = source("a", 1);
     ledger.merge(1, &a, &counts(&[("t", 3)]));
-    let mut reporter = Reporter::new(TERMS);
+    let mut reporter = Reporter::new(TIMING);
     let wall = Duration::from_secs(12);
     reporter.finished(0);
     let ours = Report {
@@ -74,7 +74,7 @@
 
 #[test]
 fn a_window_is_settled_only_after_its_end_and_dropped_when_overdue() {
-    let reporter = Reporter::new(TERMS);
+    let reporter = Reporter::new(TIMING);
     let ledger = Ledger::default();
     let window = |wall: u64| match reporter.next(Duration::from_secs(wall), &ledger) {
         Some(Step::Settle(report)) => Some(report.window),
