--- a/components/gateway/src/control/known.rs
+++ b/components/gateway/src/control/known.rs
@@ -13,7 +13,7 @@
 use schema::settings::GatewaySettings;
 use state::{Lease, LeaseTerms};
 use topology::Topology;
-use usage::{Forwarding, Ledger, Reporter, WindowTiming};
+use usage::{Forwarding, Reporter, UsageLedger, WindowTiming};
 
 use crate::control::departures::Departures;
 use crate::control::engines::Engines;
@@ -60,7 +60,7 @@
     /// Wall-clock time since which this gateway holds the lease.
     pub lease_held_since: Option<Duration>,
     pub orders: OrdersUnderWay,
-    pub ledger: Ledger,
+    pub ledger: UsageLedger,
     pub reporter: Reporter,
     // By service and region.
     pub scalers: BTreeMap<(String, String), Scaler>,
@@ -126,7 +126,7 @@
             newest_era_seen_at: Duration::ZERO,
             peers,
             topology,
-            ledger: Ledger::default(),
+            ledger: UsageLedger::default(),
             scalers: BTreeMap::new(),
             engines: Engines::default(),
             demand: Demand::default(),
--- a/components/gateway/src/control/messages.rs
+++ b/components/gateway/src/control/messages.rs
@@ -187,7 +187,7 @@
         }
         let newest = known.reporter.window_at(self.clock.wall());
         let windows = newest - REPORTED_WINDOWS + 1..=newest;
-        let usage = windows.map(|w| gossip::usage_of(w, known.ledger.of(w, &self.source)));
+        let usage = windows.map(|w| gossip::usage_of(w, known.ledger.counts_of(w, &self.source)));
         usage
             .filter(|reported| !reported.begun.is_empty())
             .collect()
--- a/components/usage/src/ledger.rs
+++ b/components/usage/src/ledger.rs
@@ -16,11 +16,11 @@
 
 /// Everything counted here and heard of others.
 #[derive(Debug, Default)]
-pub struct Ledger {
+pub struct UsageLedger {
     windows: BTreeMap<i64, BTreeMap<Source, Counts>>,
 }
 
-impl Ledger {
+impl UsageLedger {
     /// Counts one request.
     pub fn count(&mut self, window: i64, source: &Source, tenant: &str) {
         let counts = self.counts(window, source);
@@ -37,7 +37,7 @@
     }
 
     /// What one process counted in a window.
-    pub fn of(&self, window: i64, source: &Source) -> Counts {
+    pub fn counts_of(&self, window: i64, source: &Source) -> Counts {
         let sources = self.windows.get(&window);
         sources
             .and_then(|s| s.get(source))
--- a/components/usage/src/lib.rs
+++ b/components/usage/src/lib.rs
@@ -8,5 +8,5 @@
 mod reporter;
 
 pub use forwarding::Forwarding;
-pub use ledger::{Counts, Ledger, Source};
+pub use ledger::{Counts, Source, UsageLedger};
 pub use reporter::{Report, Reporter, Step, WindowTiming};
--- a/components/usage/src/reporter.rs
+++ b/components/usage/src/reporter.rs
@@ -7,7 +7,7 @@
 use std::collections::BTreeSet;
 use std::time::Duration;
 
-use crate::ledger::{Counts, Ledger};
+use crate::ledger::{Counts, UsageLedger};
 
 /// Fixed terms of reporting.
 #[derive(Clone, Copy, Debug)]
@@ -70,7 +70,7 @@
     }
 
     /// The next step at a wall-clock time, if there is one.
-    pub fn next(&self, wall: Duration, ledger: &Ledger) -> Option<Step> {
+    pub fn next(&self, wall: Duration, ledger: &UsageLedger) -> Option<Step> {
         if let Some(report) = &self.settled {
             return Some(Step::Send(report.clone()));
         }
--- a/components/usage/tests/promises.rs
+++ b/components/usage/tests/promises.rs
@@ -3,7 +3,7 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-use usage::{Ledger, Report, Reporter, Source, Step, WindowTiming};
+use usage::{Report, Reporter, Source, Step, UsageLedger, WindowTiming};
 
 const TIMING: WindowTiming = WindowTiming {
     window: Duration::from_secs(5),
@@ -24,7 +24,7 @@
 
 #[test]
 fn a_total_that_is_reported_twice_or_late_counts_once() {
-    let mut ledger = Ledger::default();
+    let mut ledger = UsageLedger::default();
     let a = source("a", 1);
     ledger.merge(7, &a, &counts(&[("t", 3)]));
     ledger.merge(7, &a, &counts(&[("t", 5)]));
@@ -34,7 +34,7 @@
 
 #[test]
 fn both_processes_of_a_restarted_gateway_count() {
-    let mut ledger = Ledger::default();
+    let mut ledger = UsageLedger::default();
     ledger.merge(7, &source("a", 1), &counts(&[("t", 3)]));
     ledger.count(7, &source("a", 2), "t");
     ledger.count(7, &source("b", 1), "u");
@@ -45,7 +45,7 @@
 
 #[test]
 fn only_settled_counts_are_sent_and_stay_the_same() {
-    let mut ledger = Ledger::default();
+    let mut ledger = UsageLedger::default();
     let a = source("a", 1);
     ledger.merge(1, &a, &counts(&[("t", 3)]));
     let mut reporter = Reporter::new(TIMING);
@@ -75,7 +75,7 @@
 #[test]
 fn a_window_is_settled_only_after_its_end_and_dropped_when_overdue() {
     let reporter = Reporter::new(TIMING);
-    let ledger = Ledger::default();
+    let ledger = UsageLedger::default();
     let window = |wall: u64| match reporter.next(Duration::from_secs(wall), &ledger) {
         Some(Step::Settle(report)) => Some(report.window),
         _ => None,
