--- a/components/gateway/src/control/reporting.rs
+++ b/components/gateway/src/control/reporting.rs
@@ -29,17 +29,20 @@
         let wall = self.clock.wall();
         let step = {
             let mut known = self.known.borrow_mut();
-            let oldest = known.reporter.oldest(wall);
+            let oldest = known.reporter.oldest_window(wall);
             known.ledger.forget_before(oldest - 1);
             let Known {
                 reporter, ledger, ..
             } = &*known;
-            reporter.next(wall, ledger)
+            reporter.next_step(wall, ledger)
         };
         match step {
             None => {}
             Some(Step::Settle(report)) if self.predates_process(&report) => {
-                self.known.borrow_mut().reporter.finished(report.window);
+                self.known
+                    .borrow_mut()
+                    .reporter
+                    .record_finished(report.window);
             }
             Some(Step::Settle(report)) if self.may_have_been_reported(&report) => {
                 self.settle_from_store(report).await;
@@ -79,8 +82,8 @@
             "window" => report.window, "found" => settled.is_some());
         let mut known = self.known.borrow_mut();
         match settled {
-            Some(report) => known.reporter.settled(report),
-            None => known.reporter.finished(report.window),
+            Some(report) => known.reporter.record_settled(report),
+            None => known.reporter.record_finished(report.window),
         }
     }
 
@@ -100,7 +103,10 @@
         let settled = match written {
             Ok(revision) if revision.era > self.known.borrow().newest_era.unwrap_or_default() => {
                 // The row that the window had before the restore may be lost.
-                self.known.borrow_mut().reporter.finished(report.window);
+                self.known
+                    .borrow_mut()
+                    .reporter
+                    .record_finished(report.window);
                 None
             }
             Ok(_) => Some(report),
@@ -108,7 +114,7 @@
             Err(_) => None,
         };
         if let Some(report) = settled {
-            self.known.borrow_mut().reporter.settled(report);
+            self.known.borrow_mut().reporter.record_settled(report);
         }
     }
 
@@ -122,10 +128,10 @@
         info!(self.log, "usage reported"; "window" => report.window, "fence" => holder.fence,
             "reply" => ?reply);
         let mut known = self.known.borrow_mut();
-        let overdue = report.window < known.reporter.oldest(wall);
+        let overdue = report.window < known.reporter.oldest_window(wall);
         let over = matches!(reply, OrderReply::Done | OrderReply::Rejected(_));
         if over || overdue {
-            known.reporter.finished(report.window);
+            known.reporter.record_finished(report.window);
         }
     }
 }
--- a/components/usage/src/reporter.rs
+++ b/components/usage/src/reporter.rs
@@ -70,7 +70,7 @@
     }
 
     /// The next step at a wall-clock time, if there is one.
-    pub fn next(&self, wall: Duration, ledger: &UsageLedger) -> Option<Step> {
+    pub fn next_step(&self, wall: Duration, ledger: &UsageLedger) -> Option<Step> {
         if let Some(report) = &self.settled {
             return Some(Step::Send(report.clone()));
         }
@@ -80,14 +80,14 @@
     }
 
     /// The store holds these counts for the window, ours or another's.
-    pub fn settled(&mut self, report: Report) {
+    pub fn record_settled(&mut self, report: Report) {
         if !self.done.contains(&report.window) {
             self.settled = Some(report);
         }
     }
 
     /// The report of a window was accepted, or is of no use any more.
-    pub fn finished(&mut self, window: i64) {
+    pub fn record_finished(&mut self, window: i64) {
         self.settled.take_if(|report| report.window == window);
         self.done.insert(window);
         let oldest = window - self.kept_windows();
@@ -95,13 +95,13 @@
     }
 
     /// The oldest window that may still be asked for.
-    pub fn oldest(&self, wall: Duration) -> i64 {
+    pub fn oldest_window(&self, wall: Duration) -> i64 {
         self.window_at(wall.saturating_sub(self.timing.due + self.timing.window))
     }
 
     fn open_window(&self, wall: Duration) -> Option<i64> {
         let last = self.window_at(wall.saturating_sub(self.timing.settle_delay)) - 1;
-        let first = self.oldest(wall);
+        let first = self.oldest_window(wall);
         (first..=last).find(|window| !self.done.contains(window))
     }
 
--- a/components/usage/tests/promises.rs
+++ b/components/usage/tests/promises.rs
@@ -50,33 +50,33 @@
     ledger.merge(1, &a, &counts(&[("t", 3)]));
     let mut reporter = Reporter::new(TIMING);
     let wall = Duration::from_secs(12);
-    reporter.finished(0);
+    reporter.record_finished(0);
     let ours = Report {
         window: 1,
         counts: counts(&[("t", 3)]),
     };
-    assert_eq!(reporter.next(wall, &ledger), Some(Step::Settle(ours)));
+    assert_eq!(reporter.next_step(wall, &ledger), Some(Step::Settle(ours)));
     // Another gateway's row was there first.
     let theirs = Report {
         window: 1,
         counts: counts(&[("t", 2)]),
     };
-    reporter.settled(theirs.clone());
+    reporter.record_settled(theirs.clone());
     ledger.merge(1, &a, &counts(&[("t", 9)]));
     assert_eq!(
-        reporter.next(wall, &ledger),
+        reporter.next_step(wall, &ledger),
         Some(Step::Send(theirs.clone()))
     );
-    reporter.finished(1);
-    reporter.settled(theirs);
-    assert_eq!(reporter.next(wall, &ledger), None);
+    reporter.record_finished(1);
+    reporter.record_settled(theirs);
+    assert_eq!(reporter.next_step(wall, &ledger), None);
 }
 
 #[test]
 fn a_window_is_settled_only_after_its_end_and_dropped_when_overdue() {
     let reporter = Reporter::new(TIMING);
     let ledger = UsageLedger::default();
-    let window = |wall: u64| match reporter.next(Duration::from_secs(wall), &ledger) {
+    let window = |wall: u64| match reporter.next_step(Duration::from_secs(wall), &ledger) {
         Some(Step::Settle(report)) => Some(report.window),
         _ => None,
     };
