--- a/components/quarantine/src/lib.rs
+++ b/components/quarantine/src/lib.rs
@@ -3,9 +3,9 @@
 //! What is known belongs to a request's content: it outlives the attempt, the connection and the caller's next try with a
 //! new id, and every gateway reckons the same from the same observations.
 
+mod completions;
 mod fingerprint;
 mod quarantine;
-mod whole;
 
 pub use fingerprint::{Content, Fingerprint};
 pub use quarantine::{Held, Observation, Quarantine};
--- a/components/quarantine/src/quarantine.rs
+++ b/components/quarantine/src/quarantine.rs
@@ -5,7 +5,7 @@
 
 use lru::LruCache;
 
-use crate::whole::WholeRuns;
+use crate::completions::WholeRuns;
 use crate::Fingerprint;
 
 /// Endpoints that end under one content before it is held back. With two, a caller's own second try in a time when endpoints
