--- a/components/limits/src/admission.rs
+++ b/components/limits/src/admission.rs
@@ -1,4 +1,4 @@
-//! Admission by priority class: under load the lower class waits, then is shed, first.
+//! Admission by priority class: under load, lower classes are queued first and shed first.
 
 use std::cmp::Reverse;
 use std::collections::BTreeSet;
@@ -6,55 +6,56 @@
 
 use schema::settings::Priority;
 
-/// Utilization of a pool, in thousandths, from which a class waits.
-const WAIT_FROM_MILLI: [u64; 3] = [1300, 950, 850];
-/// Utilization from which a class is shed when it also finds a full queue.
-const SHED_FROM_MILLI: [u64; 3] = [2500, 1500, 1200];
-/// Utilization from which running batch work is moved out of the way of a waiting request.
-const YIELD_FROM_MILLI: u64 = 1000;
-/// Requests that wait at one node for one pool, by class.
-const MAX_WAITING: [usize; 3] = [128, 64, 64];
-/// Time to come back after being shed, by class.
+/// Utilization of a pool, in thousandths, from which requests of a class are queued; by class, the most urgent first.
+const MIN_UTILIZATION_TO_WAIT_MILLI: [u64; 3] = [1300, 950, 850];
+/// Utilization, in thousandths, from which a request that cannot run at once is shed, also if its queue has room; by
+/// class.
+const MIN_UTILIZATION_TO_SHED_MILLI: [u64; 3] = [2500, 1500, 1200];
+/// Utilization, in thousandths, from which a running batch request is preempted for a queued one of a higher class.
+const MIN_UTILIZATION_TO_PREEMPT_MILLI: u64 = 1000;
+/// Requests that one node queues for one pool, by class.
+const MAX_QUEUED: [usize; 3] = [128, 64, 64];
+/// Time after which a shed request may be retried, by class.
 const RETRY_AFTER: [Duration; 3] = [
     Duration::from_millis(250),
     Duration::from_secs(1),
     Duration::from_secs(5),
 ];
 
-/// Answer to a request for admission.
+/// Outcome of a request for admission.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum AdmissionDecision {
     /// Run now.
     Run,
-    /// Wait; [`AdmissionQueue::admit_next`] names the waiter when its time has come.
+    /// Queued; [`AdmissionQueue::admit_next`] returns it once it may run.
     Wait,
-    /// Shed; come back after this time.
+    /// Shed; may be retried after this time.
     Shed(Duration),
 }
 
-/// A request that waits, ordered by class, then by deadline.
+/// A queued request, ordered by class, then by deadline.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Waiter {
-    /// Its class.
+    /// Its priority class.
     pub priority: Priority,
-    /// Its deadline.
+    /// Its deadline, on this node's clock.
     pub deadline: Duration,
-    /// Its number at this node.
+    /// Its number, unique at this node.
     pub id: u64,
 }
 
-/// The gate of one pool at one node.
+/// The requests that one node queues for one pool.
 #[derive(Debug, Default)]
 pub struct AdmissionQueue {
     waiting: BTreeSet<Waiter>,
 }
 
 impl AdmissionQueue {
-    /// Asks for admission at a pool utilization given in thousandths.
+    /// Decides on a new request at a pool utilization in thousandths, and queues it if it has to wait.
     pub fn admit(&mut self, waiter: Waiter, utilization_milli: u64) -> AdmissionDecision {
-        let class = class_of(waiter.priority);
-        let behind = self.waiting.iter().any(|w| w.priority <= waiter.priority);
-        if utilization_milli < WAIT_FROM_MILLI[class] && !behind {
+        let class = class_index(waiter.priority);
+        let has_others_ahead = self.waiting.iter().any(|w| w.priority <= waiter.priority);
+        if utilization_milli < MIN_UTILIZATION_TO_WAIT_MILLI[class] && !has_others_ahead {
             return AdmissionDecision::Run;
         }
         let queued = self
@@ -62,40 +63,41 @@
             .iter()
             .filter(|w| w.priority == waiter.priority)
             .count();
-        if utilization_milli >= SHED_FROM_MILLI[class] || queued >= MAX_WAITING[class] {
+        if utilization_milli >= MIN_UTILIZATION_TO_SHED_MILLI[class] || queued >= MAX_QUEUED[class]
+        {
             return AdmissionDecision::Shed(RETRY_AFTER[class]);
         }
         self.waiting.insert(waiter);
         AdmissionDecision::Wait
     }
 
-    /// The next waiter that may run at this utilization, the most urgent first.
+    /// Removes and returns the first queued request if its class may run at this utilization, in thousandths.
     pub fn admit_next(&mut self, utilization_milli: u64) -> Option<Waiter> {
         let first = *self.waiting.first()?;
-        if utilization_milli >= WAIT_FROM_MILLI[class_of(first.priority)] {
+        if utilization_milli >= MIN_UTILIZATION_TO_WAIT_MILLI[class_index(first.priority)] {
             return None;
         }
         self.waiting.remove(&first);
         Some(first)
     }
 
-    /// Takes out a waiter that is gone: it must not hold up those behind it.
+    /// Removes a request that no longer waits; left in the queue, it would block those behind it.
     pub fn remove(&mut self, id: u64) {
         self.waiting.retain(|w| w.id != id);
     }
 
-    /// Which of the running requests, given as `(class, id, started)`, should yield its slot:
-    /// the batch request started last, if a request above batch waits.
+    /// Which of the running requests, given as `(class, id, started)`, to preempt: the batch request
+    /// that started last, if a request of a higher class is queued.
     pub fn preemption_victim(
         &self,
         running: &[(Priority, u64, Duration)],
         utilization_milli: u64,
     ) -> Option<u64> {
-        let urgent = self
+        let has_urgent_waiter = self
             .waiting
             .first()
             .is_some_and(|w| w.priority < Priority::BATCH);
-        if !urgent || utilization_milli < YIELD_FROM_MILLI {
+        if !has_urgent_waiter || utilization_milli < MIN_UTILIZATION_TO_PREEMPT_MILLI {
             return None;
         }
         let batch = running
@@ -106,12 +108,12 @@
             .map(|(_, id, _)| *id)
     }
 
-    /// Requests that wait.
+    /// Number of queued requests.
     pub fn queue_depth(&self) -> usize {
         self.waiting.len()
     }
 }
 
-fn class_of(priority: Priority) -> usize {
+fn class_index(priority: Priority) -> usize {
     priority.0.clamp(0, 2) as usize
 }
--- a/components/limits/src/bucket.rs
+++ b/components/limits/src/bucket.rs
@@ -1,77 +1,78 @@
-//! A token bucket whose rate can change while it runs.
+//! A token bucket whose rate can change while it is in use.
 
 use std::time::Duration;
 
-/// Units of a bucket are thousandths, so that a node's small share of a limit is not rounded away.
+/// Buckets count in thousandths of a unit, so that a node's small part of a limit is not rounded to zero.
 const MILLI: u64 = 1000;
 
-/// A bucket that fills at a rate and holds so many seconds' worth, but at least one whole unit.
+/// A token bucket that holds `burst_secs` seconds' worth of its rate, but at least one whole unit.
 #[derive(Clone, Debug)]
 pub struct TokenBucket {
     rate_milli: u64,
     burst_secs: u64,
     level_milli: u64,
-    filled_at: Duration,
+    refilled_at: Duration,
 }
 
 impl TokenBucket {
-    /// A full bucket that holds one second's worth. `rate_milli` is in thousandths of a unit a
+    /// A full bucket that holds one second's worth. `rate_milli` is in thousandths of a unit per
     /// second.
     pub fn new(now: Duration, rate_milli: u64) -> Self {
         Self::with_burst(now, rate_milli, 1)
     }
 
-    /// A full bucket that holds so many seconds' worth.
+    /// A full bucket that holds `burst_secs` seconds' worth.
     pub fn with_burst(now: Duration, rate_milli: u64, burst_secs: u64) -> Self {
         TokenBucket {
             rate_milli,
             burst_secs,
             level_milli: (rate_milli * burst_secs).max(MILLI),
-            filled_at: now,
+            refilled_at: now,
         }
     }
 
-    /// Changes the rate; what is in the bucket stays, up to the new size.
+    /// Changes the rate. The units in the bucket stay, up to the new capacity.
     pub fn set_rate(&mut self, now: Duration, rate_milli: u64) {
-        self.fill(now);
+        self.refill(now);
         self.rate_milli = rate_milli;
-        self.level_milli = self.level_milli.min(self.size());
+        self.level_milli = self.level_milli.min(self.capacity_milli());
     }
 
-    /// Takes whole units, or says how long until they are there.
+    /// Takes whole units, or returns the time until the bucket has enough (60 s if its rate is zero).
+    /// A request for more than the capacity takes a full bucket.
     pub fn take(&mut self, now: Duration, units: u64) -> Result<(), Duration> {
-        self.fill(now);
-        let wanted = (units * MILLI).min(self.size());
-        if self.level_milli >= wanted {
-            self.level_milli -= wanted;
+        self.refill(now);
+        let required_milli = (units * MILLI).min(self.capacity_milli());
+        if self.level_milli >= required_milli {
+            self.level_milli -= required_milli;
             return Ok(());
         }
-        let lacking = wanted - self.level_milli;
+        let missing_milli = required_milli - self.level_milli;
         Err(match self.rate_milli {
             0 => Duration::from_secs(60),
-            rate => Duration::from_micros(lacking * 1_000_000 / rate + 1),
+            rate => Duration::from_micros(missing_milli * 1_000_000 / rate + 1),
         })
     }
 
-    /// Gives whole units back.
+    /// Returns whole units to the bucket, up to its capacity.
     pub fn give_back(&mut self, now: Duration, units: u64) {
-        self.fill(now);
-        self.level_milli = (self.level_milli + units * MILLI).min(self.size());
+        self.refill(now);
+        self.level_milli = (self.level_milli + units * MILLI).min(self.capacity_milli());
     }
 
-    fn size(&self) -> u64 {
+    fn capacity_milli(&self) -> u64 {
         (self.rate_milli * self.burst_secs).max(MILLI)
     }
 
-    fn fill(&mut self, now: Duration) {
-        let passed = now.saturating_sub(self.filled_at);
-        let gained = passed.as_micros() as u64 * self.rate_milli / 1_000_000;
-        if gained == 0 {
+    fn refill(&mut self, now: Duration) {
+        let elapsed = now.saturating_sub(self.refilled_at);
+        let gained_milli = elapsed.as_micros() as u64 * self.rate_milli / 1_000_000;
+        if gained_milli == 0 {
             return;
         }
-        self.level_milli = (self.level_milli + gained).min(self.size());
-        // Time that did not yet make a whole thousandth is kept for the next filling.
-        self.filled_at += Duration::from_micros(gained * 1_000_000 / self.rate_milli);
+        self.level_milli = (self.level_milli + gained_milli).min(self.capacity_milli());
+        // Time too short for a whole thousandth counts towards the next refill.
+        self.refilled_at += Duration::from_micros(gained_milli * 1_000_000 / self.rate_milli);
     }
 }
 
@@ -80,7 +81,7 @@
     use super::*;
 
     #[test]
-    fn can_fill_at_its_rate_and_no_faster() {
+    fn refills_at_its_rate_and_no_faster() {
         let mut bucket = TokenBucket::new(Duration::ZERO, 2_000);
         let taken = (0..10_000)
             .filter(|ms| bucket.take(Duration::from_millis(*ms), 1).is_ok())
@@ -89,7 +90,7 @@
     }
 
     #[test]
-    fn says_when_to_come_back() {
+    fn a_refusal_gives_the_time_until_the_units_are_there() {
         let mut bucket = TokenBucket::new(Duration::ZERO, 500);
         assert!(bucket.take(Duration::ZERO, 1).is_ok());
         let wait = bucket.take(Duration::ZERO, 1).unwrap_err();
--- a/components/limits/src/budget.rs
+++ b/components/limits/src/budget.rs
@@ -1,38 +1,39 @@
-//! A budget for extra attempts, earned by successes, so that retries cannot make a storm.
+//! A budget for extra attempts (retries and hedges) that grows with successful requests, so that
+//! failures cannot cause a retry storm.
 
-/// Thousandths of an attempt.
+/// Thousandths in one attempt.
 const MILLI: u64 = 1000;
 
-/// Attempts that may be made beyond the first ones.
+/// Attempts that may be made in addition to the first attempt of each request.
 #[derive(Clone, Debug)]
 pub struct AttemptBudget {
-    earned_milli: u64,
+    balance_milli: u64,
     per_success_milli: u64,
-    most_milli: u64,
+    max_milli: u64,
 }
 
 impl AttemptBudget {
-    /// A budget that starts with `most` attempts and earns `per_success_milli` thousandths of one
-    /// with each success.
-    pub fn new(most: u64, per_success_milli: u64) -> Self {
+    /// A budget that starts with `max_attempts` attempts, holds at most as many, and gains
+    /// `per_success_milli` thousandths of an attempt with each success.
+    pub fn new(max_attempts: u64, per_success_milli: u64) -> Self {
         AttemptBudget {
-            earned_milli: most * MILLI,
+            balance_milli: max_attempts * MILLI,
             per_success_milli,
-            most_milli: most * MILLI,
+            max_milli: max_attempts * MILLI,
         }
     }
 
-    /// Notes a success.
+    /// Adds the credit for a successful request.
     pub fn record_success(&mut self) {
-        self.earned_milli = (self.earned_milli + self.per_success_milli).min(self.most_milli);
+        self.balance_milli = (self.balance_milli + self.per_success_milli).min(self.max_milli);
     }
 
-    /// Takes one attempt if the budget has one.
+    /// Takes one attempt from the budget. Returns false if less than one is left.
     pub fn try_spend(&mut self) -> bool {
-        if self.earned_milli < MILLI {
+        if self.balance_milli < MILLI {
             return false;
         }
-        self.earned_milli -= MILLI;
+        self.balance_milli -= MILLI;
         true
     }
 }
@@ -42,7 +43,7 @@
     use super::*;
 
     #[test]
-    fn attempts_stay_within_the_share_of_successes() {
+    fn extra_attempts_stay_within_the_configured_part_of_successes() {
         let mut budget = AttemptBudget::new(10, 100);
         let mut spent = 0;
         for _ in 0..1000 {
--- a/components/limits/src/lib.rs
+++ b/components/limits/src/lib.rs
@@ -1,6 +1,8 @@
-//! Who may run now: priority classes, team limits held fleet-wide, and retry budgets.
+//! Admission control: priority classes, fleet-wide rate limits, retry budgets, and budgets for the
+//! links between regions.
 //!
-//! Pure: time comes in as a value. A refusal always says when to come back.
+//! No I/O and no clock: the caller passes the time in. A request that is refused by a limit or shed
+//! is told when to retry.
 
 mod admission;
 mod bucket;
--- a/components/limits/src/retry_budget.rs
+++ b/components/limits/src/retry_budget.rs
@@ -1,24 +1,24 @@
-//! A budget for repeated requests of one service over all gateways.
+//! A retry budget of one service over all gateways.
 //!
-//! Each gateway uses its part only: a share of its own requests, and its part of the fixed extra.
-//! So the parts add up to the whole without a message.
+//! Each gateway uses only its part of the budget: a ratio of its own requests, and an equal part of
+//! the fixed allowance. The parts add up to the whole budget without any messages.
 
 use std::collections::VecDeque;
 use std::time::Duration;
 
-/// Slices that a window is counted in.
+/// Number of slices in a window.
 const SLICES: u32 = 10;
-/// Part of the allowance that is used: counts of the callers and of the gateways differ a little.
+/// Part of the allowance that is used, because the callers' counts differ a little from the gateways'.
 const USED_PART: f64 = 0.7;
 
-/// What is allowed over all gateways.
+/// Retries that are allowed over all gateways.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct RetryTerms {
-    /// Repeats for each request.
+    /// Retries per request.
     pub ratio: f64,
-    /// Repeats beside those.
+    /// Retries in addition to those.
     pub extra: f64,
-    /// Window that both are counted in.
+    /// Sliding window in which requests and retries are counted.
     pub window: Duration,
 }
 
@@ -26,10 +26,10 @@
 struct Slice {
     number: u64,
     requests: u64,
-    repeats: u64,
+    retries: u64,
 }
 
-/// The budget of one service at one gateway.
+/// One gateway's part of the budget of one service.
 #[derive(Debug)]
 pub struct RetryBudget {
     terms: RetryTerms,
@@ -37,7 +37,7 @@
 }
 
 impl RetryBudget {
-    /// A budget in which nothing was counted yet.
+    /// A budget without any requests or retries counted.
     pub fn new(terms: RetryTerms) -> Self {
         RetryBudget {
             terms,
@@ -45,30 +45,31 @@
         }
     }
 
-    /// Counts a request.
+    /// Counts a request, which adds to the budget.
     pub fn record_request(&mut self, now: Duration) {
-        self.slice(now).requests += 1;
+        self.current_slice(now).requests += 1;
     }
 
-    /// Takes one repeat, if this gateway's part of the budget has one left.
+    /// Takes one retry. Returns false if this gateway's part of the budget has none left. `gateways` is the number of
+    /// gateways that share the fixed allowance.
     pub fn try_spend(&mut self, now: Duration, gateways: usize) -> bool {
-        self.slice(now);
+        self.current_slice(now);
         let requests: u64 = self.slices.iter().map(|s| s.requests).sum();
-        let repeats: u64 = self.slices.iter().map(|s| s.repeats).sum();
+        let retries: u64 = self.slices.iter().map(|s| s.retries).sum();
         let own_extra = self.terms.extra / gateways.max(1) as f64;
         let allowed = USED_PART * (self.terms.ratio * requests as f64 + own_extra);
-        if (repeats + 1) as f64 > allowed {
+        if (retries + 1) as f64 > allowed {
             return false;
         }
-        self.slice(now).repeats += 1;
+        self.current_slice(now).retries += 1;
         true
     }
 
-    fn slice(&mut self, now: Duration) -> &mut Slice {
-        let length = (self.terms.window / SLICES).as_millis().max(1) as u64;
-        let number = now.as_millis() as u64 / length;
-        let first = (number + 1).saturating_sub(u64::from(SLICES));
-        self.slices.retain(|slice| slice.number >= first);
+    fn current_slice(&mut self, now: Duration) -> &mut Slice {
+        let slice_ms = (self.terms.window / SLICES).as_millis().max(1) as u64;
+        let number = now.as_millis() as u64 / slice_ms;
+        let oldest = (number + 1).saturating_sub(u64::from(SLICES));
+        self.slices.retain(|slice| slice.number >= oldest);
         if self.slices.back().is_none_or(|slice| slice.number < number) {
             self.slices.push_back(Slice {
                 number,
--- a/components/limits/src/send_rate.rs
+++ b/components/limits/src/send_rate.rs
@@ -1,16 +1,16 @@
-//! The rate at which an endpoint takes requests.
+//! The rate limit that an endpoint declares.
 
-/// Requests a second that an endpoint takes of all gateways together; 0 or more.
+/// Requests per second that an endpoint accepts from all gateways together; finite, 0 or more.
 #[derive(Clone, Copy, Debug, PartialEq, PartialOrd)]
 pub struct SendRate(f64);
 
 impl SendRate {
-    /// `None` for what is no rate: a negative or infinite number, or none at all.
+    /// `None` if the number is negative, infinite or NaN.
     pub fn from_per_s(per_s: f64) -> Option<Self> {
         (per_s.is_finite() && per_s >= 0.0).then_some(SendRate(per_s))
     }
 
-    /// Requests a second.
+    /// Requests per second.
     pub fn per_s(self) -> f64 {
         self.0
     }
--- a/components/limits/src/team.rs
+++ b/components/limits/src/team.rs
@@ -1,46 +1,46 @@
-//! The limits of one team at one node: rate, concurrency and spending.
+//! One node's part of a team's limits: rate, concurrency and spending.
 
 use std::time::Duration;
 
 use crate::bucket::TokenBucket;
 
-/// Time to come back when the team's concurrency is used up.
-const CONCURRENCY_RETRY: Duration = Duration::from_millis(200);
-const SECONDS_AN_HOUR: u64 = 3600;
-/// A team may spend this many seconds' worth of its budget at once.
+/// Time after which to retry when the team's concurrency limit is reached.
+const CONCURRENCY_RETRY_AFTER: Duration = Duration::from_millis(200);
+const SECS_PER_HOUR: u64 = 3600;
+/// Seconds' worth of its budget that a team may spend at once.
 const SPENDING_BURST_SECS: u64 = 60;
 
 /// A node's part of a team's limits.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct TeamLimits {
-    /// Requests a second, in thousandths.
+    /// Requests per second, in thousandths.
     pub rate_milli: u64,
-    /// Requests at once.
+    /// Concurrent requests.
     pub concurrency: u64,
-    /// Spending an hour, in thousandths of the currency unit.
+    /// Spending per hour, in thousandths of the currency unit.
     pub budget_milli: u64,
 }
 
-/// Which limit refused a request, and when to come back.
+/// The limit that refused a request, and the time after which to retry.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum LimitExceeded {
-    /// The rate.
+    /// Rate limit.
     Rate(Duration),
-    /// The concurrency.
+    /// Concurrency limit.
     Concurrency(Duration),
-    /// The spending.
+    /// Spending limit.
     Budget(Duration),
 }
 
 impl LimitExceeded {
-    /// When to come back.
+    /// Time after which to retry.
     pub fn retry_after(self) -> Duration {
         match self {
             LimitExceeded::Rate(d) | LimitExceeded::Concurrency(d) | LimitExceeded::Budget(d) => d,
         }
     }
 
-    /// Name of the limit.
+    /// Name of the limit, as it appears in logs and error messages.
     pub fn limit_name(self) -> &'static str {
         match self {
             LimitExceeded::Rate(_) => "rate",
@@ -50,14 +50,14 @@
     }
 }
 
-/// What a team uses at one node.
+/// Usage of one team at one node, checked against the node's part of the team's limits.
 #[derive(Clone, Debug)]
 pub struct TeamMeter {
     limits: TeamLimits,
-    rate: TokenBucket,
-    spending: TokenBucket,
+    rate_bucket: TokenBucket,
+    spending_bucket: TokenBucket,
     running: u64,
-    asked: u64,
+    demand: u64,
 }
 
 impl TeamMeter {
@@ -65,10 +65,14 @@
     pub fn new(now: Duration, limits: TeamLimits) -> Self {
         TeamMeter {
             limits,
-            rate: TokenBucket::new(now, limits.rate_milli),
-            spending: TokenBucket::with_burst(now, spending_rate(limits), SPENDING_BURST_SECS),
+            rate_bucket: TokenBucket::new(now, limits.rate_milli),
+            spending_bucket: TokenBucket::with_burst(
+                now,
+                spending_rate_milli(limits),
+                SPENDING_BURST_SECS,
+            ),
             running: 0,
-            asked: 0,
+            demand: 0,
         }
     }
 
@@ -78,42 +82,44 @@
             return;
         }
         self.limits = limits;
-        self.rate.set_rate(now, limits.rate_milli);
-        self.spending.set_rate(now, spending_rate(limits));
+        self.rate_bucket.set_rate(now, limits.rate_milli);
+        self.spending_bucket
+            .set_rate(now, spending_rate_milli(limits));
     }
 
-    /// Admits a request that will cost about `cost_milli`, or says which limit refuses it.
+    /// Admits a request and charges its estimated cost `cost_milli`, in thousandths of the currency unit, or returns the
+    /// limit that refuses it.
     pub fn admit(&mut self, now: Duration, cost_milli: u64) -> Result<(), LimitExceeded> {
-        self.asked += 1;
+        self.demand += 1;
         if self.running >= self.limits.concurrency.max(1) {
-            return Err(LimitExceeded::Concurrency(CONCURRENCY_RETRY));
+            return Err(LimitExceeded::Concurrency(CONCURRENCY_RETRY_AFTER));
         }
-        self.rate.take(now, 1).map_err(LimitExceeded::Rate)?;
-        self.spending
+        self.rate_bucket.take(now, 1).map_err(LimitExceeded::Rate)?;
+        self.spending_bucket
             .take(now, cost_milli)
             .map_err(LimitExceeded::Budget)?;
         self.running += 1;
         Ok(())
     }
 
-    /// Notes that an admitted request ended; what it cost less than it was charged comes back.
+    /// Records the end of an admitted request, and refunds the part of its charge that was not spent.
     pub fn release(&mut self, now: Duration, unspent_milli: u64) {
         self.running = self.running.saturating_sub(1);
-        self.spending.give_back(now, unspent_milli);
+        self.spending_bucket.give_back(now, unspent_milli);
     }
 
-    /// Requests asked for since the last call, admitted or not: the demand reported to other nodes.
+    /// Requests since the last call, admitted or not: the demand that is reported to other nodes.
     pub fn take_demand(&mut self) -> u64 {
-        std::mem::take(&mut self.asked)
+        std::mem::take(&mut self.demand)
     }
 
-    /// Requests running.
+    /// Admitted requests that have not ended.
     pub fn running(&self) -> u64 {
         self.running
     }
 }
 
-// Thousandths of a thousandth of the currency unit a second.
-fn spending_rate(limits: TeamLimits) -> u64 {
-    limits.budget_milli * 1000 / SECONDS_AN_HOUR
+// Rate of the spending bucket, whose unit is a thousandth of the currency unit: thousandths of that unit per second.
+fn spending_rate_milli(limits: TeamLimits) -> u64 {
+    limits.budget_milli * 1000 / SECS_PER_HOUR
 }
--- a/components/limits/tests/link_budget.rs
+++ b/components/limits/tests/link_budget.rs
@@ -1,36 +1,39 @@
-//! Parts of the link between two regions.
+//! Gateways' parts of the link between two regions.
 
 use std::time::Duration;
 
 use limits::{link_part_bytes_per_s, Decider, LinkBudget};
 use quickcheck::quickcheck;
 
-/// Kilobits a second of the link in these tests.
-const KBIT: u64 = 60_000;
+/// Bandwidth of the link in these tests, in kilobits per second.
+const LINK_KBIT_PER_S: u64 = 60_000;
 
 fn ms(ms: u64) -> Duration {
     Duration::from_millis(ms)
 }
 
 quickcheck! {
-    fn parts_of_all_deciders_never_add_up_to_more_than_the_link(
+    fn parts_of_all_gateways_never_add_up_to_more_than_half_of_the_link(
         kbit: u32, coordinators: u8, gateways: u16
     ) -> bool {
         let kbit = u64::from(kbit);
         let (coordinators, gateways) = (usize::from(coordinators) + 1, usize::from(gateways) + 1);
-        let deciding = link_part_bytes_per_s(kbit, Decider::Coordinator(coordinators)) * coordinators as f64;
+        let coordinating =
+            link_part_bytes_per_s(kbit, Decider::Coordinator(coordinators)) * coordinators as f64;
         let alone = link_part_bytes_per_s(kbit, Decider::Alone(gateways)) * gateways as f64;
-        let carried = kbit as f64 * 125.0;
-        // Half of it stays for what must not wait behind requests.
-        deciding + alone <= carried / 2.0 * (1.0 + 1e-9)
+        let link_bytes_per_s = kbit as f64 * 125.0;
+        // Half of the link is reserved for traffic that must not be queued behind requests.
+        coordinating + alone <= link_bytes_per_s / 2.0 * (1.0 + 1e-9)
     }
 
-    fn what_passes_is_never_more_than_the_part_and_a_second_of_it(asks: Vec<(u16, u16)>) -> bool {
-        let rate = 100_000.0;
-        let mut budget = LinkBudget::new(ms(0), rate);
+    fn bytes_that_pass_never_exceed_the_part_by_more_than_one_second_of_it(
+        requests: Vec<(u16, u16)>
+    ) -> bool {
+        let bytes_per_s = 100_000.0;
+        let mut budget = LinkBudget::new(ms(0), bytes_per_s);
         let mut now = ms(0);
         let mut passed = 0;
-        for (pause, bytes) in asks {
+        for (pause, bytes) in requests {
             now += ms(u64::from(pause % 500));
             let bytes = u64::from(bytes);
             if budget.has_room(now, bytes) {
@@ -38,10 +41,10 @@
                 passed += bytes;
             }
         }
-        passed as f64 <= rate * (now.as_secs_f64() + 1.0)
+        passed as f64 <= bytes_per_s * (now.as_secs_f64() + 1.0)
     }
 
-    fn a_request_of_more_bytes_must_gain_more(bytes: u16, more: u16, idle_ms: u16) -> bool {
+    fn a_larger_request_must_not_gain_less(bytes: u16, more: u16, idle_ms: u16) -> bool {
         let now = ms(u64::from(idle_ms));
         let mut budget = LinkBudget::new(ms(0), 200_000.0);
         let less = budget.min_gain_ms(now, u64::from(bytes));
@@ -50,8 +53,11 @@
 }
 
 #[test]
-fn a_full_part_lets_small_requests_pass_for_little_gain() {
-    let mut budget = LinkBudget::new(ms(0), link_part_bytes_per_s(KBIT, Decider::Coordinator(18)));
+fn a_full_bucket_lets_small_requests_pass_for_a_small_gain() {
+    let mut budget = LinkBudget::new(
+        ms(0),
+        link_part_bytes_per_s(LINK_KBIT_PER_S, Decider::Coordinator(18)),
+    );
     let (small, large) = (1_500, 76_000);
     let small_gain = budget.min_gain_ms(ms(2000), small);
     let large_gain = budget.min_gain_ms(ms(2000), large);
@@ -60,7 +66,7 @@
 }
 
 #[test]
-fn the_less_is_left_the_more_a_request_must_gain() {
+fn the_required_gain_grows_as_the_bucket_empties() {
     let mut budget = LinkBudget::new(ms(0), 100_000.0);
     let mut before = budget.min_gain_ms(ms(2000), 5_000);
     for _ in 0..15 {
@@ -74,7 +80,7 @@
 }
 
 #[test]
-fn the_time_until_there_is_room_is_true() {
+fn there_is_room_once_the_returned_time_has_passed() {
     let mut budget = LinkBudget::new(ms(0), 100_000.0);
     budget.take(ms(2000), 100_000);
     let wait = budget.time_until_room(ms(2000), 30_000);
@@ -83,7 +89,7 @@
 }
 
 #[test]
-fn a_request_larger_than_the_whole_part_passes_once_nothing_was_used_for_a_second() {
+fn a_request_larger_than_the_capacity_passes_once_nothing_was_used_for_a_second() {
     let mut budget = LinkBudget::new(ms(0), 10_000.0);
     assert!(!budget.has_room(ms(900), 50_000));
     assert!(budget.has_room(ms(1000), 50_000));
@@ -92,6 +98,6 @@
 }
 
 #[test]
-fn a_process_that_starts_has_nothing_saved_up() {
+fn a_new_process_starts_with_an_empty_bucket() {
     assert!(!LinkBudget::new(ms(7000), 100_000.0).has_room(ms(7000), 1));
 }
--- a/components/limits/tests/send_accounts.rs
+++ b/components/limits/tests/send_accounts.rs
@@ -1,4 +1,5 @@
-//! A fleet in virtual time that sends to one endpoint under a limit: what any number of gateways send together in four seconds.
+//! Simulates, in virtual time, gateways that send to one endpoint with a rate limit, and checks how many requests they send
+//! together in any four seconds.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -8,35 +9,35 @@
 use rand_chacha::ChaCha8Rng;
 
 const START: u64 = 7;
-/// The users' rule counts requests in this time, in ms.
-const WINDOW: u64 = 4_000;
-const STEP: u64 = 5;
-/// A gateway that hears nothing of a keeper goes on asking it for so long, in ms.
-const SILENT_AFTER: u64 = 1_500;
-/// Gateways notice the same at times that differ by up to this, in ms.
-const VIEWS_DIFFER: u64 = 500;
-/// A granted send leaves within this time, in ms, or never.
-const GRANT_LIFE: u64 = 250;
-/// A query without a reply is given up, and the endpoint passed over, for this long, in ms.
-const KEEPER_PAUSE: u64 = 250;
-/// Longest way of a message, in ms.
-const LONGEST_WAY: u64 = 30;
+/// Sliding window for which the number of requests is bounded, in ms.
+const WINDOW_MS: u64 = 4_000;
+const STEP_MS: u64 = 5;
+/// Time for which a gateway still asks a keeper that has fallen silent, in ms.
+const SILENT_AFTER_MS: u64 = 1_500;
+/// Maximum difference between the times at which gateways notice the same change, in ms.
+const MAX_VIEW_SKEW_MS: u64 = 500;
+/// Time within which a granted send leaves the gateway, in ms; after it the grant is lost.
+const GRANT_TTL_MS: u64 = 250;
+/// Time for which a gateway skips the endpoint after a query without a reply, in ms.
+const KEEPER_PAUSE_MS: u64 = 250;
+/// Maximum network delay of a message, in ms.
+const MAX_NETWORK_DELAY_MS: u64 = 30;
 
-/// What happens to the keepers.
+/// Faults of the keepers and of the messages to them.
 #[derive(Clone, Copy, Debug, PartialEq)]
 enum Fault {
     None,
-    /// Some messages are lost.
+    /// A tenth of the queries and of the replies is lost.
     Losses,
-    /// The keeper ends and another follows, again and again, each time in ms.
+    /// The keeper is killed and another takes over, repeatedly, at this interval in ms.
     Killed(u64),
-    /// The keeper stands still, others follow, and it goes on with what it had.
-    Frozen,
-    /// The gateways are parted in two, each with a keeper of its own.
-    Cut,
+    /// The keeper's process is suspended, another takes over, and the first resumes with its old state.
+    Suspended,
+    /// A network partition splits the gateways into two groups, each with its own keeper.
+    Partition,
 }
 
-struct World {
+struct Simulation {
     rng: ChaCha8Rng,
     fault: Fault,
     per_s: f64,
@@ -45,18 +46,19 @@
 }
 
 struct Sender {
-    /// When it wants to send next.
-    wants_at: u64,
-    /// Until when it knows the limit as used up.
-    spent_until: u64,
-    /// How far behind its view of the keepers is, in ms.
-    behind: u64,
+    /// When it has its next request, in ms.
+    next_request_at: u64,
+    /// Until when it takes the limit to be used up, in ms.
+    limit_used_up_until: u64,
+    /// Delay of its view of the keepers, in ms.
+    view_delay_ms: u64,
+    /// Its side of the partition, which is also the number of the keeper there.
     side: usize,
 }
 
-impl World {
+impl Simulation {
     fn new(seed: u64, fault: Fault, per_s: f64) -> Self {
-        World {
+        Simulation {
             rng: ChaCha8Rng::seed_from_u64(seed),
             fault,
             per_s,
@@ -65,32 +67,32 @@
         }
     }
 
-    /// The keeper that runs, and the one that a sender asks; a number for each process.
+    /// Numbers of the keeper process that runs and of the one that a sender asks.
     fn keepers_at(&self, now: u64, sender: &Sender) -> (usize, usize) {
-        let seen = now.saturating_sub(SILENT_AFTER + sender.behind);
+        let seen = now.saturating_sub(SILENT_AFTER_MS + sender.view_delay_ms);
         match self.fault {
             Fault::None | Fault::Losses => (0, 0),
             Fault::Killed(every) => ((now / every) as usize, (seen / every) as usize),
-            // It stands still in every other bout, and is seen again at once.
-            Fault::Frozen => {
-                let stands_still = |at: u64| at / 5_000 % 2 == 1;
-                match (stands_still(now), stands_still(now) && stands_still(seen)) {
+            // It is suspended in every other period of 5 s, and seen again as soon as it resumes.
+            Fault::Suspended => {
+                let is_suspended = |at: u64| at / 5_000 % 2 == 1;
+                match (is_suspended(now), is_suspended(now) && is_suspended(seen)) {
                     (true, true) => (1, 1),
                     (true, false) => (1, 0),
                     (false, _) => (0, 0),
                 }
             }
-            Fault::Cut => match now < 6_000 + SILENT_AFTER + sender.behind {
+            Fault::Partition => match now < 6_000 + SILENT_AFTER_MS + sender.view_delay_ms {
                 true => (0, 0),
                 false => (sender.side, sender.side),
             },
         }
     }
 
-    // Part of the limit that a keeper hands out, by the gateways that it hears.
+    // Part of the limit that a keeper may grant, by the part of the gateways that it hears.
     fn part(&self, now: u64, keeper: usize) -> f64 {
-        let is_cut = self.fault == Fault::Cut && now >= 6_000 + SILENT_AFTER;
-        match (is_cut, keeper) {
+        let is_partitioned = self.fault == Fault::Partition && now >= 6_000 + SILENT_AFTER_MS;
+        match (is_partitioned, keeper) {
             (false, _) => 1.0,
             (true, 0) => 0.7,
             (true, _) => 0.3,
@@ -99,19 +101,20 @@
 
     fn is_reached(&mut self, now: u64, sender: &Sender, asked: usize) -> bool {
         let (running, _) = self.keepers_at(now, sender);
-        let is_beyond_cut = self.fault == Fault::Cut && now >= 6_000 && sender.side != asked;
+        let is_beyond_partition =
+            self.fault == Fault::Partition && now >= 6_000 && sender.side != asked;
         let runs = match self.fault {
-            Fault::Killed(_) | Fault::Frozen => running == asked,
+            Fault::Killed(_) | Fault::Suspended => running == asked,
             _ => true,
         };
         let is_lost = self.fault == Fault::Losses && self.rng.random_bool(0.1);
-        runs && !is_beyond_cut && !is_lost
+        runs && !is_beyond_partition && !is_lost
     }
 
     fn ask(&mut self, now: u64, sender: &mut Sender) {
         let (_, asked) = self.keepers_at(now, sender);
         if !self.is_reached(now, sender, asked) {
-            sender.spent_until = now + KEEPER_PAUSE;
+            sender.limit_used_up_until = now + KEEPER_PAUSE_MS;
             return;
         }
         let terms = SendTerms {
@@ -122,45 +125,45 @@
         let account = self.keepers.entry(asked).or_default();
         match account.take(Duration::from_millis(now), START, terms) {
             Err(wait) => {
-                let way = self.rng.random_range(1..LONGEST_WAY);
-                sender.spent_until = now + way + wait.as_millis() as u64;
+                let network_delay = self.rng.random_range(1..MAX_NETWORK_DELAY_MS);
+                sender.limit_used_up_until = now + network_delay + wait.as_millis() as u64;
             }
             Ok(()) if self.fault == Fault::Losses && self.rng.random_bool(0.1) => {
-                sender.spent_until = now + KEEPER_PAUSE;
+                sender.limit_used_up_until = now + KEEPER_PAUSE_MS;
             }
             Ok(()) => {
-                let leaves = now + self.rng.random_range(0..GRANT_LIFE);
+                let leaves = now + self.rng.random_range(0..GRANT_TTL_MS);
                 self.arrivals.push(leaves);
             }
         }
     }
 
-    /// All gateways together want to send so many times what the limit allows.
+    /// Runs until `until` ms, with requests at `times` the rate that the limit allows, over all gateways.
     fn run(&mut self, gateways: usize, times: f64, until: u64) {
         let gap = (gateways as f64 * 1000.0 / (times * self.per_s)).max(1.0) as u64;
         let mut senders: Vec<Sender> = (0..gateways)
             .map(|i| Sender {
-                wants_at: self.rng.random_range(0..=gap),
-                spent_until: 0,
-                behind: self.rng.random_range(0..VIEWS_DIFFER),
+                next_request_at: self.rng.random_range(0..=gap),
+                limit_used_up_until: 0,
+                view_delay_ms: self.rng.random_range(0..MAX_VIEW_SKEW_MS),
                 side: usize::from(i % 10 >= 7),
             })
             .collect();
-        for now in (0..until).step_by(STEP as usize) {
+        for now in (0..until).step_by(STEP_MS as usize) {
             for sender in &mut senders {
-                if now >= sender.wants_at.max(sender.spent_until) {
+                if now >= sender.next_request_at.max(sender.limit_used_up_until) {
                     self.ask(now, sender);
-                    sender.wants_at = now + self.rng.random_range(1..=2 * gap);
+                    sender.next_request_at = now + self.rng.random_range(1..=2 * gap);
                 }
             }
         }
         self.arrivals.sort_unstable();
     }
 
-    fn most_in_window(&self) -> usize {
+    fn max_in_window(&self) -> usize {
         let arrivals = &self.arrivals;
         let in_window = |(i, from): (usize, &u64)| {
-            let end = arrivals.partition_point(|at| *at < from + WINDOW);
+            let end = arrivals.partition_point(|at| *at < from + WINDOW_MS);
             end - i
         };
         let counts = arrivals.iter().enumerate().map(in_window);
@@ -168,55 +171,56 @@
     }
 
     fn allowed(&self) -> usize {
-        (1.5 * self.per_s * WINDOW as f64 / 1000.0 + 5.0) as usize
+        (1.5 * self.per_s * WINDOW_MS as f64 / 1000.0 + 5.0) as usize
     }
 }
 
-const FLEETS: [usize; 4] = [9, 83, 323, 986];
+const GATEWAY_COUNTS: [usize; 4] = [9, 83, 323, 986];
 const RATES: [f64; 4] = [0.3, 1.0, 4.0, 40.0];
 
-// Guards against a sum past an endpoint's limit that grows with the gateways, or while another keeper follows.
+// Guards against sends beyond an endpoint's limit that grow with the number of gateways or occur while another keeper takes
+// over.
 #[test]
-fn no_number_of_gateways_sends_more_than_the_users_rule_allows_whatever_befalls_the_keepers() {
+fn no_number_of_gateways_exceeds_the_allowed_sends_under_any_keeper_fault() {
     let faults = [
         Fault::None,
         Fault::Losses,
         Fault::Killed(6_000),
         Fault::Killed(2_300),
-        Fault::Frozen,
-        Fault::Cut,
+        Fault::Suspended,
+        Fault::Partition,
     ];
-    for gateways in FLEETS {
+    for gateways in GATEWAY_COUNTS {
         for per_s in RATES {
             for (seed, fault) in (0..).zip(faults) {
-                let mut world = World::new(seed, fault, per_s);
-                world.run(gateways, 5.0, 30_000);
-                let (most, allowed) = (world.most_in_window(), world.allowed());
+                let mut simulation = Simulation::new(seed, fault, per_s);
+                simulation.run(gateways, 5.0, 30_000);
+                let (max_sent, allowed) = (simulation.max_in_window(), simulation.allowed());
                 assert!(
-                    most <= allowed,
-                    "{most}, {allowed} allowed: {gateways} gateways, {per_s} a second, {fault:?}"
+                    max_sent <= allowed,
+                    "{max_sent}, {allowed} allowed: {gateways} gateways, {per_s} a second, {fault:?}"
                 );
             }
         }
     }
 }
 
-// Guards against a limit that is kept by sending less than the endpoint takes.
+// Guards against a limit that is enforced by sending far less than the endpoint accepts.
 #[test]
-fn nine_tenths_of_a_limit_are_used_where_all_are_in_touch_and_there_is_demand() {
-    for gateways in FLEETS {
+fn nine_tenths_of_a_limit_are_used_without_faults_and_with_enough_demand() {
+    for gateways in GATEWAY_COUNTS {
         for per_s in RATES {
-            let mut world = World::new(1, Fault::None, per_s);
+            let mut simulation = Simulation::new(1, Fault::None, per_s);
             let seconds = 60.0_f64.max(40.0 / per_s);
-            world.run(gateways, 3.0, (seconds * 1000.0) as u64);
-            let used = world.arrivals.len() as f64 / (per_s * seconds);
+            simulation.run(gateways, 3.0, (seconds * 1000.0) as u64);
+            let used = simulation.arrivals.len() as f64 / (per_s * seconds);
             assert!(used >= 0.9, "{used}: {gateways} gateways, {per_s} a second");
         }
     }
 }
 
 #[test]
-fn an_endpoint_that_takes_none_is_asked_now_and_then_whether_that_still_holds() {
+fn an_endpoint_that_accepts_no_requests_still_gets_one_now_and_then() {
     let mut accounts = SendAccounts::default();
     let terms = SendTerms {
         rate: SendRate::from_per_s(0.0).unwrap(),
@@ -231,7 +235,7 @@
 }
 
 #[test]
-fn less_urgent_requests_leave_a_send_for_urgent_ones() {
+fn requests_that_are_not_urgent_leave_a_send_for_urgent_ones() {
     let mut accounts = SendAccounts::default();
     let mut take = |ms, urgent| {
         let terms = SendTerms {
@@ -247,9 +251,9 @@
     assert!(take(3_500, false).is_ok());
 }
 
-// Guards against a rush whose line is told to others long after it is over.
+// Guards against retry times that stay spread over a burst of requests long after it is over.
 #[test]
-fn after_a_rush_the_time_to_come_back_is_that_of_the_next_send_again() {
+fn after_a_burst_the_retry_time_is_that_of_the_next_send_again() {
     let mut accounts = SendAccounts::default();
     let terms = SendTerms {
         rate: SendRate::from_per_s(1.0).unwrap(),
@@ -261,7 +265,7 @@
         let wait = take(0).unwrap_err();
         assert!(wait <= Duration::from_secs(4), "{wait:?}");
     }
-    // The line is over; what was saved up is taken, and the next send is a second away.
+    // The spread retry times have passed: the saved-up sends are taken, and the next one is a second away.
     for _ in 0..3 {
         assert_eq!(take(6_000), Ok(()));
     }
--- a/components/limits/tests/shared_quotas.rs
+++ b/components/limits/tests/shared_quotas.rs
@@ -1,4 +1,4 @@
-//! Limits that several gateways keep together.
+//! Rate limits and retry budgets that several gateways enforce together.
 
 use std::time::Duration;
 
@@ -14,8 +14,8 @@
     Duration::from_millis(ms)
 }
 
-/// Units admitted by gateways that report to each other their totals every 100 ms, in 20 s.
-fn admitted(gateways: usize, hear: bool, part: f64) -> u64 {
+/// Units that the gateways admit in 20 s; with `reports`, they exchange their totals every 100 ms.
+fn admitted(gateways: usize, reports: bool, part: f64) -> u64 {
     let mut quotas: Vec<SharedQuota> = (0..gateways)
         .map(|_| SharedQuota::new(Duration::ZERO, LIMIT))
         .collect();
@@ -26,7 +26,7 @@
         for quota in &mut quotas {
             let _ = quota.take(ms(now), 10, true);
         }
-        if hear && now % 100 == 0 {
+        if reports && now % 100 == 0 {
             let totals: Vec<u64> = quotas.iter().map(SharedQuota::taken).collect();
             for (i, quota) in quotas.iter_mut().enumerate() {
                 for (j, total) in totals.iter().enumerate().filter(|(j, _)| *j != i) {
@@ -39,19 +39,19 @@
 }
 
 #[test]
-fn gateways_in_touch_keep_the_limit_together() {
+fn gateways_that_exchange_reports_enforce_the_limit_together() {
     let sum = admitted(8, true, 1.0);
     assert!((19_000..=26_000).contains(&sum), "{sum}");
 }
 
 #[test]
-fn gateways_out_of_touch_keep_it_with_their_parts() {
+fn gateways_without_reports_enforce_the_limit_with_their_parts() {
     let sum = admitted(8, false, 1.0 / 8.0);
     assert!((19_000..=25_000).contains(&sum), "{sum}");
 }
 
 #[test]
-fn a_lowered_limit_binds_at_once() {
+fn a_lowered_limit_takes_effect_at_once() {
     let mut quota = SharedQuota::new(Duration::ZERO, LIMIT);
     quota.set_limit(
         ms(10_000),
@@ -67,7 +67,7 @@
 }
 
 #[test]
-fn what_a_process_took_before_it_was_heard_of_is_not_charged() {
+fn units_that_an_old_process_took_before_its_first_report_are_not_charged() {
     let mut quota = SharedQuota::new(Duration::ZERO, LIMIT);
     quota.receive(ms(1), "b", 1, 1_000_000, false);
     assert!(quota.take(ms(2), 100, true).is_ok());
@@ -76,15 +76,15 @@
 }
 
 quickcheck! {
-    fn repeats_stay_within_the_budget_in_every_window(calls: Vec<(u8, bool)>) -> bool {
+    fn retries_stay_within_the_budget_in_every_window(events: Vec<(u8, bool)>) -> bool {
         let terms = RetryTerms { ratio: 0.2, extra: 16.0, window: Duration::from_secs(10) };
         let gateways = 4;
         let mut budget = RetryBudget::new(terms);
         let mut now = Duration::ZERO;
         let mut log: Vec<(Duration, bool)> = Vec::new();
-        for (pause, repeat) in calls {
+        for (pause, is_retry) in events {
             now += ms(u64::from(pause) * 4);
-            if !repeat {
+            if !is_retry {
                 budget.record_request(now);
                 log.push((now, false));
             } else if budget.try_spend(now, gateways) {
@@ -93,34 +93,34 @@
         }
         log.iter().all(|(end, _)| {
             let inside = |(at, _): &&(Duration, bool)| *at <= *end && *at + ms(9_000) > *end;
-            let repeats = log.iter().filter(inside).filter(|(_, r)| *r).count() as f64;
-            // A window may reach into the one before it.
+            let retries = log.iter().filter(inside).filter(|(_, r)| *r).count() as f64;
+            // The budget counts in slices, so the window that it counts is between 9 s and 10 s long.
             let requests = log.iter().filter(|(at, r)| !r && *at <= *end && *at + terms.window > *end);
-            repeats <= terms.ratio * requests.count() as f64 + terms.extra / gateways as f64
+            retries <= terms.ratio * requests.count() as f64 + terms.extra / gateways as f64
         })
     }
 }
 
-/// Most units admitted in any 8 s by gateways that report to each other their totals once in `pause` ms,
-/// each at another moment, while a tenant asks for twelve times its limit.
-fn most_in_a_window(gateways: u64, pause: u64) -> u64 {
+/// Maximum units admitted in any 8 s by gateways that report their totals to each other every `pause_ms`,
+/// each at a different moment, while a tenant requests twelve times its limit.
+fn max_in_a_window(gateways: u64, pause_ms: u64) -> u64 {
     const UNITS: u64 = 10;
     let mut quotas: Vec<SharedQuota> = (0..gateways)
         .map(|_| SharedQuota::new(Duration::ZERO, LIMIT))
         .collect();
-    let asked_every = gateways * 1000 * UNITS / (12 * LIMIT.rate as u64);
+    let request_interval_ms = gateways * 1000 * UNITS / (12 * LIMIT.rate as u64);
     let mut admitted: Vec<u64> = Vec::new();
     for now in 0..20_000 {
         let mut sum = 0;
         for (i, quota) in quotas.iter_mut().enumerate() {
-            let asks = (now + i as u64 * 7).is_multiple_of(asked_every);
+            let asks = (now + i as u64 * 7).is_multiple_of(request_interval_ms);
             if asks && quota.take(ms(now), UNITS, true).is_ok() {
                 sum += UNITS;
             }
         }
         admitted.push(sum);
         for reported in 0..gateways {
-            if (now + reported * pause / gateways).is_multiple_of(pause) {
+            if (now + reported * pause_ms / gateways).is_multiple_of(pause_ms) {
                 let total = quotas[reported as usize].taken();
                 let others = quotas.iter_mut().enumerate();
                 for (_, quota) in others.filter(|(i, _)| *i != reported as usize) {
@@ -134,20 +134,20 @@
 }
 
 #[test]
-fn eight_gateways_keep_a_tenth_over_the_limit_in_every_window() {
-    let most = most_in_a_window(8, 100);
-    assert!(most <= 9_900, "{most}");
+fn eight_gateways_admit_at_most_a_tenth_over_the_limit_in_every_window() {
+    let max_admitted = max_in_a_window(8, 100);
+    assert!(max_admitted <= 9_900, "{max_admitted}");
 }
 
 #[test]
-fn many_gateways_with_old_gossip_keep_a_tenth_over_the_limit_in_every_window() {
-    let most = most_in_a_window(83, 500);
-    assert!(most <= 9_900, "{most}");
+fn many_gateways_with_old_gossip_admit_at_most_a_tenth_over_the_limit_in_every_window() {
+    let max_admitted = max_in_a_window(83, 500);
+    assert!(max_admitted <= 9_900, "{max_admitted}");
 }
 
-/// Most units admitted in any 8 s by gateways that all start at once, know of each other's addresses
-/// only, and first hear each other within `pause` ms.
-fn most_after_a_common_start(gateways: u64, pause: u64) -> u64 {
+/// Maximum units admitted in any 8 s by gateways that all start at once, know only each other's
+/// addresses, and first hear each other within `pause_ms`.
+fn max_after_a_common_start(gateways: u64, pause_ms: u64) -> u64 {
     const UNITS: u64 = 10;
     let own_part = 1.0 / gateways as f64;
     let mut quotas: Vec<SharedQuota> = (0..gateways)
@@ -166,11 +166,11 @@
         }
         admitted.push(sum);
         for reported in 0..gateways {
-            if !(now + reported * pause / gateways).is_multiple_of(pause) {
+            if !(now + reported * pause_ms / gateways).is_multiple_of(pause_ms) {
                 continue;
             }
             let total = quotas[reported as usize].taken();
-            let heard = (now.min(pause) * gateways / pause).max(1) as f64;
+            let heard = (now.min(pause_ms) * gateways / pause_ms).max(1) as f64;
             let others = quotas.iter_mut().enumerate();
             for (_, quota) in others.filter(|(i, _)| *i != reported as usize) {
                 quota.receive(ms(now), &reported.to_string(), 1, total, true);
@@ -183,15 +183,15 @@
 }
 
 #[test]
-fn many_gateways_that_start_at_once_keep_a_tenth_over_the_limit_in_every_window() {
-    let most = most_after_a_common_start(83, 500);
-    assert!(most <= 9_900, "{most}");
+fn many_gateways_that_start_at_once_admit_at_most_a_tenth_over_the_limit_in_every_window() {
+    let max_admitted = max_after_a_common_start(83, 500);
+    assert!(max_admitted <= 9_900, "{max_admitted}");
 }
 
 #[test]
-fn what_is_not_urgent_leaves_room_where_a_limit_is_short() {
+fn a_request_that_is_not_urgent_leaves_headroom_for_urgent_ones() {
     let mut quota = SharedQuota::new(Duration::ZERO, LIMIT);
-    // A full bucket serves both.
+    // A full bucket serves urgent and other requests.
     assert!(quota.take(ms(2000), 10, false).is_ok());
     assert!(quota.take(ms(2000), 890, true).is_ok());
     assert!(quota.take(ms(2000), 10, false).is_err());
