--- a/components/quarantine/src/completions.rs
+++ b/components/quarantine/src/completions.rs
@@ -1,42 +1,42 @@
-//! Contents that ran to their end lately.
+//! Contents that recently ran to completion.
 
 use std::time::Duration;
 
 use crate::Fingerprint;
 
-/// A whole run speaks for its content this long.
-const SPEAKS_FOR: Duration = Duration::from_secs(60);
-/// Contents remembered; the newest of those that share a place stays. 24 bytes each.
-const PLACES: usize = 1024;
+/// How long after a completed run endpoints that end while running the content are ignored.
+const COMPLETION_TTL: Duration = Duration::from_secs(60);
+/// Number of entries; of contents with the same index, the newest is kept. 24 bytes each.
+const TABLE_SIZE: usize = 1024;
 
-/// A bounded memory of contents that ran to their end. What many callers ask for runs often enough to be found here, so an
-/// endpoint that ends under it says nothing against it.
+/// A table of fixed size with contents that ran to completion. Content that many callers request completes often enough to
+/// be found here, so an endpoint that ends while running it does not make it suspect.
 #[derive(Debug)]
-pub(crate) struct WholeRuns {
-    places: Vec<Option<(Fingerprint, Duration)>>,
+pub(crate) struct RecentCompletions {
+    entries: Vec<Option<(Fingerprint, Duration)>>,
 }
 
-impl Default for WholeRuns {
+impl Default for RecentCompletions {
     fn default() -> Self {
-        WholeRuns {
-            places: vec![None; PLACES],
+        RecentCompletions {
+            entries: vec![None; TABLE_SIZE],
         }
     }
 }
 
-impl WholeRuns {
-    /// Notes a whole run.
-    pub fn note(&mut self, now: Duration, content: Fingerprint) {
-        self.places[place_of(content)] = Some((content, now));
+impl RecentCompletions {
+    /// Records a completed run.
+    pub fn record(&mut self, now: Duration, content: Fingerprint) {
+        self.entries[index_of(content)] = Some((content, now));
     }
 
-    /// Whether a content ran whole lately.
-    pub fn has(&self, now: Duration, content: Fingerprint) -> bool {
-        let noted = self.places[place_of(content)];
-        noted.is_some_and(|(noted, at)| noted == content && now < at + SPEAKS_FOR)
+    /// Whether a content completed within [`COMPLETION_TTL`], as far as the table still holds it.
+    pub fn contains(&self, now: Duration, content: Fingerprint) -> bool {
+        let entry = self.entries[index_of(content)];
+        entry.is_some_and(|(recorded, at)| recorded == content && now < at + COMPLETION_TTL)
     }
 }
 
-fn place_of(content: Fingerprint) -> usize {
-    (content.0 % PLACES as u64) as usize
+fn index_of(content: Fingerprint) -> usize {
+    (content.0 % TABLE_SIZE as u64) as usize
 }
--- a/components/quarantine/src/fingerprint.rs
+++ b/components/quarantine/src/fingerprint.rs
@@ -1,22 +1,22 @@
-//! What a request asks for, whoever sends it on and however often.
+//! Hash of a request's content, which is the same for every retry and at every gateway.
 
 use std::fmt;
 
 use xxhash_rust::xxh3::Xxh3Default;
 
-/// What makes two requests the same: everything that an endpoint runs by, and nothing that is new for each try, such as
-/// the id.
+/// The fields that identify a request's content: everything that determines what an endpoint runs, and nothing that
+/// changes with each retry, such as the id.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Content<'a> {
-    /// Method of the request.
+    /// HTTP method.
     pub method: &'a str,
-    /// Host it is addressed to.
+    /// Host that the request is addressed to.
     pub host: &'a str,
     /// Path and query.
     pub target: &'a str,
-    /// Team that asks; `None` on routes that need no key.
+    /// Team of the caller; `None` on routes that need no API key.
     pub team: Option<&'a str>,
-    /// Whole body.
+    /// Complete body.
     pub body: &'a [u8],
 }
 
@@ -25,7 +25,7 @@
 pub struct Fingerprint(pub u64);
 
 impl Fingerprint {
-    /// The fingerprint of a content.
+    /// Computes the fingerprint of a content.
     pub fn of(content: &Content<'_>) -> Self {
         let mut hash = Xxh3Default::new();
         let team = content.team.map(str::as_bytes);
@@ -37,7 +37,7 @@
             Some(content.body),
         ];
         for field in fields {
-            // Lengths keep fields apart: the end of one is not the beginning of the next.
+            // The length prefix separates the fields, so that bytes moved from one field to the next change the hash.
             let length = field.map_or(u64::MAX, |bytes| bytes.len() as u64);
             hash.update(&length.to_le_bytes());
             hash.update(field.unwrap_or_default());
--- a/components/quarantine/src/lib.rs
+++ b/components/quarantine/src/lib.rs
@@ -1,7 +1,7 @@
-//! Requests that end the endpoints which run them, and what is sent to no endpoint any more.
+//! Quarantine of requests that crash the endpoints which run them.
 //!
-//! What is known belongs to a request's content: it outlives the attempt, the connection and the caller's next try with a
-//! new id, and every gateway reckons the same from the same observations.
+//! State is kept by a request's content, not its id, so it outlives the attempt, the connection and the caller's retry with
+//! a new id. All gateways that have the same observations come to the same result.
 
 mod completions;
 mod fingerprint;
--- a/components/quarantine/src/quarantine.rs
+++ b/components/quarantine/src/quarantine.rs
@@ -1,80 +1,81 @@
-//! Who is suspected, and what is held back.
+//! Contents that are suspected of ending endpoints, and contents that are held back.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
 
 use lru::LruCache;
 
-use crate::completions::WholeRuns;
+use crate::completions::RecentCompletions;
 use crate::Fingerprint;
 
-/// Endpoints that end under one content before it is held back. With two, a caller's own second try in a time when endpoints
-/// end for other reasons would do.
-const ENDS_TO_HOLD: usize = 3;
-/// From so many on, what is cut off is left to its caller: sending it on would end the next endpoint at once, with all that
-/// runs there.
-const ENDS_TO_STOP_REPEATS: usize = 2;
-/// A suspicion is forgotten so long after the last end.
-const SUSPECTED_FOR: Duration = Duration::from_secs(600);
-/// Time for which a content is held back first. Long beside the minutes in which callers try again, short enough that an
-/// engine which was mended meanwhile gets to show it.
-const FIRST_HOLD: Duration = Duration::from_secs(900);
-/// Each further time is so many times longer.
+/// Number of endpoints that have to end while running a content before it is held back. With two, a single retry by the
+/// caller would be enough at times when endpoints end for other reasons.
+const MIN_ENDS_TO_HOLD: usize = 3;
+/// Number of ended endpoints from which gateways do not retry a content that was cut off, but leave that to the caller: a
+/// retry would end the next endpoint at once, with everything that runs there.
+const MIN_ENDS_TO_STOP_RETRIES: usize = 2;
+/// How long after the last ended endpoint a suspicion expires.
+const SUSPICION_TTL: Duration = Duration::from_secs(600);
+/// Duration of a content's first hold. Long compared with the minutes in which callers retry, and short enough that a
+/// fixed engine soon gets the content again.
+const INITIAL_HOLD: Duration = Duration::from_secs(900);
+/// Factor by which each further hold is longer.
 const HOLD_GROWTH: u32 = 8;
-/// Longest time for which a content is held back.
-const LONGEST_HOLD: Duration = Duration::from_secs(24 * 3600);
-/// Suspects remembered, the newest ones: all that ran on 100 endpoints of 20 requests each. Some 100 bytes each.
-const MOST_SUSPECTS: usize = 2048;
-/// Contents held back at once; the one that would be let go first gives way.
-const MOST_HELD: usize = 256;
-/// What was held back within this time is reported before the rest.
-const NEW_FOR: Duration = Duration::from_secs(3);
-
-/// What one gateway saw of a content, as the others hear it.
+/// Maximum duration of a hold.
+const MAX_HOLD: Duration = Duration::from_secs(24 * 3600);
+/// Maximum number of suspects; the least recently reported one is evicted. Enough for all requests of 100 endpoints that
+/// run 20 each. About 100 bytes each.
+const MAX_SUSPECTS: usize = 2048;
+/// Maximum number of holds; the one that expires first is evicted.
+const MAX_HOLDS: usize = 256;
+/// How long after its last change a hold counts as new, and is reported before the others.
+const NEW_HOLD_PERIOD: Duration = Duration::from_secs(3);
+
+/// What one gateway observed of a content and reports to the others.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Observation {
-    /// An endpoint, by its hash, ended while it ran it.
+    /// An endpoint ended while it ran the content.
     Ended {
         /// The content.
         content: Fingerprint,
-        /// Hash of the endpoint.
+        /// Hash that identifies the endpoint and its start.
         endpoint: u64,
     },
-    /// It ran to its end.
+    /// The content ran to completion.
     Completed(Fingerprint),
 }
 
-/// A content that is held back.
+/// The hold of a content, as gateways report it and the store keeps it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Held {
     /// The content.
     pub content: Fingerprint,
-    /// Time left; zero if it was let go.
+    /// Time until the hold ends; zero if it has ended.
     pub remaining: Duration,
-    /// How often it was held back so far, 1 or more.
+    /// How often the content was held back so far, 1 or more.
     pub hold_count: u32,
 }
 
 #[derive(Clone, Debug, Default)]
 struct Suspect {
-    // Hashes of endpoints, each once.
+    // Hashes of the endpoints that ended, without duplicates.
     ended: Vec<u64>,
-    last: Duration,
+    last_end: Duration,
 }
 
 #[derive(Clone, Copy, Debug)]
 struct Hold {
     until: Duration,
     hold_count: u32,
-    since: Duration,
+    changed_at: Duration,
 }
 
-/// What one gateway knows of contents that end endpoints.
+/// What one gateway knows of contents that end endpoints: suspects, holds and recent completions.
 #[derive(Debug)]
 pub struct Quarantine {
     suspects: LruCache<Fingerprint, Suspect>,
     holds: BTreeMap<Fingerprint, Hold>,
-    whole: WholeRuns,
+    completions: RecentCompletions,
 }
 
 impl Default for Quarantine {
@@ -82,57 +83,57 @@
         Quarantine {
             suspects: LruCache::unbounded(),
             holds: BTreeMap::new(),
-            whole: WholeRuns::default(),
+            completions: RecentCompletions::default(),
         }
     }
 }
 
 impl Quarantine {
-    /// Takes what this or another gateway saw. Returns whether it was news; what comes twice counts once.
+    /// Records what this or another gateway observed. Returns whether it was news; duplicates count once.
     pub fn record(&mut self, now: Duration, observation: Observation) -> bool {
         match observation {
-            Observation::Ended { content, endpoint } => self.note_end(now, content, endpoint),
-            Observation::Completed(content) => self.note_whole(now, content),
+            Observation::Ended { content, endpoint } => self.record_end(now, content, endpoint),
+            Observation::Completed(content) => self.record_completion(now, content),
         }
     }
 
-    fn note_end(&mut self, now: Duration, content: Fingerprint, endpoint: u64) -> bool {
-        if self.whole.has(now, content) || self.remaining_hold(now, content).is_some() {
+    fn record_end(&mut self, now: Duration, content: Fingerprint, endpoint: u64) -> bool {
+        if self.completions.contains(now, content) || self.remaining_hold(now, content).is_some() {
             return false;
         }
         let suspect = self.suspects.get_or_insert_mut(content, Suspect::default);
-        if now >= suspect.last + SUSPECTED_FOR {
+        if now >= suspect.last_end + SUSPICION_TTL {
             suspect.ended.clear();
         }
         if suspect.ended.contains(&endpoint) {
             return false;
         }
         suspect.ended.push(endpoint);
-        suspect.last = now;
+        suspect.last_end = now;
         let ended = suspect.ended.len();
         let hold_count = self.holds.get(&content).map_or(0, |hold| hold.hold_count);
-        // What was held back before has shown what it does.
-        if ended >= ENDS_TO_HOLD || hold_count > 0 {
-            self.hold(now, content, hold_count + 1);
-        } else if self.suspects.len() > MOST_SUSPECTS {
+        // A content that was held back before is held back again at its next ended endpoint.
+        if ended >= MIN_ENDS_TO_HOLD || hold_count > 0 {
+            self.start_hold(now, content, hold_count + 1);
+        } else if self.suspects.len() > MAX_SUSPECTS {
             self.suspects.pop_lru();
         }
         true
     }
 
-    fn hold(&mut self, now: Duration, content: Fingerprint, hold_count: u32) {
+    fn start_hold(&mut self, now: Duration, content: Fingerprint, hold_count: u32) {
         self.suspects.pop(&content);
         let hold = Hold {
-            until: now + hold_time(hold_count),
+            until: now + hold_duration(hold_count),
             hold_count,
-            since: now,
+            changed_at: now,
         };
         self.holds.insert(content, hold);
-        self.make_room();
+        self.evict_excess_hold();
     }
 
-    fn make_room(&mut self) {
-        if self.holds.len() > MOST_HELD {
+    fn evict_excess_hold(&mut self) {
+        if self.holds.len() > MAX_HOLDS {
             let first = self.holds.iter().min_by_key(|(_, hold)| hold.until);
             if let Some(content) = first.map(|(content, _)| *content) {
                 self.holds.remove(&content);
@@ -140,76 +141,84 @@
         }
     }
 
-    // News only where it was suspected or held back; other gateways know no more of it than this one.
-    fn note_whole(&mut self, now: Duration, content: Fingerprint) -> bool {
-        self.whole.note(now, content);
+    // A completion is news only for a content that was suspected or held back here: the other gateways suspect and hold back
+    // the same contents.
+    fn record_completion(&mut self, now: Duration, content: Fingerprint) -> bool {
+        self.completions.record(now, content);
         let was_suspected = self.suspects.pop(&content).is_some();
         let held = self.holds.get_mut(&content);
         let was_held = held.is_some_and(|hold| {
             let is_held = now < hold.until;
             if is_held {
                 hold.until = now;
-                hold.since = now;
+                hold.changed_at = now;
             }
             is_held
         });
         was_suspected || was_held
     }
 
-    /// Takes what another gateway holds back, or the store keeps. Returns whether it changed what is held back here.
-    pub fn merge_held(&mut self, now: Duration, heard: Held) -> bool {
-        let was_held = self.remaining_hold(now, heard.content).is_some();
-        let left = heard.remaining.min(hold_time(heard.hold_count));
-        let until = now + left;
-        let known = self.holds.get_mut(&heard.content);
+    /// Merges a hold that another gateway reported or the store keeps. Returns whether the content
+    /// began or ceased to be held back here.
+    pub fn merge_held(&mut self, now: Duration, reported: Held) -> bool {
+        let was_held = self.remaining_hold(now, reported.content).is_some();
+        let remaining = reported.remaining.min(hold_duration(reported.hold_count));
+        let until = now + remaining;
+        let known = self.holds.get_mut(&reported.content);
         match known {
-            Some(hold) if hold.hold_count > heard.hold_count => return false,
-            // The shorter time is the nearer one to when it was held back, or says that it was let go.
-            Some(hold) if hold.hold_count == heard.hold_count => hold.until = hold.until.min(until),
+            Some(hold) if hold.hold_count > reported.hold_count => return false,
+            // Of two remaining times of the same hold, the shorter one is right: reports are delayed on their way, or the
+            // hold was ended early.
+            Some(hold) if hold.hold_count == reported.hold_count => {
+                hold.until = hold.until.min(until)
+            }
             _ => {
                 let hold = Hold {
                     until,
-                    hold_count: heard.hold_count.max(1),
-                    since: now,
+                    hold_count: reported.hold_count.max(1),
+                    changed_at: now,
                 };
-                self.holds.insert(heard.content, hold);
-                self.make_room();
+                self.holds.insert(reported.content, hold);
+                self.evict_excess_hold();
             }
         }
-        let is_held = self.remaining_hold(now, heard.content).is_some();
+        let is_held = self.remaining_hold(now, reported.content).is_some();
         if is_held {
-            self.suspects.pop(&heard.content);
+            self.suspects.pop(&reported.content);
         }
         is_held != was_held
     }
 
-    /// How much longer a content is held back, if it is.
+    /// Time until the hold of a content ends, if it is held back.
     pub fn remaining_hold(&self, now: Duration, content: Fingerprint) -> Option<Duration> {
         let hold = self.holds.get(&content)?;
-        let left = hold.until.saturating_sub(now);
-        (!left.is_zero()).then_some(left)
+        let remaining = hold.until.saturating_sub(now);
+        (!remaining.is_zero()).then_some(remaining)
     }
 
-    /// Whether a request that was cut off may be sent on by the gateway itself.
+    /// Whether the gateway itself may retry a request that was cut off.
     pub fn can_retry(&self, now: Duration, content: Fingerprint) -> bool {
         let ended = self.suspects.peek(&content).map_or(0, |s| s.ended.len());
-        ended < ENDS_TO_STOP_REPEATS && self.remaining_hold(now, content).is_none()
+        ended < MIN_ENDS_TO_STOP_RETRIES && self.remaining_hold(now, content).is_none()
     }
 
-    /// Everything that is or was held back, as the store keeps it.
+    /// All holds, also those that have ended, as the store keeps them.
     pub fn all_held(&self, now: Duration) -> impl Iterator<Item = Held> + '_ {
         let holds = self.holds.iter();
         holds.map(move |(content, hold)| held_of(now, *content, hold))
     }
 
-    /// At most `most` of that for other gateways: what is new, and of the rest another part each `turn`.
-    pub fn held_to_report(&self, now: Duration, turn: usize, most: usize) -> Vec<Held> {
-        let is_new = |hold: &Hold| now < hold.since + NEW_FOR;
+    /// At most `max_count` holds to report to other gateways: the new ones, then the rest, from a different position at each
+    /// `turn`.
+    pub fn held_to_report(&self, now: Duration, turn: usize, max_count: usize) -> Vec<Held> {
+        let is_new = |hold: &Hold| now < hold.changed_at + NEW_HOLD_PERIOD;
         let new = self.holds.iter().filter(|(_, hold)| is_new(hold));
         let rest: Vec<_> = self.holds.iter().filter(|(_, h)| !is_new(h)).collect();
-        let from = (turn * most).checked_rem(rest.len()).unwrap_or_default();
-        let rest = rest.iter().cycle().skip(from).take(rest.len()).copied();
-        let all = new.chain(rest).take(most);
+        let offset = (turn * max_count)
+            .checked_rem(rest.len())
+            .unwrap_or_default();
+        let rest = rest.iter().cycle().skip(offset).take(rest.len()).copied();
+        let all = new.chain(rest).take(max_count);
         all.map(|(content, hold)| held_of(now, *content, hold))
             .collect()
     }
@@ -223,8 +232,8 @@
     }
 }
 
-// The first time, and each further time longer.
-fn hold_time(hold_count: u32) -> Duration {
+// Duration of a content's hold, given how often it was held back, this time included.
+fn hold_duration(hold_count: u32) -> Duration {
     let growth = HOLD_GROWTH.saturating_pow(hold_count.saturating_sub(1));
-    FIRST_HOLD.saturating_mul(growth).min(LONGEST_HOLD)
+    INITIAL_HOLD.saturating_mul(growth).min(MAX_HOLD)
 }
--- a/components/quarantine/tests/fingerprints.rs
+++ b/components/quarantine/tests/fingerprints.rs
@@ -1,9 +1,9 @@
-//! What counts as the same request.
+//! Which requests have the same fingerprint.
 
 use quarantine::{Content, Fingerprint};
 use quickcheck::{quickcheck, TestResult};
 
-const ASKED: Content<'_> = Content {
+const CONTENT: Content<'_> = Content {
     method: "POST",
     host: "h",
     target: "/a/?b=c",
@@ -12,49 +12,52 @@
 };
 
 #[test]
-fn a_request_that_comes_again_has_the_same_fingerprint() {
+fn a_retried_request_has_the_same_fingerprint() {
     let copy = b"body".to_vec();
-    let again = Content {
+    let retried = Content {
         body: &copy,
-        ..ASKED
+        ..CONTENT
     };
-    assert_eq!(Fingerprint::of(&ASKED), Fingerprint::of(&again));
+    assert_eq!(Fingerprint::of(&CONTENT), Fingerprint::of(&retried));
 }
 
 #[test]
-fn every_field_makes_a_difference() {
+fn every_field_changes_the_fingerprint() {
     let others = [
         Content {
             method: "PUT",
-            ..ASKED
+            ..CONTENT
+        },
+        Content {
+            host: "g",
+            ..CONTENT
         },
-        Content { host: "g", ..ASKED },
         Content {
             target: "/a/?b=d",
-            ..ASKED
+            ..CONTENT
         },
         Content {
             team: None,
-            ..ASKED
+            ..CONTENT
         },
         Content {
             team: Some(""),
-            ..ASKED
+            ..CONTENT
         },
         Content {
             body: b"bodies",
-            ..ASKED
+            ..CONTENT
         },
     ];
     let mut seen: Vec<Fingerprint> = others.iter().map(Fingerprint::of).collect();
-    seen.push(Fingerprint::of(&ASKED));
+    seen.push(Fingerprint::of(&CONTENT));
     seen.sort();
     seen.dedup();
     assert_eq!(seen.len(), others.len() + 1);
 }
 
 #[test]
-fn bytes_that_move_from_one_field_to_the_next_make_a_difference() {
+fn bytes_moved_from_one_field_to_the_next_change_the_fingerprint() {
     fn differ(host: String, target: String, at: usize) -> TestResult {
         let both = format!("{host}{target}");
         let at = at % (both.len() + 1);
@@ -62,17 +65,17 @@
             return TestResult::discard();
         }
         let (other_host, other_target) = both.split_at(at);
-        let asked = Content {
+        let original = Content {
             host: &host,
             target: &target,
-            ..ASKED
+            ..CONTENT
         };
         let moved = Content {
             host: other_host,
             target: other_target,
-            ..ASKED
+            ..CONTENT
         };
-        TestResult::from_bool(Fingerprint::of(&asked) != Fingerprint::of(&moved))
+        TestResult::from_bool(Fingerprint::of(&original) != Fingerprint::of(&moved))
     }
     quickcheck(differ as fn(String, String, usize) -> TestResult);
 }
--- a/components/quarantine/tests/holds.rs
+++ b/components/quarantine/tests/holds.rs
@@ -1,11 +1,11 @@
-//! What ends its endpoints is held back everywhere, and nothing else is for long.
+//! Contents that end their endpoints are held back at all gateways, and other contents are not held back for long.
 
 use std::time::Duration;
 
 use quarantine::{Fingerprint, Held, Observation, Quarantine};
 use quickcheck::quickcheck;
 
-const DEADLY: Fingerprint = Fingerprint(7);
+const CRASHING: Fingerprint = Fingerprint(7);
 const NOW: Duration = Duration::from_secs(100);
 const HOUR: Duration = Duration::from_secs(3600);
 
@@ -16,57 +16,57 @@
 fn after_ends(endpoints: &[u64]) -> Quarantine {
     let mut quarantine = Quarantine::default();
     for endpoint in endpoints {
-        quarantine.record(NOW, ended(DEADLY, *endpoint));
+        quarantine.record(NOW, ended(CRASHING, *endpoint));
     }
     quarantine
 }
 
 fn is_held(quarantine: &Quarantine, now: Duration) -> bool {
-    quarantine.remaining_hold(now, DEADLY).is_some()
+    quarantine.remaining_hold(now, CRASHING).is_some()
 }
 
 #[test]
-fn three_endpoints_that_end_under_one_content_hold_it_back() {
+fn a_content_is_held_back_after_three_endpoints_ended() {
     assert!(!is_held(&after_ends(&[1, 2]), NOW));
     assert!(is_held(&after_ends(&[1, 2, 3]), NOW));
 }
 
 #[test]
-fn one_endpoint_counts_once_however_many_gateways_saw_it_end() {
+fn an_ended_endpoint_counts_once_even_if_several_gateways_report_it() {
     assert!(!is_held(&after_ends(&[1, 1, 1, 2, 2, 1]), NOW));
 }
 
 #[test]
-fn after_two_ends_a_gateway_sends_it_on_no_more() {
-    assert!(after_ends(&[1]).can_retry(NOW, DEADLY));
-    assert!(!after_ends(&[1, 2]).can_retry(NOW, DEADLY));
-    assert!(!after_ends(&[1, 2, 3]).can_retry(NOW, DEADLY));
+fn after_two_ended_endpoints_a_gateway_does_not_retry() {
+    assert!(after_ends(&[1]).can_retry(NOW, CRASHING));
+    assert!(!after_ends(&[1, 2]).can_retry(NOW, CRASHING));
+    assert!(!after_ends(&[1, 2, 3]).can_retry(NOW, CRASHING));
 }
 
 #[test]
-fn a_whole_run_clears_a_content_and_speaks_for_it_for_a_while() {
+fn a_completed_run_clears_a_content_and_protects_it_for_a_while() {
     let mut quarantine = after_ends(&[1, 2]);
-    assert!(quarantine.record(NOW, Observation::Completed(DEADLY)));
+    assert!(quarantine.record(NOW, Observation::Completed(CRASHING)));
     assert!(
-        !quarantine.record(NOW, Observation::Completed(DEADLY)),
+        !quarantine.record(NOW, Observation::Completed(CRASHING)),
         "no news"
     );
     for endpoint in 3..10 {
-        quarantine.record(NOW, ended(DEADLY, endpoint));
+        quarantine.record(NOW, ended(CRASHING, endpoint));
     }
     assert!(!is_held(&quarantine, NOW));
     let later = NOW + HOUR;
     for endpoint in 10..13 {
-        quarantine.record(later, ended(DEADLY, endpoint));
+        quarantine.record(later, ended(CRASHING, endpoint));
     }
     assert!(is_held(&quarantine, later));
 }
 
 #[test]
-fn a_content_that_was_under_way_elsewhere_and_ran_whole_is_let_go_everywhere() {
+fn a_completed_run_of_a_held_content_ends_its_hold_at_all_gateways() {
     let mut here = after_ends(&[1, 2, 3]);
     let mut there = after_ends(&[1, 2, 3]);
-    assert!(here.record(NOW, Observation::Completed(DEADLY)));
+    assert!(here.record(NOW, Observation::Completed(CRASHING)));
     assert!(!is_held(&here, NOW));
     for held in here.held_to_report(NOW, 0, 8) {
         there.merge_held(NOW, held);
@@ -79,30 +79,30 @@
 }
 
 #[test]
-fn what_was_held_back_before_is_held_back_longer_at_its_next_end() {
+fn a_content_that_was_held_back_before_is_held_back_longer_at_its_next_ended_endpoint() {
     let mut quarantine = after_ends(&[1, 2, 3]);
-    let first = quarantine.remaining_hold(NOW, DEADLY).unwrap();
+    let first = quarantine.remaining_hold(NOW, CRASHING).unwrap();
     let over = NOW + first;
     assert!(!is_held(&quarantine, over));
-    quarantine.record(over, ended(DEADLY, 4));
-    assert!(quarantine.remaining_hold(over, DEADLY).unwrap() > first);
+    quarantine.record(over, ended(CRASHING, 4));
+    assert!(quarantine.remaining_hold(over, CRASHING).unwrap() > first);
 }
 
 #[test]
-fn a_suspicion_is_forgotten() {
+fn a_suspicion_expires() {
     let mut quarantine = after_ends(&[1, 2]);
-    quarantine.record(NOW + HOUR, ended(DEADLY, 3));
+    quarantine.record(NOW + HOUR, ended(CRASHING, 3));
     assert!(!is_held(&quarantine, NOW + HOUR));
 }
 
 #[test]
-fn word_between_gateways_does_not_make_a_hold_longer() {
+fn reports_between_gateways_do_not_extend_a_hold() {
     let mut quarantine = after_ends(&[1, 2, 3]);
-    let until = NOW + quarantine.remaining_hold(NOW, DEADLY).unwrap();
+    let until = NOW + quarantine.remaining_hold(NOW, CRASHING).unwrap();
     let mut other = Quarantine::default();
-    for round in 1..1000 {
-        // Each message is 100 ms on its way.
-        let sent = NOW + Duration::from_millis(200 * round);
+    for exchange in 1..1000 {
+        // Each message takes 100 ms.
+        let sent = NOW + Duration::from_millis(200 * exchange);
         let received = sent + Duration::from_millis(100);
         let reported = quarantine.held_to_report(sent, 0, 8);
         reported.into_iter().for_each(|held| {
@@ -117,10 +117,10 @@
 }
 
 #[test]
-fn a_hold_that_another_gateway_names_is_never_longer_than_its_own_would_be() {
+fn a_reported_hold_is_never_longer_than_the_gateways_own_would_be() {
     let mut quarantine = Quarantine::default();
     let held = Held {
-        content: DEADLY,
+        content: CRASHING,
         remaining: Duration::MAX / 4,
         hold_count: 1,
     };
@@ -129,7 +129,7 @@
 }
 
 #[test]
-fn everything_held_back_is_reported_in_turn_and_what_is_new_at_once() {
+fn all_holds_are_reported_in_turn_and_new_ones_at_once() {
     let mut quarantine = Quarantine::default();
     let hold = |quarantine: &mut Quarantine, now, content| {
         for endpoint in 1..=3 {
@@ -153,10 +153,10 @@
 }
 
 #[test]
-fn the_order_in_which_word_comes_makes_no_difference() {
+fn the_order_of_reports_makes_no_difference() {
     fn same(endpoints: Vec<u8>, seed: usize) -> bool {
-        let mut turned = endpoints.clone();
-        turned.rotate_left(seed % endpoints.len().max(1));
+        let mut rotated = endpoints.clone();
+        rotated.rotate_left(seed % endpoints.len().max(1));
         let hold = |list: &[u8]| {
             let list: Vec<u64> = list
                 .iter()
@@ -164,7 +164,7 @@
                 .collect();
             is_held(&after_ends(&list), NOW)
         };
-        hold(&endpoints) == hold(&turned)
+        hold(&endpoints) == hold(&rotated)
     }
     quickcheck(same as fn(Vec<u8>, usize) -> bool);
 }
