--- a/components/usage/src/forwarding.rs
+++ b/components/usage/src/forwarding.rs
@@ -1,54 +1,54 @@
-//! When the counts of ended windows are passed on to whoever reports them.
+//! When a gateway forwards the counts of ended windows to the gateway that reports them.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
 
 use crate::reporter::WindowTiming;
 
-/// Times after the end of a window at which its counts are passed on, in milliseconds. The first is past the
-/// pause between reports of gateways (500 ms); the second makes a lost message good well before windows are
+/// Times after the end of a window at which its counts are forwarded, in milliseconds. The first is longer than the
+/// interval of the reports between gateways (500 ms); the second makes up for a lost message well before windows are
 /// settled (4,500 ms at a due time of 10 s).
-const PASSED_ON_AT_MS: [u64; 2] = [700, 2200];
+const FORWARD_DELAYS_MS: [u64; 2] = [700, 2200];
 
-/// Which windows were passed on, and to the holder of which epoch.
+/// How often the counts of each window were forwarded to the current holder of the reporting lease.
 #[derive(Debug)]
 pub struct Forwarding {
     timing: WindowTiming,
     epoch: i64,
-    times: BTreeMap<i64, usize>,
+    forward_counts: BTreeMap<i64, usize>,
 }
 
 impl Forwarding {
-    /// Nothing was passed on yet.
+    /// A state in which nothing was forwarded.
     pub fn new(timing: WindowTiming) -> Self {
         Forwarding {
             timing,
             epoch: 0,
-            times: BTreeMap::new(),
+            forward_counts: BTreeMap::new(),
         }
     }
 
-    /// Windows whose counts are to be passed on now to the holder under this epoch. A new holder gets
-    /// everything that may still be reported.
+    /// Windows whose counts have to be forwarded now to the holder of the lease with this epoch. `wall` is the wall-clock
+    /// time. With a new epoch, all windows that may still be reported are forwarded again.
     pub fn due(&mut self, wall: Duration, epoch: i64) -> Vec<i64> {
         if epoch != self.epoch {
             self.epoch = epoch;
-            self.times.clear();
+            self.forward_counts.clear();
         }
-        let length = self.timing.window.as_millis().max(1) as u64;
-        let at = |time: Duration| (time.as_millis() as u64 / length) as i64;
-        let first = at(wall.saturating_sub(self.timing.due + self.timing.window));
-        self.times = self.times.split_off(&first);
+        let window_ms = self.timing.window.as_millis().max(1) as u64;
+        let window_at = |time: Duration| (time.as_millis() as u64 / window_ms) as i64;
+        let first = window_at(wall.saturating_sub(self.timing.due + self.timing.window));
+        self.forward_counts = self.forward_counts.split_off(&first);
         let mut due = Vec::new();
-        for window in first..at(wall) {
-            let times = self.times.entry(window).or_default();
-            let since_end = wall.as_millis() as u64 - (window as u64 + 1) * length;
-            let past = PASSED_ON_AT_MS
+        for window in first..window_at(wall) {
+            let forwarded = self.forward_counts.entry(window).or_default();
+            let since_end_ms = wall.as_millis() as u64 - (window as u64 + 1) * window_ms;
+            let reached = FORWARD_DELAYS_MS
                 .iter()
-                .filter(|ms| since_end >= **ms)
+                .filter(|ms| since_end_ms >= **ms)
                 .count();
-            if *times < past {
-                *times = past;
+            if *forwarded < reached {
+                *forwarded = reached;
                 due.push(window);
             }
         }
--- a/components/usage/src/ledger.rs
+++ b/components/usage/src/ledger.rs
@@ -1,8 +1,8 @@
-//! Counts by window, process and tenant.
+//! Request counts by window, gateway process and tenant.
 
 use std::collections::BTreeMap;
 
-/// Requests by tenant.
+/// Number of requests by tenant.
 pub type Counts = BTreeMap<String, i64>;
 
 /// One process of one gateway.
@@ -10,24 +10,24 @@
 pub struct Source {
     /// Name of the gateway.
     pub gateway: String,
-    /// Start of its process.
+    /// Start of its process, as wall-clock time in milliseconds.
     pub incarnation: i64,
 }
 
-/// Everything counted here and heard of others.
+/// Counts of this gateway, and those that other gateways reported.
 #[derive(Debug, Default)]
 pub struct UsageLedger {
     windows: BTreeMap<i64, BTreeMap<Source, Counts>>,
 }
 
 impl UsageLedger {
-    /// Counts one request.
+    /// Counts one request of a tenant.
     pub fn count(&mut self, window: i64, source: &Source, tenant: &str) {
         let counts = self.counts(window, source);
         *counts.entry(tenant.to_string()).or_default() += 1;
     }
 
-    /// Takes the totals that a gateway reported; totals only grow within a process.
+    /// Merges the totals that a gateway reported. Within a process they only grow, so the larger one is kept.
     pub fn merge(&mut self, window: i64, source: &Source, reported: &Counts) {
         let counts = self.counts(window, source);
         for (tenant, count) in reported {
@@ -50,7 +50,7 @@
         self.windows.get(&window).into_iter().flatten()
     }
 
-    /// The sum over all processes.
+    /// Sum over all processes.
     pub fn total(&self, window: i64) -> Counts {
         let mut total = Counts::new();
         for counts in self
@@ -66,7 +66,7 @@
         total
     }
 
-    /// Drops the windows before one.
+    /// Drops the windows before this one.
     pub fn forget_before(&mut self, window: i64) {
         self.windows = self.windows.split_off(&window);
     }
--- a/components/usage/src/lib.rs
+++ b/components/usage/src/lib.rs
@@ -1,7 +1,7 @@
-//! Requests that began to run, by window and tenant, merged over all gateways.
+//! Usage reports: counts of the requests that began to run, by time window and tenant, over all gateways.
 //!
-//! Each gateway reports its counts as totals of its process, so that a message that is lost or comes
-//! twice changes nothing. Pure: time comes in as values.
+//! Each gateway reports its counts as totals of its process, so that lost and duplicate messages do
+//! not change the result. No I/O and no clock: the caller passes the time in.
 
 mod forwarding;
 mod ledger;
--- a/components/usage/src/reporter.rs
+++ b/components/usage/src/reporter.rs
@@ -1,26 +1,26 @@
 //! Which window is reported next, and with which counts.
 //!
-//! Counts are first written into the store under the condition that the window has no row yet.
-//! Only the counts of that row are ever reported, so whoever reports, and however often, reports
-//! the same.
+//! Counts are first written to the store, on the condition that the window has no row yet; this
+//! settles the window. Only the counts of that row are ever reported, so that all reports of a
+//! window are the same, even if several gateways send them or one is sent again.
 
 use std::collections::BTreeSet;
 use std::time::Duration;
 
 use crate::ledger::{Counts, UsageLedger};
 
-/// Fixed terms of reporting.
+/// When a window ends, is settled and is due.
 #[derive(Clone, Copy, Debug)]
 pub struct WindowTiming {
     /// Length of a window.
     pub window: Duration,
-    /// Time after the end of a window until it is settled: late counts of others have come.
+    /// Time after the end of a window at which it may be settled, by when late counts of other gateways have arrived.
     pub settle_delay: Duration,
-    /// Time after the end of a window after which a report is of no use.
+    /// Time after the end of a window within which it has to be reported; a later report is of no use.
     pub due: Duration,
 }
 
-/// What is to be reported for a window.
+/// The usage report of a window.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Report {
     /// Number of the window.
@@ -29,10 +29,10 @@
     pub counts: Counts,
 }
 
-/// What the holder of the lease does next.
+/// What the holder of the reporting lease does next.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Step {
-    /// Write these counts as the window's, unless it has a row already.
+    /// Write these counts to the store, unless the window already has a row.
     Settle(Report),
     /// Send this settled report.
     Send(Report),
@@ -42,22 +42,22 @@
 #[derive(Debug)]
 pub struct Reporter {
     timing: WindowTiming,
-    // Settled and not yet accepted.
+    // Settled, and not yet accepted by the receiver.
     settled: Option<Report>,
-    done: BTreeSet<i64>,
+    finished: BTreeSet<i64>,
 }
 
 impl Reporter {
-    /// Nothing reported yet.
+    /// A state in which nothing was reported.
     pub fn new(timing: WindowTiming) -> Self {
         Reporter {
             timing,
             settled: None,
-            done: BTreeSet::new(),
+            finished: BTreeSet::new(),
         }
     }
 
-    /// Wall-clock time from which a window may be settled.
+    /// Wall-clock time at which a window may be settled.
     pub fn settles_at(&self, window: i64) -> Duration {
         let window_ms = self.timing.window.as_millis() as u64;
         let end_ms = window_ms.saturating_mul(window.max(0) as u64 + 1);
@@ -74,39 +74,39 @@
         if let Some(report) = &self.settled {
             return Some(Step::Send(report.clone()));
         }
-        let window = self.open_window(wall)?;
+        let window = self.next_open_window(wall)?;
         let counts = ledger.total(window);
         Some(Step::Settle(Report { window, counts }))
     }
 
-    /// The store holds these counts for the window, ours or another's.
+    /// Records that the store holds these counts for the window, written by this gateway or another.
     pub fn record_settled(&mut self, report: Report) {
-        if !self.done.contains(&report.window) {
+        if !self.finished.contains(&report.window) {
             self.settled = Some(report);
         }
     }
 
-    /// The report of a window was accepted, or is of no use any more.
+    /// Records that the report of a window was accepted or is no longer needed.
     pub fn record_finished(&mut self, window: i64) {
         self.settled.take_if(|report| report.window == window);
-        self.done.insert(window);
-        let oldest = window - self.kept_windows();
-        self.done = self.done.split_off(&oldest);
+        self.finished.insert(window);
+        let oldest = window - self.retained_windows();
+        self.finished = self.finished.split_off(&oldest);
     }
 
-    /// The oldest window that may still be asked for.
+    /// The oldest window whose report may still be due.
     pub fn oldest_window(&self, wall: Duration) -> i64 {
         self.window_at(wall.saturating_sub(self.timing.due + self.timing.window))
     }
 
-    fn open_window(&self, wall: Duration) -> Option<i64> {
+    fn next_open_window(&self, wall: Duration) -> Option<i64> {
         let last = self.window_at(wall.saturating_sub(self.timing.settle_delay)) - 1;
         let first = self.oldest_window(wall);
-        (first..=last).find(|window| !self.done.contains(window))
+        (first..=last).find(|window| !self.finished.contains(window))
     }
 
-    fn kept_windows(&self) -> i64 {
-        let span = self.timing.due + self.timing.window;
-        2 * (span.as_millis() / self.timing.window.as_millis().max(1)) as i64 + 2
+    fn retained_windows(&self) -> i64 {
+        let reportable_span = self.timing.due + self.timing.window;
+        2 * (reportable_span.as_millis() / self.timing.window.as_millis().max(1)) as i64 + 2
     }
 }
--- a/components/usage/tests/forwarding.rs
+++ b/components/usage/tests/forwarding.rs
@@ -1,4 +1,4 @@
-//! When counts of ended windows are passed on.
+//! When the counts of ended windows are forwarded.
 
 use std::time::Duration;
 
@@ -19,7 +19,7 @@
 }
 
 #[test]
-fn each_window_is_passed_on_twice_soon_after_its_end() {
+fn each_window_is_forwarded_twice_soon_after_its_end() {
     let mut forwarding = forwarding();
     due_between(&mut forwarding, 99_000, 105_000, 1);
     assert_eq!(due_between(&mut forwarding, 105_000, 105_700, 1), []);
@@ -35,7 +35,7 @@
 }
 
 #[test]
-fn a_window_is_not_passed_on_before_its_end() {
+fn a_window_is_not_forwarded_before_its_end() {
     let mut forwarding = forwarding();
     let due = due_between(&mut forwarding, 100_000, 104_900, 1);
     assert!(!due.contains(&20), "{due:?}");
--- a/components/usage/tests/reporting.rs
+++ b/components/usage/tests/reporting.rs
@@ -1,4 +1,4 @@
-//! Totals over gateways, and one report a window.
+//! Totals over all gateways, and one report per window.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -23,7 +23,7 @@
 }
 
 #[test]
-fn a_total_that_is_reported_twice_or_late_counts_once() {
+fn a_duplicate_or_outdated_total_counts_once() {
     let mut ledger = UsageLedger::default();
     let a = source("a", 1);
     ledger.merge(7, &a, &counts(&[("t", 3)]));
@@ -56,7 +56,7 @@
         counts: counts(&[("t", 3)]),
     };
     assert_eq!(reporter.next_step(wall, &ledger), Some(Step::Settle(ours)));
-    // Another gateway's row was there first.
+    // Another gateway wrote its row first.
     let theirs = Report {
         window: 1,
         counts: counts(&[("t", 2)]),
