--- a/components/limits/src/quota.rs
+++ b/components/limits/src/quota.rs
@@ -48,7 +48,7 @@
 
 impl QuotaPart {
     /// The part of a node that knows of `fleet` nodes, itself included. It starts with an equal part,
-    /// which the others give up once they hear of this node. `raise_delay` is the time that gossip
+    /// which the others give up once they know of this node. `raise_delay` is the time that gossip
     /// needs to reach all nodes: a larger part must be justified for this long before it takes effect.
     pub fn new(now: Duration, fleet: u64, raise_delay: Duration) -> Self {
         QuotaPart {
--- a/components/limits/src/send_account.rs
+++ b/components/limits/src/send_account.rs
@@ -27,7 +27,7 @@
 pub struct SendTerms {
     /// The endpoint's limit.
     pub rate: SendRate,
-    /// Part of the limit that this keeper may grant, from 0 to 1; the rest belongs to gateways that it does not hear.
+    /// Part of the limit that this keeper may grant, from 0 to 1; the rest belongs to gateways that are silent.
     pub part: f64,
     /// Whether the request takes precedence when sends are scarce.
     pub urgent: bool,
--- a/components/limits/src/shared_quota.rs
+++ b/components/limits/src/shared_quota.rs
@@ -80,7 +80,7 @@
     }
 
     /// Sets the part of the limit that this gateway may use, from 0 to 1. Units beyond that part are
-    /// dropped: the other gateways, which may not hear of them being taken, could use them as well.
+    /// dropped: other gateways, which may not receive this one's reports, could use the same units.
     pub fn set_part(&mut self, now: Duration, part: f64) {
         self.refill(now);
         self.part = part.clamp(0.0, 1.0);
--- a/components/limits/tests/send_accounts.rs
+++ b/components/limits/tests/send_accounts.rs
@@ -89,7 +89,7 @@
         }
     }
 
-    // Part of the limit that a keeper may grant, by the part of the gateways that it hears.
+    // Part of the limit that a keeper may grant, by the part of the gateways on its side.
     fn part(&self, now: u64, keeper: usize) -> f64 {
         let is_partitioned = self.fault == Fault::Partition && now >= 6_000 + SILENT_AFTER_MS;
         match (is_partitioned, keeper) {
--- a/components/limits/tests/shared_quotas.rs
+++ b/components/limits/tests/shared_quotas.rs
@@ -146,7 +146,7 @@
 }
 
 /// Maximum units admitted in any 8 s by gateways that all start at once, know only each other's
-/// addresses, and first hear each other within `pause_ms`.
+/// addresses, and receive each other's first report within `pause_ms`.
 fn max_after_a_common_start(gateways: u64, pause_ms: u64) -> u64 {
     const UNITS: u64 = 10;
     let own_part = 1.0 / gateways as f64;
