--- a/components/gateway/src/control/known.rs
+++ b/components/gateway/src/control/known.rs
@@ -13,7 +13,7 @@
 use schema::settings::GatewaySettings;
 use state::{Lease, LeaseTerms};
 use topology::Topology;
-use usage::{Forwarding, Ledger, Reporter, Terms};
+use usage::{Forwarding, Reporter, UsageLedger, WindowTiming};
 
 use crate::control::departures::Departures;
 use crate::control::engines::Engines;
@@ -60,7 +60,7 @@
     /// Wall-clock time since which this gateway holds the lease.
     pub lease_held_since: Option<Duration>,
     pub orders: OrdersUnderWay,
-    pub ledger: Ledger,
+    pub ledger: UsageLedger,
     pub reporter: Reporter,
     // By service and region.
     pub scalers: BTreeMap<(String, String), Scaler>,
@@ -126,7 +126,7 @@
             newest_era_seen_at: Duration::ZERO,
             peers,
             topology,
-            ledger: Ledger::default(),
+            ledger: UsageLedger::default(),
             scalers: BTreeMap::new(),
             engines: Engines::default(),
             demand: Demand::default(),
@@ -224,11 +224,11 @@
     }
 }
 
-fn usage_terms(settings: &GatewaySettings) -> Terms {
+fn usage_terms(settings: &GatewaySettings) -> WindowTiming {
     let due = Duration::from_millis(settings.usage_due_ms.max(0) as u64);
-    Terms {
+    WindowTiming {
         window: Duration::from_millis(settings.usage_window_ms.max(1) as u64),
-        settle: due.mul_f64(SETTLE_PART),
+        settle_delay: due.mul_f64(SETTLE_PART),
         due,
     }
 }
--- a/components/gateway/src/control/quarantine.rs
+++ b/components/gateway/src/control/quarantine.rs
@@ -92,7 +92,7 @@
         }
         let held = gossip.held.iter().flatten().map(|held| received_held(held));
         let changed: Vec<Held> = held
-            .filter(|held| known.quarantine.take_held(now, *held))
+            .filter(|held| known.quarantine.merge_held(now, *held))
             .collect();
         drop(known);
         if is_urgent || !changed.is_empty() {
@@ -123,10 +123,10 @@
 
 impl Known {
     fn take_observation(&mut self, now: Duration, observation: Observation) -> Taken {
-        let (Observation::Ended { content, .. } | Observation::Whole(content)) = observation;
-        let was_held = self.quarantine.held_for(now, content).is_some();
-        let is_news = self.quarantine.take(now, observation);
-        let is_held = self.quarantine.held_for(now, content).is_some();
+        let (Observation::Ended { content, .. } | Observation::Completed(content)) = observation;
+        let was_held = self.quarantine.remaining_hold(now, content).is_some();
+        let is_news = self.quarantine.record(now, observation);
+        let is_held = self.quarantine.remaining_hold(now, content).is_some();
         Taken {
             is_news,
             changes_hold: is_held != was_held,
@@ -136,7 +136,7 @@
     /// What is held back, as it is reported.
     pub fn held_to_send(&self, now: Duration) -> Option<Vec<HeldContent>> {
         let turn = self.sending.turn();
-        let held = self.quarantine.reported(now, turn, MOST_HELD);
+        let held = self.quarantine.held_to_report(now, turn, MOST_HELD);
         let reports = held.iter().map(held_report);
         (!held.is_empty()).then(|| reports.collect())
     }
@@ -147,7 +147,7 @@
         Observation::Ended { content, endpoint } => {
             ContentReport::new(content.0 as i64, Some(endpoint as i64))
         }
-        Observation::Whole(content) => ContentReport::new(content.0 as i64, None),
+        Observation::Completed(content) => ContentReport::new(content.0 as i64, None),
     }
 }
 
@@ -158,24 +158,24 @@
             content,
             endpoint: endpoint as u64,
         },
-        None => Observation::Whole(content),
+        None => Observation::Completed(content),
     }
 }
 
 fn held_report(held: &Held) -> HeldContent {
-    let left_ms = held.left.as_millis().min(i64::MAX as u128) as i64;
+    let left_ms = held.remaining.as_millis().min(i64::MAX as u128) as i64;
     HeldContent::new(held.content.0 as i64, left_ms, times_of(held))
 }
 
 fn received_held(reported: &HeldContent) -> Held {
     Held {
         content: Fingerprint(reported.content as u64),
-        left: Duration::from_millis(reported.left_ms.max(0) as u64),
-        times: reported.times.max(1) as u32,
+        remaining: Duration::from_millis(reported.left_ms.max(0) as u64),
+        hold_count: reported.times.max(1) as u32,
     }
 }
 
 /// How often a content was held back, as it is reported.
 pub(super) fn times_of(held: &Held) -> i32 {
-    held.times.min(i32::MAX as u32) as i32
+    held.hold_count.min(i32::MAX as u32) as i32
 }
--- a/components/limits/src/lib.rs
+++ b/components/limits/src/lib.rs
@@ -1,25 +1,27 @@
-//! Who may run now: priority classes, team limits held fleet-wide, and retry budgets.
+//! Admission control: priority classes, fleet-wide rate limits, retry budgets, and budgets for the
+//! links between regions.
 //!
-//! Pure: time comes in as a value. A refusal always says when to come back.
+//! No I/O and no clock: the caller passes the time in. A request that is refused by a limit or shed
+//! is told when to retry.
 
+mod admission;
 mod bucket;
 mod budget;
-mod gate;
 mod link;
 mod quota;
-mod repeats;
+mod retry_budget;
 mod send_account;
 mod send_rate;
 mod shared_quota;
 mod team;
 
-pub use bucket::Bucket;
-pub use budget::Budget;
-pub use gate::{Gate, Verdict, Waiter};
-pub use link::{link_part, Decider, LinkBudget};
-pub use quota::{Demand, Quota, FLOOR_MILLI};
-pub use repeats::{RepeatBudget, RepeatTerms};
-pub use send_account::{SendAccounts, SendTerms, MOST_ACCOUNTS};
+pub use admission::{AdmissionDecision, AdmissionQueue, Waiter};
+pub use bucket::TokenBucket;
+pub use budget::AttemptBudget;
+pub use link::{link_part_bytes_per_s, Decider, LinkBudget};
+pub use quota::{PeerDemand, QuotaPart, MIN_EQUAL_PART_MILLI};
+pub use retry_budget::{RetryBudget, RetryTerms};
+pub use send_account::{SendAccounts, SendTerms, MAX_SEND_ACCOUNTS};
 pub use send_rate::SendRate;
-pub use shared_quota::{Limit, QuotaState, SharedQuota};
-pub use team::{Limits, Refused, TeamMeter};
+pub use shared_quota::{QuotaState, RateLimit, SharedQuota};
+pub use team::{LimitExceeded, TeamLimits, TeamMeter};
--- a/components/node/src/traffic.rs
+++ b/components/node/src/traffic.rs
@@ -6,7 +6,9 @@
 use std::time::Duration;
 
 use flume::Sender;
-use limits::{Budget, Gate, Limits, Refused, TeamMeter, Verdict, Waiter};
+use limits::{
+    AdmissionDecision, AdmissionQueue, AttemptBudget, LimitExceeded, TeamLimits, TeamMeter, Waiter,
+};
 use rand::SeedableRng;
 use rand_chacha::ChaCha8Rng;
 use routing::{Ask, Decision, Router};
@@ -58,12 +60,12 @@
 pub struct Traffic {
     pub router: Router,
     pub live: HashMap<u64, Live>,
-    gates: BTreeMap<String, Gate>,
+    gates: BTreeMap<String, AdmissionQueue>,
     meters: BTreeMap<String, TeamMeter>,
     parts_milli: BTreeMap<String, u64>,
     waiting: HashMap<u64, Sender<RunEvent>>,
-    retries: Budget,
-    hedges: Budget,
+    retries: AttemptBudget,
+    hedges: AttemptBudget,
     rng: ChaCha8Rng,
     in_flight: usize,
 }
@@ -78,8 +80,8 @@
             meters: BTreeMap::new(),
             parts_milli: BTreeMap::new(),
             waiting: HashMap::new(),
-            retries: Budget::new(RETRY_BURST, RETRIES_PER_SUCCESS_MILLI),
-            hedges: Budget::new(HEDGE_BURST, HEDGES_PER_SUCCESS_MILLI),
+            retries: AttemptBudget::new(RETRY_BURST, RETRIES_PER_SUCCESS_MILLI),
+            hedges: AttemptBudget::new(HEDGE_BURST, HEDGES_PER_SUCCESS_MILLI),
             rng: ChaCha8Rng::seed_from_u64(seed),
             in_flight: 0,
         }
@@ -110,13 +112,13 @@
         }
     }
 
-    fn limits_of(&self, team: &Team) -> Limits {
+    fn limits_of(&self, team: &Team) -> TeamLimits {
         let part = self
             .parts_milli
             .get(&team.name)
             .copied()
             .unwrap_or(WHOLE_MILLI);
-        Limits {
+        TeamLimits {
             rate_milli: team.rate as u64 * part,
             concurrency: (team.concurrency as u64 * part).div_ceil(WHOLE_MILLI),
             budget_milli: team.budget_milli as u64 * part / WHOLE_MILLI,
@@ -143,7 +145,12 @@
     }
 
     /// Admits a request by its team's limits.
-    pub fn admit(&mut self, now: Duration, team: &str, cost_milli: u64) -> Result<(), Refused> {
+    pub fn admit(
+        &mut self,
+        now: Duration,
+        team: &str,
+        cost_milli: u64,
+    ) -> Result<(), LimitExceeded> {
         match self.meters.get_mut(team) {
             Some(meter) => meter.admit(now, cost_milli),
             None => Ok(()),
@@ -161,7 +168,7 @@
     pub fn take_demand(&mut self) -> BTreeMap<String, u64> {
         let meters = self.meters.iter_mut();
         meters
-            .map(|(team, meter)| (team.clone(), meter.take_asked()))
+            .map(|(team, meter)| (team.clone(), meter.take_demand()))
             .collect()
     }
 
@@ -172,11 +179,11 @@
         pool: &str,
         waiter: Waiter,
         events: &Sender<RunEvent>,
-    ) -> Verdict {
+    ) -> AdmissionDecision {
         let utilization = self.router.utilization_milli(now, pool);
         let gate = self.gates.entry(pool.to_string()).or_default();
-        let verdict = gate.enter(waiter, utilization);
-        if verdict == Verdict::Wait {
+        let verdict = gate.admit(waiter, utilization);
+        if verdict == AdmissionDecision::Wait {
             self.waiting.insert(waiter.id, events.clone());
             self.ask_to_yield(pool, utilization);
         }
@@ -187,7 +194,7 @@
     pub fn forget(&mut self, id: u64) {
         self.live.remove(&id);
         if self.waiting.remove(&id).is_some() {
-            self.gates.values_mut().for_each(|gate| gate.leave(id));
+            self.gates.values_mut().for_each(|gate| gate.remove(id));
         }
     }
 
@@ -205,7 +212,7 @@
             return;
         };
         // One at a time: the utilization changes only once the released request is sent.
-        if let Some(waiter) = gate.release(utilization) {
+        if let Some(waiter) = gate.admit_next(utilization) {
             if let Some(events) = self.waiting.remove(&waiter.id) {
                 let _ = events.send(RunEvent::Admitted);
             }
@@ -221,7 +228,7 @@
             .map(|(id, l)| (l.priority, *id, l.started))
             .collect();
         let gate = self.gates.get(pool);
-        let yielding = gate.and_then(|g| g.to_yield(&running, utilization));
+        let yielding = gate.and_then(|g| g.preemption_victim(&running, utilization));
         if let Some(live) = yielding.and_then(|id| self.live.get(&id)) {
             let _ = live.events.send(RunEvent::Yield {
                 attempt: live.attempt,
@@ -246,17 +253,17 @@
 
     /// Notes a request answered whole.
     pub fn succeeded(&mut self) {
-        self.retries.earn();
-        self.hedges.earn();
+        self.retries.record_success();
+        self.hedges.record_success();
     }
 
     /// Takes a retry from the budget.
     pub fn may_retry(&mut self) -> bool {
-        self.retries.spend()
+        self.retries.try_spend()
     }
 
     /// Takes a hedge from the budget.
     pub fn may_hedge(&mut self) -> bool {
-        self.hedges.spend()
+        self.hedges.try_spend()
     }
 }
--- a/components/replay/src/node.rs
+++ b/components/replay/src/node.rs
@@ -3,7 +3,7 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-use limits::{Budget, Gate};
+use limits::{AdmissionQueue, AttemptBudget};
 use routing::{Policy, Rates, Router};
 use schema::settings::Endpoint;
 
@@ -19,11 +19,11 @@
     /// Its routing.
     pub router: Router,
     /// The gate of each pool.
-    pub gates: BTreeMap<String, Gate>,
+    pub gates: BTreeMap<String, AdmissionQueue>,
     /// Its budget of retries.
-    pub retries: Budget,
+    pub retries: AttemptBudget,
     /// Its budget of hedges.
-    pub hedges: Budget,
+    pub hedges: AttemptBudget,
 }
 
 impl Node {
@@ -41,13 +41,13 @@
         Node {
             router,
             gates: BTreeMap::new(),
-            retries: Budget::new(RETRY_BURST, RETRIES_PER_SUCCESS_MILLI),
-            hedges: Budget::new(HEDGE_BURST, HEDGES_PER_SUCCESS_MILLI),
+            retries: AttemptBudget::new(RETRY_BURST, RETRIES_PER_SUCCESS_MILLI),
+            hedges: AttemptBudget::new(HEDGE_BURST, HEDGES_PER_SUCCESS_MILLI),
         }
     }
 
     /// Utilization of a pool and its gate.
-    pub fn gate(&mut self, now: Duration, pool: &str) -> (u64, &mut Gate) {
+    pub fn gate(&mut self, now: Duration, pool: &str) -> (u64, &mut AdmissionQueue) {
         let utilization = self.router.utilization_milli(now, pool);
         (utilization, self.gates.entry(pool.to_string()).or_default())
     }
--- a/components/usage/tests/promises.rs
+++ b/components/usage/tests/reporting.rs
@@ -1,13 +1,13 @@
-//! Totals over gateways, and one report a window.
+//! Totals over all gateways, and one report per window.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-use usage::{Ledger, Report, Reporter, Source, Step, Terms};
+use usage::{Report, Reporter, Source, Step, UsageLedger, WindowTiming};
 
-const TERMS: Terms = Terms {
+const TIMING: WindowTiming = WindowTiming {
     window: Duration::from_secs(5),
-    settle: Duration::from_secs(2),
+    settle_delay: Duration::from_secs(2),
     due: Duration::from_secs(10),
 };
 
@@ -23,8 +23,8 @@
 }
 
 #[test]
-fn a_total_that_is_reported_twice_or_late_counts_once() {
-    let mut ledger = Ledger::default();
+fn a_duplicate_or_outdated_total_counts_once() {
+    let mut ledger = UsageLedger::default();
     let a = source("a", 1);
     ledger.merge(7, &a, &counts(&[("t", 3)]));
     ledger.merge(7, &a, &counts(&[("t", 5)]));
@@ -34,7 +34,7 @@
 
 #[test]
 fn both_processes_of_a_restarted_gateway_count() {
-    let mut ledger = Ledger::default();
+    let mut ledger = UsageLedger::default();
     ledger.merge(7, &source("a", 1), &counts(&[("t", 3)]));
     ledger.count(7, &source("a", 2), "t");
     ledger.count(7, &source("b", 1), "u");
@@ -45,38 +45,38 @@
 
 #[test]
 fn only_settled_counts_are_sent_and_stay_the_same() {
-    let mut ledger = Ledger::default();
+    let mut ledger = UsageLedger::default();
     let a = source("a", 1);
     ledger.merge(1, &a, &counts(&[("t", 3)]));
-    let mut reporter = Reporter::new(TERMS);
+    let mut reporter = Reporter::new(TIMING);
     let wall = Duration::from_secs(12);
-    reporter.finished(0);
+    reporter.record_finished(0);
     let ours = Report {
         window: 1,
         counts: counts(&[("t", 3)]),
     };
-    assert_eq!(reporter.next(wall, &ledger), Some(Step::Settle(ours)));
-    // Another gateway's row was there first.
+    assert_eq!(reporter.next_step(wall, &ledger), Some(Step::Settle(ours)));
+    // Another gateway wrote its row first.
     let theirs = Report {
         window: 1,
         counts: counts(&[("t", 2)]),
     };
-    reporter.settled(theirs.clone());
+    reporter.record_settled(theirs.clone());
     ledger.merge(1, &a, &counts(&[("t", 9)]));
     assert_eq!(
-        reporter.next(wall, &ledger),
+        reporter.next_step(wall, &ledger),
         Some(Step::Send(theirs.clone()))
     );
-    reporter.finished(1);
-    reporter.settled(theirs);
-    assert_eq!(reporter.next(wall, &ledger), None);
+    reporter.record_finished(1);
+    reporter.record_settled(theirs);
+    assert_eq!(reporter.next_step(wall, &ledger), None);
 }
 
 #[test]
 fn a_window_is_settled_only_after_its_end_and_dropped_when_overdue() {
-    let reporter = Reporter::new(TERMS);
-    let ledger = Ledger::default();
-    let window = |wall: u64| match reporter.next(Duration::from_secs(wall), &ledger) {
+    let reporter = Reporter::new(TIMING);
+    let ledger = UsageLedger::default();
+    let window = |wall: u64| match reporter.next_step(Duration::from_secs(wall), &ledger) {
         Some(Step::Settle(report)) => Some(report.window),
         _ => None,
     };
