--- a/components/gateway/src/state.rs
+++ b/components/gateway/src/state.rs
@@ -11,7 +11,7 @@
 use quarantine::Quarantine;
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
-use routing::placement::{Board, Exclusion, Placement, Work};
+use routing::placement::{Balancer, Exclusion, Placement, Work};
 use schema::settings::GatewaySettings;
 use topology::Topology;
 
@@ -25,7 +25,7 @@
 /// Everything the traffic thread decides from.
 #[derive(Debug)]
 pub(crate) struct State {
-    pub board: Board,
+    pub board: Balancer,
     // Whether the board holds all endpoints.
     pub endpoints_known: bool,
     pub directory: Option<Rc<Directory>>,
@@ -228,9 +228,9 @@
     }
 }
 
-fn board_of(settings: &GatewaySettings) -> Board {
+fn board_of(settings: &GatewaySettings) -> Balancer {
     let topology = Topology::new(&settings.zone, &settings.region, &settings.halls);
-    let mut board = Board::in_topology(topology);
+    let mut board = Balancer::with_topology(topology);
     let kbit = settings.region_link_kbit.max(0) as u64;
     board.ways_mut().set_link(kbit);
     board
--- a/components/routing/src/placement.rs
+++ b/components/routing/src/placement.rs
@@ -4,7 +4,7 @@
 //! requests that run there, and the prompt parts it keeps. Gateways report to each other what they sent,
 //! so the boards agree but for the age of the gossip.
 
-mod board;
+mod balancer;
 mod cache;
 mod choice;
 mod departure;
@@ -22,7 +22,7 @@
 mod unknown;
 mod way;
 
-pub use board::{Board, Placement, Ticket};
+pub use balancer::{Balancer, Placement, Ticket};
 pub use cache::PromptCache;
 pub use departure::bytes_across;
 pub use engines::HallLoad;
--- a/components/routing/src/placement/board.rs
+++ b/components/routing/src/placement/balancer.rs
@@ -81,7 +81,7 @@
 
 /// Everything known of the endpoints of all services.
 #[derive(Debug)]
-pub struct Board {
+pub struct Balancer {
     pub(super) ways: Ways,
     pub(super) links: Links,
     // Halls of the endpoints; a slot names its hall by its place here.
@@ -101,15 +101,15 @@
     pub(super) notices: Notices,
 }
 
-impl Board {
+impl Balancer {
     /// An empty board of a gateway in a data hall, where there is one region.
     pub fn new(hall: &str) -> Self {
-        Self::in_topology(Topology::new(hall, "", &BTreeMap::new()))
+        Self::with_topology(Topology::new(hall, "", &BTreeMap::new()))
     }
 
     /// An empty board of a gateway among data halls.
-    pub fn in_topology(topology: Topology) -> Self {
-        Board {
+    pub fn with_topology(topology: Topology) -> Self {
+        Balancer {
             ways: Ways::new(topology),
             links: Links::default(),
             halls: Vec::new(),
--- a/components/routing/src/placement/choice.rs
+++ b/components/routing/src/placement/choice.rs
@@ -6,7 +6,7 @@
 use rand::seq::IndexedRandom;
 use rand::{Rng, RngExt};
 
-use crate::placement::board::{ms, Board, Placement};
+use crate::placement::balancer::{ms, Balancer, Placement};
 use crate::placement::departure::{bytes_across, Departure, Places};
 use crate::placement::exclusion::Exclusion;
 use crate::placement::mix::Mix;
@@ -61,7 +61,7 @@
     position: usize,
 }
 
-impl Board {
+impl Balancer {
     /// The endpoint for a request, or `None` if none takes work. Those in `exclude` and of other `versions` are
     /// passed over; those under suspicion are used only if there is no other. Each region's endpoints are weighed by
     /// themselves, as its own gateways do; a request leaves the own one only if it gains more than the way, and the
--- a/components/routing/src/placement/engines.rs
+++ b/components/routing/src/placement/engines.rs
@@ -6,7 +6,7 @@
 use engine::{Learner, Learnt, Sample};
 use limits::SendRate;
 
-use crate::placement::board::{ms, takes_work, Board, Ticket};
+use crate::placement::balancer::{ms, takes_work, Balancer, Ticket};
 
 /// Events of one sample. Prompts are noted when they are sent, not when they are read, which is off by one at each
 /// end: over so many events, some twenty prompts beside at a busy engine, that is a tenth.
@@ -49,7 +49,7 @@
     pub limited_milli: u32,
 }
 
-impl Board {
+impl Balancer {
     /// An event of a stream came from its engine.
     pub fn event(&mut self, now: Duration, ticket: &mut Ticket) {
         if !self.is_current(ticket) {
--- a/components/routing/src/placement/exclusion.rs
+++ b/components/routing/src/placement/exclusion.rs
@@ -4,7 +4,7 @@
 
 use notices::{Notices, Standing};
 
-use crate::placement::board::Board;
+use crate::placement::balancer::Balancer;
 use crate::placement::service::ServiceSlots;
 use crate::placement::slot::Slot;
 
@@ -42,7 +42,7 @@
     }
 }
 
-impl Board {
+impl Balancer {
     /// What endpoints said to this gateway. It outlives their records here.
     pub fn notices(&self) -> &Notices {
         &self.notices
--- a/components/routing/src/placement/halls.rs
+++ b/components/routing/src/placement/halls.rs
@@ -3,12 +3,12 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-use crate::placement::board::Board;
+use crate::placement::balancer::Balancer;
 use crate::placement::departure::bytes_across;
 use crate::placement::way::Ways;
 use crate::placement::Work;
 
-impl Board {
+impl Balancer {
     /// Ways to other halls.
     pub fn ways(&self) -> &Ways {
         &self.ways
--- a/components/routing/src/placement/sight.rs
+++ b/components/routing/src/placement/sight.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use crate::placement::board::Board;
+use crate::placement::balancer::Balancer;
 use crate::placement::slowdown::{Memory, Slowdown, Told};
 
 /// Requests by which an endpoint's own count has to differ from what was expected there, to be told to others.
@@ -21,7 +21,7 @@
     pub slowdown: Option<Slowdown>,
 }
 
-impl Board {
+impl Balancer {
     /// Takes what an answer showed. Says whether another gateway that places requests would choose otherwise by it.
     pub fn see(&mut self, sight: Sight) -> bool {
         let Some(id) = self.id_of(sight.endpoint) else {
--- a/components/routing/tests/common/mod.rs
+++ b/components/routing/tests/common/mod.rs
@@ -1,10 +1,10 @@
 //! What the tests of placement share.
 
 use directory::{Configuration, Engine, Service};
-use routing::placement::Board;
+use routing::placement::Balancer;
 
 /// Configures a service `s` of engines with so many slots, 100,000 tokens of memory and one token an event.
-pub fn configure(board: &mut Board, slots: u32) {
+pub fn configure(balancer: &mut Balancer, slots: u32) {
     let engine = Engine {
         slots,
         cache_tokens: 100_000,
@@ -15,7 +15,7 @@
         engine: Some(engine),
         scaling: None,
     };
-    board.configure(&Configuration {
+    balancer.configure(&Configuration {
         services: [("s".to_string(), service)].into(),
         ..Configuration::default()
     });
--- a/components/routing/tests/limits.rs
+++ b/components/routing/tests/limits.rs
@@ -9,7 +9,7 @@
 use notices::LimitNotice;
 use rand::SeedableRng;
 use rand_chacha::ChaCha8Rng;
-use routing::placement::{endpoint_hash, Board, Versions, Work};
+use routing::placement::{endpoint_hash, Balancer, Versions, Work};
 
 const S: &str = "s";
 
@@ -17,11 +17,11 @@
     Duration::from_millis(ms)
 }
 
-fn board() -> Board {
-    let mut board = Board::new("z");
-    common::configure(&mut board, 8);
+fn balancer() -> Balancer {
+    let mut balancer = Balancer::new("z");
+    common::configure(&mut balancer, 8);
     for id in ["e1", "e2"] {
-        board.insert(
+        balancer.insert(
             ms(0),
             Endpoint {
                 born_ms: None,
@@ -37,11 +37,11 @@
             },
         );
     }
-    board
+    balancer
 }
 
-fn limit(board: &mut Board, id: &str, per_s: f64) {
-    board.notices_mut().note_limit(&LimitNotice {
+fn limit(balancer: &mut Balancer, id: &str, per_s: f64) {
+    balancer.notices_mut().note_limit(&LimitNotice {
         start: endpoint_hash(id),
         service: S.into(),
         rate: SendRate::from_per_s(per_s),
@@ -49,47 +49,47 @@
     });
 }
 
-fn choose(board: &mut Board, at: Duration, seed: u64) -> Option<String> {
+fn choose(balancer: &mut Balancer, at: Duration, seed: u64) -> Option<String> {
     let work = Work {
         service: S.into(),
         ..Work::default()
     };
     let mut rng = ChaCha8Rng::seed_from_u64(seed);
-    let placed = board.choose(at, &work, &[], Versions::Any, &mut rng);
+    let placed = balancer.choose(at, &work, &[], Versions::Any, &mut rng);
     placed.map(|placement| placement.endpoint)
 }
 
 // Guards against scarce sends that go to requests which another endpoint serves as well.
 #[test]
 fn an_endpoint_with_a_limit_is_left_to_what_no_other_takes() {
-    let mut board = board();
-    limit(&mut board, "e1", 4.0);
+    let mut balancer = balancer();
+    limit(&mut balancer, "e1", 4.0);
     for seed in 0..50 {
-        assert_eq!(choose(&mut board, ms(10), seed).as_deref(), Some("e2"));
+        assert_eq!(choose(&mut balancer, ms(10), seed).as_deref(), Some("e2"));
     }
-    board.remove("e2");
-    assert_eq!(choose(&mut board, ms(10), 0).as_deref(), Some("e1"));
+    balancer.remove("e2");
+    assert_eq!(choose(&mut balancer, ms(10), 0).as_deref(), Some("e1"));
 }
 
 #[test]
 fn an_endpoint_whose_limit_is_used_up_is_passed_over_until_a_send_is_free() {
-    let mut board = board();
-    board.remove("e2");
-    limit(&mut board, "e1", 4.0);
-    board
+    let mut balancer = balancer();
+    balancer.remove("e2");
+    limit(&mut balancer, "e1", 4.0);
+    balancer
         .notices_mut()
         .note_spent(ms(10), endpoint_hash("e1"), ms(250));
-    assert_eq!(choose(&mut board, ms(100), 0), None);
-    assert_eq!(board.time_to_open(ms(100), S), Some(ms(160)));
-    assert_eq!(choose(&mut board, ms(260), 0).as_deref(), Some("e1"));
+    assert_eq!(choose(&mut balancer, ms(100), 0), None);
+    assert_eq!(balancer.time_to_open(ms(100), S), Some(ms(160)));
+    assert_eq!(choose(&mut balancer, ms(260), 0).as_deref(), Some("e1"));
 }
 
 #[test]
 fn the_planner_hears_what_limits_take_away_of_endpoints() {
-    let mut board = board();
-    assert_eq!(board.occupancy(ms(10), S)["z"].limited_milli, 0);
-    limit(&mut board, "e1", 0.0);
-    assert_eq!(board.occupancy(ms(10), S)["z"].limited_milli, 1000);
-    limit(&mut board, "e2", 1e9);
-    assert_eq!(board.occupancy(ms(10), S)["z"].limited_milli, 1000);
+    let mut balancer = balancer();
+    assert_eq!(balancer.occupancy(ms(10), S)["z"].limited_milli, 0);
+    limit(&mut balancer, "e1", 0.0);
+    assert_eq!(balancer.occupancy(ms(10), S)["z"].limited_milli, 1000);
+    limit(&mut balancer, "e2", 1e9);
+    assert_eq!(balancer.occupancy(ms(10), S)["z"].limited_milli, 1000);
 }
--- a/components/routing/tests/placement.rs
+++ b/components/routing/tests/placement.rs
@@ -6,7 +6,8 @@
 use rand::SeedableRng;
 use rand_chacha::ChaCha8Rng;
 use routing::placement::{
-    endpoint_hash, verdict_without_answer, Board, PeerDispatch, PromptPart, Verdict, Versions, Work,
+    endpoint_hash, verdict_without_answer, Balancer, PeerDispatch, PromptPart, Verdict, Versions,
+    Work,
 };
 
 fn ms(ms: u64) -> Duration {
@@ -28,8 +29,8 @@
     }
 }
 
-fn board(engines: bool, ids: &[&str]) -> Board {
-    let mut board = Board::new("z");
+fn balancer(engines: bool, ids: &[&str]) -> Balancer {
+    let mut balancer = Balancer::new("z");
     let engine = engines.then_some(Engine {
         slots: 16,
         cache_tokens: 100_000,
@@ -40,14 +41,14 @@
         engine,
         scaling: None,
     };
-    board.configure(&Configuration {
+    balancer.configure(&Configuration {
         services: [("s".to_string(), service)].into(),
         ..Configuration::default()
     });
     for id in ids {
-        board.insert(Duration::ZERO, endpoint(id, "z"));
+        balancer.insert(Duration::ZERO, endpoint(id, "z"));
     }
-    board
+    balancer
 }
 
 fn prompt(shared: u64, own: u64, tokens: u32) -> Work {
@@ -74,16 +75,16 @@
 
 #[test]
 fn a_prompt_goes_back_to_where_its_beginning_is_kept() {
-    let mut board = board(true, &["a", "b", "c"]);
+    let mut balancer = balancer(true, &["a", "b", "c"]);
     let mut rng = rng();
-    let first = board
+    let first = balancer
         .choose(ms(0), &prompt(1, 2, 8000), &[], Versions::Any, &mut rng)
         .unwrap();
-    let ticket = board.sent(ms(0), &prompt(1, 2, 8000), &first);
-    board.ended(ms(2000), &ticket, Verdict::Sound);
+    let ticket = balancer.sent(ms(0), &prompt(1, 2, 8000), &first);
+    balancer.ended(ms(2000), &ticket, Verdict::Sound);
     for own in 3..20 {
         let again = prompt(1, own, 8000);
-        let next = board
+        let next = balancer
             .choose(ms(2000 + own), &again, &[], Versions::Any, &mut rng)
             .unwrap();
         assert_eq!(next.endpoint, first.endpoint);
@@ -93,8 +94,8 @@
 
 #[test]
 fn prompts_that_others_sent_are_waited_for() {
-    let mut board = board(true, &["a", "b"]);
-    board.peer_sent(
+    let mut balancer = balancer(true, &["a", "b"]);
+    balancer.peer_sent(
         ms(0),
         PeerDispatch {
             endpoint: endpoint_hash("a"),
@@ -106,28 +107,28 @@
     );
     let mut rng = rng();
     for own in 0..20 {
-        let choice = board.choose(ms(5), &prompt(0, own, 500), &[], Versions::Any, &mut rng);
+        let choice = balancer.choose(ms(5), &prompt(0, own, 500), &[], Versions::Any, &mut rng);
         assert_eq!(choice.unwrap().endpoint, "b");
     }
 }
 
 #[test]
 fn an_endpoint_that_was_silent_is_passed_over_unless_it_is_the_only_one() {
-    let mut board = board(false, &["a", "b"]);
+    let mut balancer = balancer(false, &["a", "b"]);
     let mut rng = rng();
-    let first = board
+    let first = balancer
         .choose(ms(0), &plain(), &[], Versions::Any, &mut rng)
         .unwrap();
-    let ticket = board.sent(ms(0), &plain(), &first);
-    board.ended(ms(300), &ticket, Verdict::Silent);
+    let ticket = balancer.sent(ms(0), &plain(), &first);
+    balancer.ended(ms(300), &ticket, Verdict::Silent);
     for _ in 0..20 {
-        let next = board
+        let next = balancer
             .choose(ms(301), &plain(), &[], Versions::Any, &mut rng)
             .unwrap();
         assert_ne!(next.endpoint, first.endpoint);
     }
     let other = if first.endpoint == "a" { "b" } else { "a" };
-    let only = board.choose(
+    let only = balancer.choose(
         ms(301),
         &plain(),
         &[other.to_string()],
@@ -139,11 +140,11 @@
 
 #[test]
 fn an_endpoint_that_drains_is_never_chosen() {
-    let mut board = board(false, &["a"]);
+    let mut balancer = balancer(false, &["a"]);
     let mut draining = endpoint("a", "z");
     draining.state = EndpointState::Draining { leaves_in: None };
-    board.insert(ms(1), draining);
-    assert!(board
+    balancer.insert(ms(1), draining);
+    assert!(balancer
         .choose(ms(2), &plain(), &[], Versions::Any, &mut rng())
         .is_none());
 }
@@ -167,7 +168,7 @@
 fn light_requests_that_are_not_known_yet_do_not_narrow_the_choice_for_a_heavy_prompt() {
     let ids: Vec<String> = (0..24).map(|i| format!("e{i}")).collect();
     let ids: Vec<&str> = ids.iter().map(String::as_str).collect();
-    let mut board = board(true, &ids);
+    let mut balancer = balancer(true, &ids);
     for at in 0..1500 {
         let dispatch = PeerDispatch {
             endpoint: endpoint_hash(ids[at as usize % ids.len()]),
@@ -176,10 +177,10 @@
             sent_at: ms(at),
             hold: ms(100),
         };
-        board.peer_sent(ms(at + 400), dispatch);
+        balancer.peer_sent(ms(at + 400), dispatch);
     }
     let mut weighed = |tokens| {
-        let placement = board.choose(
+        let placement = balancer.choose(
             ms(2000),
             &prompt(1, 2, tokens),
             &[],
@@ -196,22 +197,22 @@
 fn the_rate_of_engines_is_distinguished_from_the_time_before_they_read() {
     const START_MS: u64 = 30;
     const RATE: u64 = 150;
-    let mut board = board(true, &["a"]);
+    let mut balancer = balancer(true, &["a"]);
     let mut rng = rng();
     for own in 0..200 {
         let tokens = if own % 2 == 0 { 300 } else { 3000 };
         let (work, at) = (prompt(2 * own + 1, 2 * own + 2, tokens), ms(own * 1000));
-        let placement = board
+        let placement = balancer
             .choose(at, &work, &[], Versions::Any, &mut rng)
             .unwrap();
-        let mut ticket = board.sent(at, &work, &placement);
+        let mut ticket = balancer.sent(at, &work, &placement);
         let took = START_MS + u64::from(placement.unread_tokens) / RATE;
-        board.first_token(at + ms(took), &mut ticket);
-        board.ended(at + ms(900), &ticket, Verdict::Sound);
-        let known = board.known_rate("s");
+        balancer.first_token(at + ms(took), &mut ticket);
+        balancer.ended(at + ms(900), &ticket, Verdict::Sound);
+        let known = balancer.known_rate("s");
         assert_eq!(known.is_some(), own >= 23, "{own} {known:?}");
     }
-    let rate = board.known_rate("s").unwrap();
+    let rate = balancer.known_rate("s").unwrap();
     assert!((140.0..=160.0).contains(&rate), "{rate}");
 }
 
@@ -220,7 +221,7 @@
 fn the_law_of_engines_is_learnt_from_streams() {
     const BASE_MS: f64 = 3.0;
     const PER_RUNNING_MS: f64 = 0.1;
-    let mut board = board(true, &["a"]);
+    let mut balancer = balancer(true, &["a"]);
     let mut rng = rng();
     let mut now = Duration::ZERO;
     for wave in 0..200_u64 {
@@ -229,23 +230,23 @@
         let mut tickets: Vec<_> = (0..running)
             .map(|own| {
                 let work = work(own);
-                let placement = board.choose(now, &work, &[], Versions::Any, &mut rng);
-                board.sent(now, &work, &placement.unwrap())
+                let placement = balancer.choose(now, &work, &[], Versions::Any, &mut rng);
+                balancer.sent(now, &work, &placement.unwrap())
             })
             .collect();
         for _ in 0..=32 {
             now += Duration::from_secs_f64((BASE_MS + PER_RUNNING_MS * running as f64) / 1000.0);
             for ticket in &mut tickets {
-                board.first_token(now, ticket);
-                board.event(now, ticket);
+                balancer.first_token(now, ticket);
+                balancer.event(now, ticket);
             }
         }
         for ticket in &tickets {
-            board.stream_ended(now, ticket, Some(ms(300)), Duration::from_secs(10));
-            board.ended(now, ticket, Verdict::Sound);
+            balancer.stream_ended(now, ticket, Some(ms(300)), Duration::from_secs(10));
+            balancer.ended(now, ticket, Verdict::Sound);
         }
     }
-    let learnt = board.learnt("s");
+    let learnt = balancer.learnt("s");
     let law = learnt.estimate().law;
     assert!((2.7..=3.3).contains(&law.base_ms), "{law:?}");
     assert!((0.09..=0.11).contains(&law.per_running_ms), "{law:?}");
@@ -256,11 +257,11 @@
 
 #[test]
 fn a_request_goes_only_to_endpoints_of_a_version_that_may_run_it() {
-    let mut board = board(true, &[]);
+    let mut balancer = balancer(true, &[]);
     for i in 0..8 {
         let spec = endpoint(&format!("e{i}"), "z");
         let version = if i < 4 { "v1" } else { "v2" };
-        board.insert(
+        balancer.insert(
             ms(0),
             Endpoint {
                 version: version.into(),
@@ -272,7 +273,7 @@
     let mut chosen = |versions| {
         let work = prompt(1, 2, 1000);
         let ids = (0..200).filter_map(|i| {
-            let placed = board.choose(ms(i * 100), &work, &[], versions, &mut rng)?;
+            let placed = balancer.choose(ms(i * 100), &work, &[], versions, &mut rng)?;
             Some((placed.endpoint, placed.version))
         });
         ids.collect::<std::collections::BTreeSet<_>>()
@@ -291,21 +292,21 @@
 
 #[test]
 fn a_stream_whose_endpoint_was_listed_anew_says_nothing_of_the_engine() {
-    let mut board = board(true, &["a"]);
+    let mut balancer = balancer(true, &["a"]);
     let mut rng = rng();
     let work = prompt(1, 2, 40_000);
-    let placement = board.choose(ms(0), &work, &[], Versions::Any, &mut rng);
+    let placement = balancer.choose(ms(0), &work, &[], Versions::Any, &mut rng);
     let placement = placement.unwrap();
-    let mut ticket = board.sent(ms(0), &work, &placement);
-    board.first_token(ms(10), &mut ticket);
-    board.event(ms(10), &mut ticket);
-    let endpoint = board.endpoint("a").unwrap().clone();
-    board.remove("a");
-    board.insert(ms(20), endpoint);
+    let mut ticket = balancer.sent(ms(0), &work, &placement);
+    balancer.first_token(ms(10), &mut ticket);
+    balancer.event(ms(10), &mut ticket);
+    let endpoint = balancer.endpoint("a").unwrap().clone();
+    balancer.remove("a");
+    balancer.insert(ms(20), endpoint);
     for i in 0..40 {
-        board.event(ms(20 + 5 * i), &mut ticket);
+        balancer.event(ms(20 + 5 * i), &mut ticket);
     }
-    board.stream_ended(ms(300), &ticket, None, Duration::from_secs(10));
-    let steps = board.learnt("s").steps;
+    balancer.stream_ended(ms(300), &ticket, None, Duration::from_secs(10));
+    let steps = balancer.learnt("s").steps;
     assert!(steps.read >= 0.0, "{steps:?}");
 }
--- a/components/routing/tests/regions.rs
+++ b/components/routing/tests/regions.rs
@@ -9,8 +9,8 @@
 use rand::SeedableRng;
 use rand_chacha::ChaCha8Rng;
 use routing::placement::{
-    endpoint_hash, Board, Exclusion, PeerDispatch, Placement, PromptPart, Verdict, Versions, Ways,
-    Work,
+    endpoint_hash, Balancer, Exclusion, PeerDispatch, Placement, PromptPart, Verdict, Versions,
+    Ways, Work,
 };
 use topology::Topology;
 
@@ -40,13 +40,13 @@
 }
 
 /// A board of a gateway in hall a1 with endpoints named by their halls.
-fn board(endpoints: &[(&str, &str)]) -> Board {
-    let mut board = Board::in_topology(topology());
-    common::configure(&mut board, 16);
+fn balancer(endpoints: &[(&str, &str)]) -> Balancer {
+    let mut balancer = Balancer::with_topology(topology());
+    common::configure(&mut balancer, 16);
     for (id, hall) in endpoints {
-        board.insert(ms(0), endpoint(id, hall));
+        balancer.insert(ms(0), endpoint(id, hall));
     }
-    board
+    balancer
 }
 
 fn prompt(own: u64, tokens: u32, body_bytes: u32) -> Work {
@@ -61,7 +61,7 @@
 }
 
 /// Makes prompts of others wait at an endpoint for about so long, at the first guess of the rate.
-fn make_wait(board: &mut Board, id: &str, wait_ms: u32) {
+fn make_wait(balancer: &mut Balancer, id: &str, wait_ms: u32) {
     let dispatch = PeerDispatch {
         endpoint: endpoint_hash(id),
         unread_tokens: wait_ms * 30,
@@ -69,12 +69,12 @@
         sent_at: ms(0),
         hold: ms(60_000),
     };
-    board.peer_sent(ms(0), dispatch);
+    balancer.peer_sent(ms(0), dispatch);
 }
 
-fn choose(board: &mut Board, now: Duration, work: &Work) -> Option<Placement> {
+fn choose(balancer: &mut Balancer, now: Duration, work: &Work) -> Option<Placement> {
     let mut rng = ChaCha8Rng::seed_from_u64(7);
-    board.choose(now, work, &[], Versions::Any, &mut rng)
+    balancer.choose(now, work, &[], Versions::Any, &mut rng)
 }
 
 /// Parts of the link that carry so many bytes a second to region b.
@@ -84,10 +84,10 @@
 
 #[test]
 fn a_request_stays_in_its_region_while_that_has_room() {
-    let mut board = board(&[("a", "a2"), ("b", "b1")]);
+    let mut balancer = balancer(&[("a", "a2"), ("b", "b1")]);
     for own in 2..200 {
         let work = prompt(own, 300, 1_000);
-        let placed = choose(&mut board, ms(own * 1000), &work).unwrap();
+        let placed = choose(&mut balancer, ms(own * 1000), &work).unwrap();
         assert_eq!((placed.endpoint.as_str(), placed.bytes_across), ("a", 0));
     }
 }
@@ -95,9 +95,9 @@
 #[test]
 fn a_request_leaves_its_region_when_the_wait_there_is_longer_than_the_way() {
     for (wait, expected) in [(70, "a"), (200, "b")] {
-        let mut board = board(&[("a", "a2"), ("b", "b1")]);
-        make_wait(&mut board, "a", wait);
-        let placed = choose(&mut board, ms(0), &prompt(2, 300, 1_000)).unwrap();
+        let mut balancer = balancer(&[("a", "a2"), ("b", "b1")]);
+        make_wait(&mut balancer, "a", wait);
+        let placed = choose(&mut balancer, ms(0), &prompt(2, 300, 1_000)).unwrap();
         assert_eq!(placed.endpoint, expected, "{wait} ms");
         assert_eq!(placed.home_ms.is_some(), expected == "b");
         assert_eq!(placed.bytes_across > 0, expected == "b");
@@ -106,26 +106,26 @@
 
 #[test]
 fn a_busy_endpoint_elsewhere_does_not_draw_requests() {
-    let mut board = board(&[("a", "a2"), ("b", "b1")]);
-    make_wait(&mut board, "a", 200);
-    make_wait(&mut board, "b", 200);
-    let placed = choose(&mut board, ms(0), &prompt(2, 300, 1_000)).unwrap();
+    let mut balancer = balancer(&[("a", "a2"), ("b", "b1")]);
+    make_wait(&mut balancer, "a", 200);
+    make_wait(&mut balancer, "b", 200);
+    let placed = choose(&mut balancer, ms(0), &prompt(2, 300, 1_000)).unwrap();
     assert_eq!(placed.endpoint, "a");
 }
 
 #[test]
 fn requests_of_many_bytes_leave_last() {
     let leaves = |bytes, taken_of_link: usize| {
-        let mut board = board(&[("a", "a2"), ("b", "b1")]);
-        board.ways_mut().set_link(60_000);
-        board.set_link_parts(ms(0), &parts(150_000.0));
-        make_wait(&mut board, "a", 1700);
+        let mut balancer = balancer(&[("a", "a2"), ("b", "b1")]);
+        balancer.ways_mut().set_link(60_000);
+        balancer.set_link_parts(ms(0), &parts(150_000.0));
+        make_wait(&mut balancer, "a", 1700);
         let now = ms(1000);
         for own in 0..taken_of_link {
             let small = prompt(100 + own as u64, 300, 10_000);
-            choose(&mut board, now, &small).unwrap();
+            choose(&mut balancer, now, &small).unwrap();
         }
-        let placed = choose(&mut board, now, &prompt(2, 300, bytes)).unwrap();
+        let placed = choose(&mut balancer, now, &prompt(2, 300, bytes)).unwrap();
         assert_eq!(placed.kept_for_link, placed.endpoint == "a");
         placed.endpoint == "b"
     };
@@ -135,37 +135,37 @@
 
 #[test]
 fn with_a_full_link_a_request_is_served_at_home_however_long_the_wait() {
-    let mut board = board(&[("a", "a2"), ("b", "b1")]);
-    board.set_link_parts(ms(0), &parts(10.0));
-    make_wait(&mut board, "a", 4000);
+    let mut balancer = balancer(&[("a", "a2"), ("b", "b1")]);
+    balancer.set_link_parts(ms(0), &parts(10.0));
+    make_wait(&mut balancer, "a", 4000);
     let work = prompt(2, 300, 1_000);
-    let placed = choose(&mut board, ms(0), &work).unwrap();
+    let placed = choose(&mut balancer, ms(0), &work).unwrap();
     assert!(placed.endpoint == "a" && placed.kept_for_link);
-    assert_eq!(board.link_wait(ms(0), &work), None);
+    assert_eq!(balancer.link_wait(ms(0), &work), None);
 }
 
 #[test]
 fn a_region_without_endpoints_is_served_by_the_other_within_its_part_of_the_link() {
-    let mut board = board(&[("b", "b1")]);
-    board.set_link_parts(ms(0), &parts(100_000.0));
+    let mut balancer = balancer(&[("b", "b1")]);
+    balancer.set_link_parts(ms(0), &parts(100_000.0));
     let mut bytes = 0;
     for at in 1..=10_000 {
         let work = prompt(at, 300, 5_000);
-        match choose(&mut board, ms(at), &work) {
+        match choose(&mut balancer, ms(at), &work) {
             Some(placed) => {
                 assert_eq!(placed.home_ms, None);
-                assert_eq!(board.link_wait(ms(at), &work), None);
+                assert_eq!(balancer.link_wait(ms(at), &work), None);
                 bytes += placed.bytes_across;
             }
             None => {
-                let wait = board
+                let wait = balancer
                     .link_wait(ms(at), &work)
                     .expect("the link has no room");
                 assert!(wait <= ms(100), "{wait:?}");
                 let later = ms(at + 1) + wait;
                 if at == 5_000 {
                     assert!(
-                        choose(&mut board, later, &work).is_some(),
+                        choose(&mut balancer, later, &work).is_some(),
                         "{wait:?} was true"
                     );
                     return assert!((400_000..=600_000).contains(&bytes), "{bytes}");
@@ -178,11 +178,11 @@
 
 #[test]
 fn without_any_endpoint_the_link_is_not_blamed() {
-    let mut board = board(&[]);
-    board.set_link_parts(ms(0), &parts(10.0));
+    let mut balancer = balancer(&[]);
+    balancer.set_link_parts(ms(0), &parts(10.0));
     let work = prompt(2, 300, 1_000);
-    assert_eq!(choose(&mut board, ms(0), &work), None);
-    assert_eq!(board.link_wait(ms(0), &work), None);
+    assert_eq!(choose(&mut balancer, ms(0), &work), None);
+    assert_eq!(balancer.link_wait(ms(0), &work), None);
 }
 
 #[test]
@@ -191,8 +191,8 @@
     let names: Vec<String> = (0..40).map(|i| format!("e{i}")).collect();
     let named = names.iter().zip(halls.iter().cycle());
     let named: Vec<(&str, &str)> = named.map(|(id, hall)| (id.as_str(), *hall)).collect();
-    let mut board = board(&named);
-    let first = choose(&mut board, ms(0), &prompt(2, 12_000, 1_000)).unwrap();
+    let mut balancer = balancer(&named);
+    let first = choose(&mut balancer, ms(0), &prompt(2, 12_000, 1_000)).unwrap();
     assert_eq!(topology().region_of(&first.hall), "a");
     assert!(
         first.unread_tokens < 12_000,
@@ -231,12 +231,12 @@
 
 #[test]
 fn a_region_that_is_near_is_used_sooner() {
-    let mut board = board(&[("a", "a2"), ("b", "b1")]);
+    let mut balancer = balancer(&[("a", "a2"), ("b", "b1")]);
     for _ in 0..9 {
-        board.ways_mut().measured("b1", ms(4));
+        balancer.ways_mut().measured("b1", ms(4));
     }
-    make_wait(&mut board, "a", 70);
-    let placed = choose(&mut board, ms(0), &prompt(2, 300, 1_000)).unwrap();
+    make_wait(&mut balancer, "a", 70);
+    let placed = choose(&mut balancer, ms(0), &prompt(2, 300, 1_000)).unwrap();
     assert_eq!(placed.endpoint, "b");
 }
 
@@ -253,31 +253,31 @@
 #[test]
 fn the_way_to_an_endpoint_is_not_taken_for_its_slowness() {
     const RATE: u64 = 150;
-    let mut board = board(&[("b", "b1")]);
+    let mut balancer = balancer(&[("b", "b1")]);
     for own in 0..200 {
         let tokens = if own % 2 == 0 { 300 } else { 9000 };
         let work = prompt(1000 + own, tokens, 0);
         let at = ms(own * 2000);
-        let placed = choose(&mut board, at, &work).unwrap();
-        let mut ticket = board.sent(at, &work, &placed);
+        let placed = choose(&mut balancer, at, &work).unwrap();
+        let mut ticket = balancer.sent(at, &work, &placed);
         let took = 60 + u64::from(placed.unread_tokens) / RATE;
-        board.first_token(at + ms(took), &mut ticket);
-        board.ended(at + ms(took + 100), &ticket, Verdict::Sound);
+        balancer.first_token(at + ms(took), &mut ticket);
+        balancer.ended(at + ms(took + 100), &ticket, Verdict::Sound);
     }
-    let rate = board.known_rate("s").unwrap();
+    let rate = balancer.known_rate("s").unwrap();
     assert!((130.0..=170.0).contains(&rate), "{rate}");
 }
 
 #[test]
 fn a_request_of_a_gateway_elsewhere_is_placed_in_that_gateways_region() {
-    let mut board = board(&[("a", "a1"), ("b", "b1")]);
-    board.set_link_parts(ms(0), &parts(100_000.0));
+    let mut balancer = balancer(&[("a", "a1"), ("b", "b1")]);
+    balancer.set_link_parts(ms(0), &parts(100_000.0));
     let region_b = topology().place_of("b2");
     let work = prompt(2, 300, 1_000);
     let mut rng = ChaCha8Rng::seed_from_u64(7);
-    let mut placed = |board: &mut Board| {
+    let mut placed = |balancer: &mut Balancer| {
         let now = ms(1000);
-        let placed = board.choose_from(
+        let placed = balancer.choose_from(
             region_b,
             now,
             &work,
@@ -287,24 +287,24 @@
         );
         placed.unwrap()
     };
-    let there = placed(&mut board);
+    let there = placed(&mut balancer);
     assert_eq!((there.endpoint.as_str(), there.bytes_across), ("b", 0));
-    make_wait(&mut board, "b", 2000);
-    let here = placed(&mut board);
+    make_wait(&mut balancer, "b", 2000);
+    let here = placed(&mut balancer);
     assert_eq!(here.endpoint, "a");
     assert!(here.bytes_across > 0, "it crosses the link all the same");
 }
 
 #[test]
 fn silent_endpoints_at_home_are_used_only_when_the_link_has_no_room() {
-    let mut board = board(&[("a", "a1"), ("b", "b1")]);
+    let mut balancer = balancer(&[("a", "a1"), ("b", "b1")]);
     let work = prompt(2, 300, 1_000);
-    let first = choose(&mut board, ms(0), &work).unwrap();
+    let first = choose(&mut balancer, ms(0), &work).unwrap();
     assert_eq!(first.endpoint, "a");
-    let ticket = board.sent(ms(0), &work, &first);
-    board.ended(ms(10), &ticket, Verdict::Silent);
-    assert_eq!(choose(&mut board, ms(20), &work).unwrap().endpoint, "b");
-    board.set_link_parts(ms(20), &parts(10.0));
-    let placed = choose(&mut board, ms(20), &work).unwrap();
+    let ticket = balancer.sent(ms(0), &work, &first);
+    balancer.ended(ms(10), &ticket, Verdict::Silent);
+    assert_eq!(choose(&mut balancer, ms(20), &work).unwrap().endpoint, "b");
+    balancer.set_link_parts(ms(20), &parts(10.0));
+    let placed = choose(&mut balancer, ms(20), &work).unwrap();
     assert!(placed.endpoint == "a" && placed.kept_for_link);
 }
--- a/components/routing/tests/restarts.rs
+++ b/components/routing/tests/restarts.rs
@@ -8,7 +8,7 @@
 use rand::SeedableRng;
 use rand_chacha::ChaCha8Rng;
 use routing::placement::{
-    incarnation, Board, PeerDispatch, Placement, PromptPart, Sight, Verdict, Versions, Work,
+    incarnation, Balancer, PeerDispatch, Placement, PromptPart, Sight, Verdict, Versions, Work,
 };
 
 const NOW: Duration = Duration::from_secs(10);
@@ -29,11 +29,11 @@
     }
 }
 
-fn board() -> Board {
-    let mut board = Board::new("z");
-    common::configure(&mut board, 16);
-    board.insert(NOW, endpoint("a", Some(1)));
-    board
+fn balancer() -> Balancer {
+    let mut balancer = Balancer::new("z");
+    common::configure(&mut balancer, 16);
+    balancer.insert(NOW, endpoint("a", Some(1)));
+    balancer
 }
 
 fn prompt() -> Work {
@@ -49,47 +49,47 @@
     }
 }
 
-fn choose(board: &mut Board) -> Placement {
+fn choose(balancer: &mut Balancer) -> Placement {
     let mut rng = ChaCha8Rng::seed_from_u64(1);
-    let chosen = board.choose(NOW, &prompt(), &[], Versions::Any, &mut rng);
+    let chosen = balancer.choose(NOW, &prompt(), &[], Versions::Any, &mut rng);
     chosen.expect("an endpoint")
 }
 
 #[test]
 fn what_ran_and_was_kept_ends_with_the_process() {
-    let mut board = board();
-    let first = choose(&mut board);
-    board.sent(NOW, &prompt(), &first);
-    assert_eq!(choose(&mut board).unread_tokens, 0, "kept");
-    let waits_ms = choose(&mut board).expected_ms;
-    board.insert(NOW, endpoint("a", Some(2)));
-    let again = choose(&mut board);
+    let mut balancer = balancer();
+    let first = choose(&mut balancer);
+    balancer.sent(NOW, &prompt(), &first);
+    assert_eq!(choose(&mut balancer).unread_tokens, 0, "kept");
+    let waits_ms = choose(&mut balancer).expected_ms;
+    balancer.insert(NOW, endpoint("a", Some(2)));
+    let again = choose(&mut balancer);
     assert_eq!(again.unread_tokens, TOKENS);
     assert!(again.expected_ms > 0.0 && waits_ms > 0.0);
-    assert_eq!(board.occupancy(NOW, "s")["z"].requests, 0);
+    assert_eq!(balancer.occupancy(NOW, "s")["z"].requests, 0);
 }
 
 #[test]
 fn the_end_of_an_old_run_takes_nothing_from_the_new_process() {
-    let mut board = board();
-    let first = choose(&mut board);
-    let mut old = board.sent(NOW, &prompt(), &first);
-    board.insert(NOW, endpoint("a", Some(2)));
-    let second = choose(&mut board);
-    board.sent(NOW, &prompt(), &second);
-    board.first_token(NOW, &mut old);
-    board.ended(NOW, &old, Verdict::Silent);
-    assert_eq!(board.occupancy(NOW, "s")["z"].requests, 1);
+    let mut balancer = balancer();
+    let first = choose(&mut balancer);
+    let mut old = balancer.sent(NOW, &prompt(), &first);
+    balancer.insert(NOW, endpoint("a", Some(2)));
+    let second = choose(&mut balancer);
+    balancer.sent(NOW, &prompt(), &second);
+    balancer.first_token(NOW, &mut old);
+    balancer.ended(NOW, &old, Verdict::Silent);
+    assert_eq!(balancer.occupancy(NOW, "s")["z"].requests, 1);
     // A silent end of the old run would have the endpoint passed over.
-    assert_eq!(choose(&mut board).endpoint, "a");
+    assert_eq!(choose(&mut balancer).endpoint, "a");
 }
 
 #[test]
 fn what_others_sent_to_the_process_before_is_not_counted() {
-    let mut board = board();
-    board.insert(NOW, endpoint("a", Some(2)));
+    let mut balancer = balancer();
+    balancer.insert(NOW, endpoint("a", Some(2)));
     let mut hear = |born| {
-        board.peer_sent(
+        balancer.peer_sent(
             NOW,
             PeerDispatch {
                 endpoint: incarnation("a", Some(born)),
@@ -99,7 +99,7 @@
                 hold: Duration::from_secs(1),
             },
         );
-        board.occupancy(NOW, "s")["z"].requests
+        balancer.occupancy(NOW, "s")["z"].requests
     };
     assert_eq!(hear(1), 0);
     assert_eq!(hear(2), 1);
@@ -108,41 +108,41 @@
 #[test]
 fn a_birth_that_goes_back_or_is_missing_tells_starts_apart_as_well() {
     for (before, after) in [(Some(5), Some(4)), (Some(5), None), (None, Some(5))] {
-        let mut board = board();
-        board.insert(NOW, endpoint("a", before));
-        let placed = choose(&mut board);
-        assert!(!board.is_over(&placed));
-        board.insert(NOW, endpoint("a", after));
-        assert!(board.is_over(&placed), "{before:?} {after:?}");
+        let mut balancer = balancer();
+        balancer.insert(NOW, endpoint("a", before));
+        let placed = choose(&mut balancer);
+        assert!(!balancer.is_over(&placed));
+        balancer.insert(NOW, endpoint("a", after));
+        assert!(balancer.is_over(&placed), "{before:?} {after:?}");
     }
 }
 
 #[test]
 fn a_record_of_the_same_start_keeps_what_is_known() {
-    let mut board = board();
-    let placed = choose(&mut board);
-    board.sent(NOW, &prompt(), &placed);
-    board.insert(
+    let mut balancer = balancer();
+    let placed = choose(&mut balancer);
+    balancer.sent(NOW, &prompt(), &placed);
+    balancer.insert(
         NOW,
         Endpoint {
             slots: 8,
             ..endpoint("a", Some(1))
         },
     );
-    assert!(!board.is_over(&placed));
-    assert_eq!(choose(&mut board).unread_tokens, 0);
+    assert!(!balancer.is_over(&placed));
+    assert_eq!(choose(&mut balancer).unread_tokens, 0);
 }
 
 #[test]
 fn a_load_that_the_old_process_reported_is_not_the_new_ones() {
-    let mut board = Board::new("z");
-    board.insert(NOW, endpoint("a", Some(1)));
+    let mut balancer = Balancer::new("z");
+    balancer.insert(NOW, endpoint("a", Some(1)));
     let plain = Work {
         service: "s".into(),
         ..Work::default()
     };
     let mut rng = ChaCha8Rng::seed_from_u64(1);
-    let placed = board.choose(NOW, &plain, &[], Versions::Any, &mut rng);
+    let placed = balancer.choose(NOW, &plain, &[], Versions::Any, &mut rng);
     let placed = placed.expect("an endpoint");
     let sight = Sight {
         endpoint: placed.incarnation,
@@ -150,7 +150,7 @@
         requests: Some(5),
         slowdown: None,
     };
-    board.insert(NOW, endpoint("a", Some(2)));
-    board.see(sight);
-    assert_eq!(board.occupancy(NOW, "s")["z"].requests, 0);
+    balancer.insert(NOW, endpoint("a", Some(2)));
+    balancer.see(sight);
+    assert_eq!(balancer.occupancy(NOW, "s")["z"].requests, 0);
 }
--- a/components/routing/tests/slowdowns.rs
+++ b/components/routing/tests/slowdowns.rs
@@ -8,7 +8,7 @@
 use rand::SeedableRng;
 use rand_chacha::ChaCha8Rng;
 use routing::placement::{
-    endpoint_hash, Board, Placement, PromptPart, Sight, Slowdown, Verdict, Versions, Work,
+    endpoint_hash, Balancer, Placement, PromptPart, Sight, Slowdown, Verdict, Versions, Work,
 };
 
 const LONG_PROMPT: u32 = 6_000;
@@ -32,13 +32,13 @@
     }
 }
 
-fn board(ids: &[&str]) -> Board {
-    let mut board = Board::new("z");
-    common::configure(&mut board, 16);
+fn balancer(ids: &[&str]) -> Balancer {
+    let mut balancer = Balancer::new("z");
+    common::configure(&mut balancer, 16);
     for id in ids {
-        board.insert(ms(0), record("s", id));
+        balancer.insert(ms(0), record("s", id));
     }
-    board
+    balancer
 }
 
 fn prompt(own: u64, tokens: u32) -> Work {
@@ -51,10 +51,10 @@
     }
 }
 
-fn choose(board: &mut Board, at: Duration, work: &Work, not: &[&str]) -> Placement {
+fn choose(balancer: &mut Balancer, at: Duration, work: &Work, not: &[&str]) -> Placement {
     let mut rng = ChaCha8Rng::seed_from_u64(at.as_millis() as u64);
     let not: Vec<String> = not.iter().map(|id| id.to_string()).collect();
-    let placed = board.choose(at, work, &not, Versions::Any, &mut rng);
+    let placed = balancer.choose(at, work, &not, Versions::Any, &mut rng);
     placed.expect("an endpoint is ready")
 }
 
@@ -68,12 +68,12 @@
 }
 
 /// How often each endpoint would get one of a hundred long prompts, all at the same moment.
-fn shares(board: &mut Board, at: Duration) -> (usize, usize) {
+fn shares(balancer: &mut Balancer, at: Duration) -> (usize, usize) {
     let mut rng = ChaCha8Rng::seed_from_u64(7);
     let mut first = 0;
     for i in 0..100 {
         let work = prompt(1_000 + i, LONG_PROMPT);
-        let placed = board.choose(at, &work, &[], Versions::Any, &mut rng);
+        let placed = balancer.choose(at, &work, &[], Versions::Any, &mut rng);
         first += usize::from(placed.expect("one is ready").endpoint == "e1");
     }
     (first, 100 - first)
@@ -81,22 +81,22 @@
 
 #[test]
 fn a_long_prompt_goes_past_an_endpoint_that_is_slow_now() {
-    let mut board = board(&["e1", "e2"]);
-    assert!(board.see(told("e1", ms(100), 250)));
-    assert!(!board.see(told("e2", ms(100), 100)));
-    assert_eq!(shares(&mut board, ms(110)), (0, 100));
+    let mut balancer = balancer(&["e1", "e2"]);
+    assert!(balancer.see(told("e1", ms(100), 250)));
+    assert!(!balancer.see(told("e2", ms(100), 100)));
+    assert_eq!(shares(&mut balancer, ms(110)), (0, 100));
 }
 
 #[test]
 fn a_slow_moment_long_ago_says_nothing_any_more() {
-    let mut board = board(&["e1", "e2"]);
+    let mut balancer = balancer(&["e1", "e2"]);
     for at in (0..5_000).step_by(50) {
-        board.see(told("e1", ms(at), 100));
-        board.see(told("e2", ms(at), 100));
+        balancer.see(told("e1", ms(at), 100));
+        balancer.see(told("e2", ms(at), 100));
     }
-    board.see(told("e1", ms(5_000), 250));
+    balancer.see(told("e1", ms(5_000), 250));
     let mut expected = |at: u64, not: &str| {
-        let placed = choose(&mut board, ms(at), &prompt(1, LONG_PROMPT), &[not]);
+        let placed = choose(&mut balancer, ms(at), &prompt(1, LONG_PROMPT), &[not]);
         placed.slowdown.factor()
     };
     assert!(expected(5_010, "e2") > 1.8);
@@ -106,28 +106,28 @@
 
 #[test]
 fn an_endpoint_that_is_always_slow_is_known_to_be_long_after_it_told() {
-    let mut board = board(&["e1", "e2"]);
+    let mut balancer = balancer(&["e1", "e2"]);
     for at in (0..2_000).step_by(50) {
-        board.see(told("e1", ms(at), 170));
-        board.see(told("e2", ms(at), 70));
+        balancer.see(told("e1", ms(at), 170));
+        balancer.see(told("e2", ms(at), 70));
     }
     let later = ms(60_000);
-    let slow = choose(&mut board, later, &prompt(1, LONG_PROMPT), &["e2"]);
-    let fast = choose(&mut board, later, &prompt(1, LONG_PROMPT), &["e1"]);
+    let slow = choose(&mut balancer, later, &prompt(1, LONG_PROMPT), &["e2"]);
+    let fast = choose(&mut balancer, later, &prompt(1, LONG_PROMPT), &["e1"]);
     assert!(slow.expected_ms > 2.0 * fast.expected_ms);
     // What runs there holds its slot for longer too.
     assert!(slow.hold.as_secs_f64() > 2.0 * fast.hold.as_secs_f64());
 }
 
 /// Endpoints of which each is slow for a while and well for a while, told every 50 ms.
-fn swinging(board: &mut Board, slow_for: u64, well_for: u64) -> Duration {
+fn swinging(balancer: &mut Balancer, slow_for: u64, well_for: u64) -> Duration {
     let cycle = slow_for + well_for;
     let end = 60_000;
     for at in (0..end).step_by(50) {
         for (i, id) in ["e1", "e2"].iter().enumerate() {
             let within = (at + i as u64 * cycle / 2) % cycle;
             let percent = if within < slow_for { 250 } else { 100 };
-            board.see(told(id, ms(at), percent));
+            balancer.see(told(id, ms(at), percent));
         }
     }
     ms(end)
@@ -135,13 +135,13 @@
 
 #[test]
 fn how_long_word_is_worth_something_is_learnt_from_how_long_it_was() {
-    let mut steady = board(&["e1", "e2"]);
+    let mut steady = balancer(&["e1", "e2"]);
     let end = swinging(&mut steady, 4_000, 4_000);
-    let mut restless = board(&["e1", "e2"]);
+    let mut restless = balancer(&["e1", "e2"]);
     swinging(&mut restless, 100, 100);
-    let expected = |board: &mut Board| {
-        board.see(told("e1", end, 250));
-        let placed = choose(board, end + ms(400), &prompt(1, LONG_PROMPT), &["e2"]);
+    let expected = |balancer: &mut Balancer| {
+        balancer.see(told("e1", end, 250));
+        let placed = choose(balancer, end + ms(400), &prompt(1, LONG_PROMPT), &["e2"]);
         placed.slowdown.factor()
     };
     let (steady, restless) = (expected(&mut steady), expected(&mut restless));
@@ -150,29 +150,29 @@
 }
 
 /// Sends a prompt to an endpoint that tells how long work takes there, and reads at 100 tokens a millisecond else.
-fn read(board: &mut Board, at: Duration, id: &str, not: &str, percent: u64) {
-    board.see(told(id, at, percent as u32));
+fn read(balancer: &mut Balancer, at: Duration, id: &str, not: &str, percent: u64) {
+    balancer.see(told(id, at, percent as u32));
     let work = prompt(at.as_millis() as u64 * 10 + percent, LONG_PROMPT);
-    let placed = choose(board, at, &work, &[not]);
-    let mut ticket = board.sent(at, &work, &placed);
+    let placed = choose(balancer, at, &work, &[not]);
+    let mut ticket = balancer.sent(at, &work, &placed);
     let first = at + ms(u64::from(LONG_PROMPT) / 100 * percent / 100);
-    board.see(told(id, first, percent as u32));
-    board.first_token(first, &mut ticket);
-    board.ended(first + ms(50), &ticket, Verdict::Sound);
+    balancer.see(told(id, first, percent as u32));
+    balancer.first_token(first, &mut ticket);
+    balancer.ended(first + ms(50), &ticket, Verdict::Sound);
 }
 
 #[test]
 fn slow_moments_do_not_slow_down_what_is_known_of_the_reading_rate() {
     let expected = |slow_rounds: u64| {
-        let mut board = board(&["e1", "e2"]);
+        let mut balancer = balancer(&["e1", "e2"]);
         for round in 0..60 {
             let percent = if round % 4 < slow_rounds { 250 } else { 100 };
-            read(&mut board, ms(round * 1000), "e1", "e2", percent);
-            read(&mut board, ms(round * 1000 + 500), "e2", "e1", 100);
+            read(&mut balancer, ms(round * 1000), "e1", "e2", percent);
+            read(&mut balancer, ms(round * 1000 + 500), "e2", "e1", 100);
         }
         let later = ms(100_000);
-        board.see(told("e2", later, 100));
-        choose(&mut board, later, &prompt(1, LONG_PROMPT), &["e1"]).expected_ms
+        balancer.see(told("e2", later, 100));
+        choose(&mut balancer, later, &prompt(1, LONG_PROMPT), &["e1"]).expected_ms
     };
     let (without, with) = (expected(0), expected(2));
     assert!((with / without - 1.0).abs() < 0.15, "{with} {without}");
@@ -180,21 +180,21 @@
 
 #[test]
 fn the_law_of_an_engine_is_learnt_with_its_slow_moments_taken_out() {
-    let mut board = board(&["e1"]);
+    let mut balancer = balancer(&["e1"]);
     for round in 0..400_u64 {
         let start = ms(round * 1000);
         let percent = if round % 2 == 0 { 100 } else { 250 };
         let work = prompt(round + 1, 10);
-        let placed = choose(&mut board, start, &work, &[]);
-        let mut ticket = board.sent(start, &work, &placed);
+        let placed = choose(&mut balancer, start, &work, &[]);
+        let mut ticket = balancer.sent(start, &work, &placed);
         for event in 0..50 {
             let at = start + ms(event * 4 * percent / 100);
-            board.see(told("e1", at, percent as u32));
-            board.event(at, &mut ticket);
+            balancer.see(told("e1", at, percent as u32));
+            balancer.event(at, &mut ticket);
         }
-        board.ended(start + ms(900), &ticket, Verdict::Sound);
+        balancer.ended(start + ms(900), &ticket, Verdict::Sound);
     }
-    let steps = board.learnt("s").steps;
+    let steps = balancer.learnt("s").steps;
     let mean = steps.mean_step_ms();
     let variance = steps.step_step / steps.count - mean * mean;
     // Well and slow moments say the same; as they were, their deviation is 0.43 of the mean.
@@ -205,47 +205,47 @@
 
 #[test]
 fn endpoints_that_tell_nothing_are_taken_as_usual() {
-    let mut board = board(&["e1", "e2"]);
-    let placed = choose(&mut board, ms(10), &prompt(1, LONG_PROMPT), &[]);
+    let mut balancer = balancer(&["e1", "e2"]);
+    let placed = choose(&mut balancer, ms(10), &prompt(1, LONG_PROMPT), &[]);
     assert_eq!(placed.slowdown, Slowdown::NONE);
-    assert!(!board.see(told("unknown", ms(10), 250)));
+    assert!(!balancer.see(told("unknown", ms(10), 250)));
 }
 
 #[test]
 fn later_word_is_not_undone_by_earlier_word_that_comes_after_it() {
-    let mut board = board(&["e1"]);
-    board.see(told("e1", ms(100), 100));
-    board.see(told("e1", ms(50), 250));
-    let placed = choose(&mut board, ms(101), &prompt(1, LONG_PROMPT), &[]);
+    let mut balancer = balancer(&["e1"]);
+    balancer.see(told("e1", ms(100), 100));
+    balancer.see(told("e1", ms(50), 250));
+    let placed = choose(&mut balancer, ms(101), &prompt(1, LONG_PROMPT), &[]);
     assert_eq!(placed.slowdown.percent(), 100);
 }
 
 #[test]
 fn what_the_start_before_told_says_nothing_of_the_next_one() {
-    let mut board = board(&["e1"]);
+    let mut balancer = balancer(&["e1"]);
     let again = Endpoint {
         born_ms: Some(5),
         ..record("s", "e1")
     };
-    board.insert(ms(10), again);
-    assert!(!board.see(told("e1", ms(20), 250)));
-    let placed = choose(&mut board, ms(21), &prompt(1, LONG_PROMPT), &[]);
+    balancer.insert(ms(10), again);
+    assert!(!balancer.see(told("e1", ms(20), 250)));
+    let placed = choose(&mut balancer, ms(21), &prompt(1, LONG_PROMPT), &[]);
     assert_eq!(placed.slowdown, Slowdown::NONE);
 }
 
 #[test]
 fn a_plain_request_goes_past_an_endpoint_that_is_slow_now() {
-    let mut board = board(&[]);
+    let mut balancer = balancer(&[]);
     for id in ["p1", "p2"] {
-        board.insert(ms(0), record("plain", id));
+        balancer.insert(ms(0), record("plain", id));
     }
     let work = Work {
         service: "plain".into(),
         ..Work::default()
     };
-    board.see(told("p1", ms(100), 250));
-    board.see(told("p2", ms(100), 100));
-    let chosen = (0..20).map(|i| choose(&mut board, ms(100 + i), &work, &[]).endpoint);
+    balancer.see(told("p1", ms(100), 250));
+    balancer.see(told("p2", ms(100), 100));
+    let chosen = (0..20).map(|i| choose(&mut balancer, ms(100 + i), &work, &[]).endpoint);
     assert!(chosen.into_iter().all(|id| id == "p2"));
 }
 
--- a/components/routing/tests/speeds.rs
+++ b/components/routing/tests/speeds.rs
@@ -7,15 +7,15 @@
 use directory::{Endpoint, EndpointState};
 use rand::SeedableRng;
 use rand_chacha::ChaCha8Rng;
-use routing::placement::{Board, Placement, PromptPart, Verdict, Versions, Work};
+use routing::placement::{Balancer, Placement, PromptPart, Verdict, Versions, Work};
 
 fn ms(ms: u64) -> Duration {
     Duration::from_millis(ms)
 }
 
-fn board(ids: &[&str]) -> Board {
-    let mut board = Board::new("z");
-    common::configure(&mut board, 16);
+fn balancer(ids: &[&str]) -> Balancer {
+    let mut balancer = Balancer::new("z");
+    common::configure(&mut balancer, 16);
     for id in ids {
         let endpoint = Endpoint {
             born_ms: None,
@@ -29,9 +29,9 @@
             cold: Duration::ZERO,
             version: "v1".into(),
         };
-        board.insert(ms(0), endpoint);
+        balancer.insert(ms(0), endpoint);
     }
-    board
+    balancer
 }
 
 fn prompt(own: u64, tokens: u32) -> Work {
@@ -44,34 +44,34 @@
     }
 }
 
-fn choose(board: &mut Board, at: Duration, work: &Work, not: &[String]) -> Placement {
+fn choose(balancer: &mut Balancer, at: Duration, work: &Work, not: &[String]) -> Placement {
     let mut rng = ChaCha8Rng::seed_from_u64(at.as_millis() as u64);
-    let placed = board.choose(at, work, not, Versions::Any, &mut rng);
+    let placed = balancer.choose(at, work, not, Versions::Any, &mut rng);
     placed.expect("an endpoint is ready")
 }
 
 /// Sends a prompt to an endpoint that reads so many tokens a millisecond, where nothing else runs.
-fn read_at(board: &mut Board, at: Duration, tokens: u32, rate: u32, not: &str) {
+fn read_at(balancer: &mut Balancer, at: Duration, tokens: u32, rate: u32, not: &str) {
     let work = prompt(1_000_000 + at.as_millis() as u64, tokens);
-    let placed = choose(board, at, &work, &[not.to_string()]);
-    let mut ticket = board.sent(at, &work, &placed);
+    let placed = choose(balancer, at, &work, &[not.to_string()]);
+    let mut ticket = balancer.sent(at, &work, &placed);
     let first = at + ms(5 + u64::from(tokens / rate));
-    board.first_token(first, &mut ticket);
-    board.ended(first + ms(50), &ticket, Verdict::Sound);
+    balancer.first_token(first, &mut ticket);
+    balancer.ended(first + ms(50), &ticket, Verdict::Sound);
 }
 
 #[test]
 fn a_faster_endpoint_gets_more_prompts() {
-    let mut board = board(&["slow", "fast"]);
+    let mut balancer = balancer(&["slow", "fast"]);
     for round in 0..60 {
         let at = ms(round * 2000);
-        read_at(&mut board, at, 6_000, 100, "fast");
-        read_at(&mut board, at + ms(1000), 6_000, 130, "slow");
+        read_at(&mut balancer, at, 6_000, 100, "fast");
+        read_at(&mut balancer, at + ms(1000), 6_000, 130, "slow");
     }
     let mut fast = 0;
     for i in 0..100 {
         let at = ms(1_000_000 + i * 1000);
-        let placed = choose(&mut board, at, &prompt(i + 1, 6_000), &[]);
+        let placed = choose(&mut balancer, at, &prompt(i + 1, 6_000), &[]);
         fast += usize::from(placed.endpoint == "fast");
     }
     assert_eq!(fast, 100, "nothing waits anywhere");
@@ -79,13 +79,13 @@
 
 #[test]
 fn an_endpoint_measured_once_while_the_rate_was_a_guess_is_not_held_slow_for_good() {
-    let mut board = board(&["once", "often"]);
-    read_at(&mut board, ms(0), 6_000, 100, "often");
+    let mut balancer = balancer(&["once", "often"]);
+    read_at(&mut balancer, ms(0), 6_000, 100, "often");
     for round in 1..60 {
-        read_at(&mut board, ms(round * 1000), 6_000, 100, "once");
+        read_at(&mut balancer, ms(round * 1000), 6_000, 100, "once");
     }
     let mut expected_ms = |not: &str| {
-        let placed = choose(&mut board, ms(100_000), &prompt(1, 6_000), &[not.into()]);
+        let placed = choose(&mut balancer, ms(100_000), &prompt(1, 6_000), &[not.into()]);
         placed.expected_ms
     };
     let (once, often) = (expected_ms("often"), expected_ms("once"));
--- a/components/routing/tests/waves.rs
+++ b/components/routing/tests/waves.rs
@@ -8,7 +8,7 @@
 use directory::{Endpoint, EndpointState};
 use rand::SeedableRng;
 use rand_chacha::ChaCha8Rng;
-use routing::placement::{endpoint_hash, Board, PeerDispatch, PromptPart, Versions, Work};
+use routing::placement::{endpoint_hash, Balancer, PeerDispatch, PromptPart, Versions, Work};
 use topology::Topology;
 
 /// Age of what one region hears of the other's requests: the way and a pause between messages.
@@ -24,7 +24,7 @@
 
 struct Region {
     name: &'static str,
-    board: Board,
+    balancer: Balancer,
     // What the other one sent and this one has not heard yet.
     unheard: Vec<PeerDispatch>,
     left: usize,
@@ -35,8 +35,8 @@
     fn new(name: &'static str) -> Self {
         let regions = ["a", "b"].map(|region| (format!("{region}1"), region.to_string()));
         let topology = Topology::new(&format!("{name}1"), name, &BTreeMap::from(regions));
-        let mut board = Board::in_topology(topology);
-        common::configure(&mut board, 64);
+        let mut balancer = Balancer::with_topology(topology);
+        common::configure(&mut balancer, 64);
         for (region, i) in (0..ENDPOINTS).flat_map(|i| [("a", i), ("b", i)]) {
             let endpoint = Endpoint {
                 born_ms: None,
@@ -50,11 +50,11 @@
                 cold: Duration::ZERO,
                 version: "v1".into(),
             };
-            board.insert(Duration::ZERO, endpoint);
+            balancer.insert(Duration::ZERO, endpoint);
         }
         Region {
             name,
-            board,
+            balancer,
             unheard: Vec::new(),
             left: 0,
             asked: 0,
@@ -69,7 +69,7 @@
         self.unheard = unheard;
         let heard: Vec<PeerDispatch> = heard;
         for dispatch in heard {
-            self.board.peer_sent(now, dispatch);
+            self.balancer.peer_sent(now, dispatch);
         }
     }
 
@@ -86,9 +86,9 @@
             answer_tokens: 20,
             body_bytes: 6_000,
         };
-        let placed = self.board.choose(now, &work, &[], Versions::Any, rng);
+        let placed = self.balancer.choose(now, &work, &[], Versions::Any, rng);
         let placed = placed.expect("all endpoints take work");
-        self.board.sent_for_other(now, &work, &placed);
+        self.balancer.sent_for_other(now, &work, &placed);
         self.left += usize::from(!placed.endpoint.starts_with(self.name));
         PeerDispatch {
             endpoint: endpoint_hash(&placed.endpoint),
