--- a/components/gateway/src/decisions.rs
+++ b/components/gateway/src/decisions.rs
@@ -243,7 +243,7 @@
     // Only where there are several regions.
     fn hall_to_tell(&self) -> Option<String> {
         let state = self.state.borrow();
-        let topology = state.board.ways().topology();
+        let topology = state.board.network_costs().topology();
         let hall = topology.hall().to_string();
         topology.has_regions().then_some(hall)
     }
@@ -315,7 +315,7 @@
             reply.retry_ms = Some(wait.as_millis().min(i64::MAX as u128) as i64);
             return Some(reply);
         }
-        let topology = state.board.ways().topology();
+        let topology = state.board.network_costs().topology();
         let asked = Asked {
             route: query.route.unwrap_or_default() as u64,
             is_lost_when_cut: query.is_lost_when_cut.unwrap_or_default(),
--- a/components/gateway/src/endpoint_run.rs
+++ b/components/gateway/src/endpoint_run.rs
@@ -113,7 +113,10 @@
             state.pool.forget(&self.placement.endpoint);
         }
         // The way to another region is none of the version's doing.
-        let way_ms = state.board.ways().beyond_region_ms(&self.placement.hall);
+        let way_ms = state
+            .board
+            .network_costs()
+            .region_round_trip_ms(&self.placement.hall);
         let way = Duration::from_secs_f64(way_ms / 1000.0);
         if let Some(answer) = self.evidence(now, way, verdict) {
             let (service, route) = (&self.job.work.service, self.job.asked().route);
--- a/components/gateway/src/placing.rs
+++ b/components/gateway/src/placing.rs
@@ -138,7 +138,7 @@
             .add(Counter::RegionBytes, placement.bytes_across);
         let way_ms = {
             let state = self.state.borrow();
-            state.board.ways().round_trip_ms(&placement.hall)
+            state.board.network_costs().round_trip_ms(&placement.hall)
         };
         info!(self.log, "leaves region"; "id" => id, "service" => &work.service,
             "hall" => &placement.hall, "bytes" => placement.bytes_across, "way_ms" => way_ms as u64,
@@ -149,7 +149,7 @@
     // How far a hall is, as it is logged.
     fn distance(&self, hall: &str) -> &'static str {
         let state = self.state.borrow();
-        match state.board.ways().topology().distance(hall) {
+        match state.board.network_costs().topology().distance(hall) {
             Distance::SameHall => "hall",
             Distance::SameRegion => "region",
             Distance::OtherRegion => "other region",
--- a/components/gateway/src/sends.rs
+++ b/components/gateway/src/sends.rs
@@ -265,7 +265,7 @@
 
     fn is_beyond_region(&self, hall: &str) -> bool {
         let state = self.state.borrow();
-        let topology = state.board.ways().topology();
+        let topology = state.board.network_costs().topology();
         topology.distance(hall) == Distance::OtherRegion
     }
 
--- a/components/gateway/src/state.rs
+++ b/components/gateway/src/state.rs
@@ -184,14 +184,14 @@
     pub fn set_settings(&mut self, now: Duration, settings: Arc<GatewaySettings>) {
         self.settings = settings;
         let kbit = self.settings.region_link_kbit.max(0) as u64;
-        self.board.ways_mut().set_link(kbit);
+        self.board.network_costs_mut().set_link_rate(kbit);
         self.set_link_parts(now);
     }
 
     fn set_link_parts(&mut self, now: Duration) {
         let kbit = self.settings.region_link_kbit.max(0) as u64;
         let parts = link_parts(
-            self.board.ways().topology(),
+            self.board.network_costs().topology(),
             kbit,
             self.fleet.decides,
             self.most_gateways,
@@ -232,7 +232,7 @@
     let topology = Topology::new(&settings.zone, &settings.region, &settings.halls);
     let mut board = Balancer::with_topology(topology);
     let kbit = settings.region_link_kbit.max(0) as u64;
-    board.ways_mut().set_link(kbit);
+    board.network_costs_mut().set_link_rate(kbit);
     board
 }
 
--- a/components/gateway/src/traffic.rs
+++ b/components/gateway/src/traffic.rs
@@ -153,7 +153,10 @@
                 }
             }
             Update::WayMeasured { hall, round_trip } => {
-                state.board.ways_mut().measured(&hall, round_trip);
+                state
+                    .board
+                    .network_costs_mut()
+                    .record_round_trip(&hall, round_trip);
             }
             Update::Observations(observations) => {
                 drop(state);
--- a/components/routing/src/placement.rs
+++ b/components/routing/src/placement.rs
@@ -12,6 +12,7 @@
 mod exclusion;
 mod halls;
 mod mix;
+mod network_cost;
 mod pace;
 mod queue;
 mod service;
@@ -20,17 +21,16 @@
 mod slowdown;
 mod speed;
 mod unknown;
-mod way;
 
 pub use balancer::{Balancer, Placement, Ticket};
 pub use cache::PromptCache;
 pub use departure::bytes_across;
 pub use engines::HallLoad;
 pub use exclusion::Exclusion;
+pub use network_cost::NetworkCosts;
 pub use queue::PromptQueue;
 pub use sight::Sight;
 pub use slowdown::Slowdown;
-pub use way::Ways;
 
 use std::time::Duration;
 
--- a/components/routing/src/placement/balancer.rs
+++ b/components/routing/src/placement/balancer.rs
@@ -13,12 +13,12 @@
 use crate::placement::engines::Span;
 use crate::placement::exclusion::standing;
 use crate::placement::mix::Mix;
+use crate::placement::network_cost::NetworkCosts;
 use crate::placement::pace::Pace;
 use crate::placement::service::ServiceSlots;
 use crate::placement::slot::Slot;
 use crate::placement::slowdown::{Memory, Slowdown};
 use crate::placement::unknown::Unknown;
-use crate::placement::way::Ways;
 use crate::placement::{
     beginnings, endpoint_hash, incarnation, PeerDispatch, Verdict, Versions, Work,
 };
@@ -82,7 +82,7 @@
 /// Everything known of the endpoints of all services.
 #[derive(Debug)]
 pub struct Balancer {
-    pub(super) ways: Ways,
+    pub(super) network_costs: NetworkCosts,
     pub(super) links: Links,
     // Halls of the endpoints; a slot names its hall by its place here.
     pub(super) halls: Vec<String>,
@@ -110,7 +110,7 @@
     /// An empty board of a gateway among data halls.
     pub fn with_topology(topology: Topology) -> Self {
         Balancer {
-            ways: Ways::new(topology),
+            network_costs: NetworkCosts::new(topology),
             links: Links::default(),
             halls: Vec::new(),
             services: BTreeMap::new(),
@@ -155,7 +155,7 @@
         slot.speed = speed.unwrap_or_default();
         slot.is_engine = engine.is_some();
         slot.hall = self.place_of_hall(&slot.spec.zone);
-        slot.region = self.ways.topology().place_of(&slot.spec.zone);
+        slot.region = self.network_costs.topology().place_of(&slot.spec.zone);
         let hashes = [endpoint_hash(&id), slot.incarnation()];
         self.hashes.extend(hashes.map(|hash| (hash, id.clone())));
         self.services
@@ -299,7 +299,7 @@
             return;
         }
         let (service, hall) = (slot.spec.service.clone(), slot.spec.zone.clone());
-        let way = self.ways.beyond_region_ms(&hall);
+        let way = self.network_costs.region_round_trip_ms(&hall);
         let slowdown = self.slowdown_since(now, ticket);
         let took = (ms(now.saturating_sub(ticket.sent_at)) - way) / slowdown;
         let pace = self.paces.entry(service).or_default();
@@ -327,7 +327,7 @@
         let (speed, told) = (slot.speed(), slot.told);
         let (service, hall) = (slot.spec.service.clone(), slot.spec.zone.clone());
         if verdict == Verdict::Sound {
-            let way = self.ways.beyond_region_ms(&hall);
+            let way = self.network_costs.region_round_trip_ms(&hall);
             let slowdown = self.slowdown_since(now, ticket);
             let on_the_whole = self.memory(&service).on_the_whole(told);
             let pace = self.paces.entry(service).or_default();
--- a/components/routing/src/placement/choice.rs
+++ b/components/routing/src/placement/choice.rs
@@ -10,12 +10,12 @@
 use crate::placement::departure::{bytes_across, Departure, Places};
 use crate::placement::exclusion::Exclusion;
 use crate::placement::mix::Mix;
+use crate::placement::network_cost::OWN_REGION;
 use crate::placement::pace::Pace;
 use crate::placement::service::{ServiceSlots, Usable};
 use crate::placement::slot::Slot;
 use crate::placement::slowdown::Memory;
 use crate::placement::unknown::Unknown;
-use crate::placement::way::OWN_REGION;
 use crate::placement::{beginnings, Versions, Work};
 
 /// Choices this close are distinguished at random, in milliseconds.
@@ -142,7 +142,7 @@
             } else {
                 region
             };
-            let name = self.ways.topology().region_at(beyond);
+            let name = self.network_costs.topology().region_at(beyond);
             departure = self.links.decide(now, name, places);
         }
         let leaves = departure == Departure::Leaves;
--- a/components/routing/src/placement/halls.rs
+++ b/components/routing/src/placement/halls.rs
@@ -5,18 +5,18 @@
 
 use crate::placement::balancer::Balancer;
 use crate::placement::departure::bytes_across;
-use crate::placement::way::Ways;
+use crate::placement::network_cost::NetworkCosts;
 use crate::placement::Work;
 
 impl Balancer {
     /// Ways to other halls.
-    pub fn ways(&self) -> &Ways {
-        &self.ways
+    pub fn network_costs(&self) -> &NetworkCosts {
+        &self.network_costs
     }
 
     /// Ways to other halls, to take what was measured.
-    pub fn ways_mut(&mut self) -> &mut Ways {
-        &mut self.ways
+    pub fn network_costs_mut(&mut self) -> &mut NetworkCosts {
+        &mut self.network_costs
     }
 
     /// Sets this gateway's part of the link to each other region, in bytes a second; a region that is not named is
@@ -44,7 +44,10 @@
     pub(super) fn hall_costs(&self, home_region: usize, bytes: u32) -> Vec<f64> {
         let halls = self.halls.iter();
         halls
-            .map(|hall| self.ways.cost_from_ms(home_region, hall, bytes))
+            .map(|hall| {
+                self.network_costs
+                    .cost_from_region_ms(home_region, hall, bytes)
+            })
             .collect()
     }
 }
--- a/components/routing/src/placement/way.rs
+++ b/components/routing/src/placement/network_cost.rs
@@ -12,41 +12,41 @@
 pub(crate) const OWN_REGION: usize = 0;
 /// Time to another hall of the region and back until it was measured, in milliseconds: several times the 0.4 to
 /// 1 ms between halls of one site, so that a request stays in its hall where nothing speaks against it.
-const FIRST_OTHER_HALL_MS: f64 = 2.0;
+const INITIAL_OTHER_HALL_MS: f64 = 2.0;
 /// Time to another region and back until it was measured, in milliseconds: that over some 3,000 km of fibre.
-const FIRST_OTHER_REGION_MS: f64 = 60.0;
+const INITIAL_OTHER_REGION_MS: f64 = 60.0;
 /// Newest measurements of a hall that are kept. Their median stands for the way: four of nine may be far off, as when
 /// a processor was late, without any change, and five in a row change it.
-const MEASUREMENTS: usize = 9;
+const MAX_MEASUREMENTS: usize = 9;
 /// Bytes that a connection carries before it waits for the first acknowledgement: ten segments, as all current
 /// systems begin (RFC 6928); what is under way doubles with each time there and back.
-const FIRST_WINDOW_BYTES: f64 = 14_600.0;
+const INITIAL_WINDOW_BYTES: f64 = 14_600.0;
 /// A request leaves its region if it gains this many times the way. The wait at home is a guess as well, and one that
 /// leaves takes the other region's callers' room; a trial with 1.5 times 60 ms (docs/design/regions.md) was measured.
-const WORTH_LEAVING: f64 = 1.5;
+const LEAVING_COST_FACTOR: f64 = 1.5;
 
 /// Ways from the own hall to all others.
 #[derive(Clone, Debug)]
-pub struct Ways {
+pub struct NetworkCosts {
     topology: Topology,
-    measured: BTreeMap<String, VecDeque<f64>>,
+    round_trips_ms: BTreeMap<String, VecDeque<f64>>,
     // Bytes that the link between two regions carries in a millisecond; `None` where that is not known.
-    link_bytes_ms: Option<f64>,
+    link_bytes_per_ms: Option<f64>,
 }
 
-impl Ways {
+impl NetworkCosts {
     /// Ways by distance, nothing measured yet.
     pub fn new(topology: Topology) -> Self {
-        Ways {
+        NetworkCosts {
             topology,
-            measured: BTreeMap::new(),
-            link_bytes_ms: None,
+            round_trips_ms: BTreeMap::new(),
+            link_bytes_per_ms: None,
         }
     }
 
     /// Takes what the link between two regions carries each way, in kilobits a second; 0 where that is not known.
-    pub fn set_link(&mut self, kbit: u64) {
-        self.link_bytes_ms = (kbit > 0).then_some(kbit as f64 / 8.0);
+    pub fn set_link_rate(&mut self, kbit: u64) {
+        self.link_bytes_per_ms = (kbit > 0).then_some(kbit as f64 / 8.0);
     }
 
     /// The halls.
@@ -55,10 +55,10 @@
     }
 
     /// A message went to a hall and back in this time.
-    pub fn measured(&mut self, hall: &str, round_trip: Duration) {
-        let times = self.measured.entry(hall.to_string()).or_default();
+    pub fn record_round_trip(&mut self, hall: &str, round_trip: Duration) {
+        let times = self.round_trips_ms.entry(hall.to_string()).or_default();
         times.push_back(round_trip.as_secs_f64() * 1000.0);
-        if times.len() > MEASUREMENTS {
+        if times.len() > MAX_MEASUREMENTS {
             times.pop_front();
         }
     }
@@ -72,36 +72,38 @@
         // What messages within the own hall take is time of processors, which requests spend as well.
         let own = self.median_ms(self.topology.hall()).unwrap_or(0.0);
         match (self.median_ms(hall), distance) {
-            (Some(measured), _) => (measured - own).max(0.0),
-            (None, Distance::OtherRegion) => FIRST_OTHER_REGION_MS,
-            (None, _) => FIRST_OTHER_HALL_MS,
+            (Some(median), _) => (median - own).max(0.0),
+            (None, Distance::OtherRegion) => INITIAL_OTHER_REGION_MS,
+            (None, _) => INITIAL_OTHER_HALL_MS,
         }
     }
 
     /// What a request of so many bytes must gain in a hall to be sent there, in milliseconds.
     pub fn cost_ms(&self, hall: &str, bytes: u32) -> f64 {
-        let once = self.round_trip_ms(hall);
+        let round_trip_ms = self.round_trip_ms(hall);
         match self.topology.distance(hall) {
-            Distance::OtherRegion => self.across_ms(once, bytes),
-            Distance::SameHall | Distance::SameRegion => once,
+            Distance::OtherRegion => self.link_cost_ms(round_trip_ms, bytes),
+            Distance::SameHall | Distance::SameRegion => round_trip_ms,
         }
     }
 
     /// The same for a request of a gateway in the region at this place, which nobody there decided. Ways between two
     /// other regions are not measured here.
-    pub fn cost_from_ms(&self, home: usize, hall: &str, bytes: u32) -> f64 {
+    pub fn cost_from_region_ms(&self, home: usize, hall: &str, bytes: u32) -> f64 {
         let place = self.topology.place_of(hall);
         match home {
             OWN_REGION => self.cost_ms(hall, bytes),
-            home if home == place => FIRST_OTHER_HALL_MS,
-            home if place == OWN_REGION => self.across_ms(self.region_ms(home), bytes),
-            _ => self.across_ms(FIRST_OTHER_REGION_MS, bytes),
+            home if home == place => INITIAL_OTHER_HALL_MS,
+            home if place == OWN_REGION => {
+                self.link_cost_ms(self.shortest_round_trip_ms(home), bytes)
+            }
+            _ => self.link_cost_ms(INITIAL_OTHER_REGION_MS, bytes),
         }
     }
 
     /// Part of an answer's time that is the way to another region and back, in milliseconds: it says nothing of the
     /// endpoint there.
-    pub fn beyond_region_ms(&self, hall: &str) -> f64 {
+    pub fn region_round_trip_ms(&self, hall: &str) -> f64 {
         match self.topology.distance(hall) {
             Distance::OtherRegion => self.round_trip_ms(hall),
             Distance::SameHall | Distance::SameRegion => 0.0,
@@ -109,21 +111,21 @@
     }
 }
 
-impl Ways {
-    fn across_ms(&self, once: f64, bytes: u32) -> f64 {
+impl NetworkCosts {
+    fn link_cost_ms(&self, round_trip_ms: f64, bytes: u32) -> f64 {
         let bytes = f64::from(bytes);
-        let carried = self.link_bytes_ms.map_or(0.0, |rate| bytes / rate);
-        (once * round_trips(bytes) + carried) * WORTH_LEAVING
+        let transfer_ms = self.link_bytes_per_ms.map_or(0.0, |rate| bytes / rate);
+        (round_trip_ms * round_trip_count(bytes) + transfer_ms) * LEAVING_COST_FACTOR
     }
 
-    fn region_ms(&self, place: usize) -> f64 {
+    fn shortest_round_trip_ms(&self, place: usize) -> f64 {
         let halls = self.topology.halls_of(self.topology.region_at(place));
         let times = halls.into_iter().map(|hall| self.round_trip_ms(hall));
         times.fold(f64::INFINITY, f64::min)
     }
 
     fn median_ms(&self, hall: &str) -> Option<f64> {
-        let times = self.measured.get(hall)?;
+        let times = self.round_trips_ms.get(hall)?;
         let mut sorted: Vec<f64> = times.iter().copied().collect();
         sorted.sort_by(f64::total_cmp);
         sorted.get(sorted.len() / 2).copied()
@@ -131,6 +133,6 @@
 }
 
 // Times there and back until the last byte of a request has arrived and the answer begins to come.
-fn round_trips(bytes: f64) -> f64 {
-    (bytes / FIRST_WINDOW_BYTES + 1.0).log2().ceil().max(1.0)
+fn round_trip_count(bytes: f64) -> f64 {
+    (bytes / INITIAL_WINDOW_BYTES + 1.0).log2().ceil().max(1.0)
 }
--- a/components/routing/tests/regions.rs
+++ b/components/routing/tests/regions.rs
@@ -9,8 +9,8 @@
 use rand::SeedableRng;
 use rand_chacha::ChaCha8Rng;
 use routing::placement::{
-    endpoint_hash, Balancer, Exclusion, PeerDispatch, Placement, PromptPart, Verdict, Versions,
-    Ways, Work,
+    endpoint_hash, Balancer, Exclusion, NetworkCosts, PeerDispatch, Placement, PromptPart, Verdict,
+    Versions, Work,
 };
 use topology::Topology;
 
@@ -117,7 +117,7 @@
 fn requests_of_many_bytes_leave_last() {
     let leaves = |bytes, taken_of_link: usize| {
         let mut balancer = balancer(&[("a", "a2"), ("b", "b1")]);
-        balancer.ways_mut().set_link(60_000);
+        balancer.network_costs_mut().set_link_rate(60_000);
         balancer.set_link_parts(ms(0), &parts(150_000.0));
         make_wait(&mut balancer, "a", 1700);
         let now = ms(1000);
@@ -202,38 +202,38 @@
 
 #[test]
 fn the_way_follows_what_is_measured_and_no_single_measurement() {
-    let mut ways = Ways::new(topology());
-    assert_eq!(ways.round_trip_ms("a1"), 0.0);
-    assert_eq!(ways.round_trip_ms("a2"), 2.0);
-    assert_eq!(ways.round_trip_ms("b1"), 60.0);
+    let mut costs = NetworkCosts::new(topology());
+    assert_eq!(costs.round_trip_ms("a1"), 0.0);
+    assert_eq!(costs.round_trip_ms("a2"), 2.0);
+    assert_eq!(costs.round_trip_ms("b1"), 60.0);
     for _ in 0..9 {
-        ways.measured("b1", ms(20));
+        costs.record_round_trip("b1", ms(20));
     }
-    assert_eq!(ways.round_trip_ms("b1"), 20.0);
+    assert_eq!(costs.round_trip_ms("b1"), 20.0);
     for _ in 0..4 {
-        ways.measured("b1", ms(900));
-        assert_eq!(ways.round_trip_ms("b1"), 20.0);
+        costs.record_round_trip("b1", ms(900));
+        assert_eq!(costs.round_trip_ms("b1"), 20.0);
     }
-    ways.measured("b1", ms(900));
-    assert_eq!(ways.round_trip_ms("b1"), 900.0, "five in a row");
-    assert_eq!(ways.round_trip_ms("b2"), 60.0, "another hall");
+    costs.record_round_trip("b1", ms(900));
+    assert_eq!(costs.round_trip_ms("b1"), 900.0, "five in a row");
+    assert_eq!(costs.round_trip_ms("b2"), 60.0, "another hall");
 }
 
 #[test]
 fn time_of_processors_is_no_way() {
-    let mut ways = Ways::new(topology());
-    ways.measured("a1", ms(8));
-    ways.measured("a2", ms(9));
-    ways.measured("b1", ms(5));
-    assert_eq!(ways.round_trip_ms("a2"), 1.0);
-    assert_eq!(ways.round_trip_ms("b1"), 0.0);
+    let mut costs = NetworkCosts::new(topology());
+    costs.record_round_trip("a1", ms(8));
+    costs.record_round_trip("a2", ms(9));
+    costs.record_round_trip("b1", ms(5));
+    assert_eq!(costs.round_trip_ms("a2"), 1.0);
+    assert_eq!(costs.round_trip_ms("b1"), 0.0);
 }
 
 #[test]
 fn a_region_that_is_near_is_used_sooner() {
     let mut balancer = balancer(&[("a", "a2"), ("b", "b1")]);
     for _ in 0..9 {
-        balancer.ways_mut().measured("b1", ms(4));
+        balancer.network_costs_mut().record_round_trip("b1", ms(4));
     }
     make_wait(&mut balancer, "a", 70);
     let placed = choose(&mut balancer, ms(0), &prompt(2, 300, 1_000)).unwrap();
@@ -242,12 +242,12 @@
 
 #[test]
 fn bytes_make_the_way_longer() {
-    let mut ways = Ways::new(topology());
-    let (small, large) = (ways.cost_ms("b1", 1_000), ways.cost_ms("b1", 72_000));
+    let mut costs = NetworkCosts::new(topology());
+    let (small, large) = (costs.cost_ms("b1", 1_000), costs.cost_ms("b1", 72_000));
     assert_eq!((small, large), (90.0, 270.0));
-    ways.set_link(60_000);
-    assert!(ways.cost_ms("b1", 72_000) > large + 9.0);
-    assert_eq!(ways.cost_ms("a2", 72_000), 2.0);
+    costs.set_link_rate(60_000);
+    assert!(costs.cost_ms("b1", 72_000) > large + 9.0);
+    assert_eq!(costs.cost_ms("a2", 72_000), 2.0);
 }
 
 #[test]
