--- a/components/gateway/src/attempt.rs
+++ b/components/gateway/src/attempt.rs
@@ -8,7 +8,7 @@
 use http_body_util::{BodyExt, Limited};
 use hyper::body::Incoming;
 use memory::Kind;
-use routing::placement::{Placement, Verdict};
+use routing::placement::{HealthSignal, Placement};
 use slog::info;
 use telemetry::Counter;
 use transport::{ConnectionError, FullBody};
@@ -84,7 +84,7 @@
 
     /// The stream ended whole.
     pub fn finish(mut self) {
-        self.run.judge(Verdict::Sound);
+        self.run.judge(HealthSignal::Healthy);
         self.run.finish(self.keep_alive);
     }
 }
@@ -175,7 +175,7 @@
         // nothing more, or name a limit.
         let is_wanted = self.is_wanted(placement) && self.is_granted(placement, sending.grant);
         if !self.may_still_send(job) || !is_wanted {
-            run.judge(Verdict::Neutral);
+            run.judge(HealthSignal::Inconclusive);
             return Attempted::NotSent;
         }
         let request = self.request_of(job, placement, sending.last_event);
@@ -187,7 +187,7 @@
         let answer = match connection.send(request).await {
             Ok(answer) => answer,
             Err(ConnectionError::Broken(error)) => {
-                run.judge(Verdict::Silent);
+                run.judge(HealthSignal::Unresponsive);
                 info!(self.log, "answer lost"; "id" => &job.head.id,
                     "endpoint" => &placement.endpoint, "cause" => %error);
                 self.look_after_cut(job, placement).await;
@@ -200,7 +200,7 @@
         let read = self.dialect.read_answer(head.status, &head.headers);
         self.hear(job, placement, run.sent_at, head.status, &read);
         if read.id.as_deref() != Some(job.head.id.as_str()) {
-            run.judge(Verdict::Faulty);
+            run.judge(HealthSignal::Faulty);
             return Attempted::Lost("the endpoint answered another request");
         }
         if read.not_run {
@@ -247,7 +247,7 @@
     }
 
     async fn declined(&self, mut run: Run<D>, read: &AnswerHead, body: Incoming) -> Attempted<D> {
-        run.judge(Verdict::Neutral);
+        run.judge(HealthSignal::Inconclusive);
         let limited = Limited::new(body, MAX_REFUSAL);
         if limited.collect().await.is_ok() {
             run.finish(read.keep_alive);
@@ -268,19 +268,19 @@
         let hold = job.caller.account.hold(Kind::Whole);
         let gathered = self.room.gather(body, hold, MAX_WHOLE_ANSWER, None).await;
         let Ok(body) = gathered else {
-            run.judge(Verdict::Faulty);
+            run.judge(HealthSignal::Faulty);
             self.look_after_cut(job, &run.placement).await;
             return Attempted::Lost("the endpoint broke its answer off");
         };
         let failed = head.status.is_server_error();
         if read.altered || (head.status.is_success() && !read.signed) {
-            run.judge(Verdict::Faulty);
+            run.judge(HealthSignal::Faulty);
             return Attempted::Lost("the answer is not what the endpoint made");
         }
         run.first_token();
         run.judge(match failed {
-            true => Verdict::Faulty,
-            false => Verdict::Sound,
+            true => HealthSignal::Faulty,
+            false => HealthSignal::Healthy,
         });
         if !failed {
             self.note_whole(job);
@@ -309,7 +309,7 @@
             ready: VecDeque::new(),
         };
         if read.altered || !read.signed {
-            events.run.judge(Verdict::Faulty);
+            events.run.judge(HealthSignal::Faulty);
             return Attempted::Lost("the answer is not what the endpoint made");
         }
         match events.next().await {
@@ -324,7 +324,7 @@
                 })
             }
             end @ (NextEvent::End | NextEvent::Broken) => {
-                events.run.judge(Verdict::Faulty);
+                events.run.judge(HealthSignal::Faulty);
                 if matches!(end, NextEvent::Broken) {
                     self.look_after_cut(job, &events.run.placement).await;
                 }
--- a/components/gateway/src/connecting.rs
+++ b/components/gateway/src/connecting.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use routing::placement::{Placement, Verdict};
+use routing::placement::{HealthSignal, Placement};
 use slog::{info, warn};
 use telemetry::Counter;
 use transport::Connection;
@@ -42,7 +42,7 @@
                 return true;
             }
             Reserved::Full => {
-                run.judge(Verdict::Neutral);
+                run.judge(HealthSignal::Inconclusive);
                 return false;
             }
             Reserved::New => run.reserved = true,
@@ -53,7 +53,7 @@
                 true
             }
             Err(error) => {
-                run.judge(Verdict::Silent);
+                run.judge(HealthSignal::Unresponsive);
                 info!(self.log, "endpoint unreachable"; "id" => &job.head.id,
                     "endpoint" => &placement.endpoint, "cause" => %error);
                 false
--- a/components/gateway/src/endpoint_run.rs
+++ b/components/gateway/src/endpoint_run.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use rollout::Answer;
-use routing::placement::{verdict_without_answer, Placement, Ticket, Verdict};
+use routing::placement::{signal_without_answer, HealthSignal, Placement, Ticket};
 use transport::Connection;
 
 use crate::job::SharedJob;
@@ -25,7 +25,7 @@
     pub reserved: bool,
     /// Whether the head of an answer came.
     pub answered: bool,
-    pub verdict: Option<Verdict>,
+    pub verdict: Option<HealthSignal>,
     pub sent_at: Duration,
     pub placement: Placement,
     pub job: SharedJob,
@@ -33,7 +33,7 @@
 
 impl<D> Run<D> {
     /// Says how the endpoint did.
-    pub fn judge(&mut self, verdict: Verdict) {
+    pub fn judge(&mut self, verdict: HealthSignal) {
         self.verdict = Some(verdict);
     }
 
@@ -69,28 +69,28 @@
 
     // What this run says of its endpoint's version, if a roll-out is under way. The time of an engine's answer is
     // reported in parts of the time expected, since an endpoint of a new version has read no prompts yet.
-    fn evidence(&self, now: Duration, way: Duration, verdict: Verdict) -> Option<Answer> {
+    fn evidence(&self, now: Duration, way: Duration, verdict: HealthSignal) -> Option<Answer> {
         let took = now.saturating_sub(self.sent_at + way).as_secs_f64();
         match verdict {
-            Verdict::Neutral => None,
-            Verdict::Faulty | Verdict::Silent => Some(Answer::Failed),
-            Verdict::Sound if self.job.engine => {
+            HealthSignal::Inconclusive => None,
+            HealthSignal::Faulty | HealthSignal::Unresponsive => Some(Answer::Failed),
+            HealthSignal::Healthy if self.job.engine => {
                 let expected = self.placement.hold.as_secs_f64().max(SHORTEST_TIME_S);
                 Some(Answer::Whole(took / expected * 1000.0))
             }
-            Verdict::Sound => Some(Answer::Whole(took.max(SHORTEST_TIME_S) * 1000.0)),
+            HealthSignal::Healthy => Some(Answer::Whole(took.max(SHORTEST_TIME_S) * 1000.0)),
         }
     }
 
-    fn verdict_at_drop(&self, now: Duration) -> Verdict {
+    fn verdict_at_drop(&self, now: Duration) -> HealthSignal {
         let waited = now.saturating_sub(self.sent_at);
         let given = self.job.expiry.saturating_sub(self.sent_at);
         let expected = Duration::from_secs_f64(self.placement.expected_ms / 1000.0);
         match (self.verdict, self.answered) {
             (Some(verdict), _) => verdict,
-            (None, true) if now >= self.job.expiry => Verdict::Faulty,
-            (None, true) => Verdict::Neutral,
-            (None, false) => verdict_without_answer(waited, expected, given),
+            (None, true) if now >= self.job.expiry => HealthSignal::Faulty,
+            (None, true) => HealthSignal::Inconclusive,
+            (None, false) => signal_without_answer(waited, expected, given),
         }
     }
 }
@@ -108,7 +108,7 @@
                 .stream_ended(now, &self.ticket, route.gap_target, whole);
         }
         state.board.ended(now, &self.ticket, verdict);
-        if verdict == Verdict::Silent {
+        if verdict == HealthSignal::Unresponsive {
             // Its other open connections may say nothing either.
             state.pool.forget(&self.placement.endpoint);
         }
--- a/components/gateway/src/stream.rs
+++ b/components/gateway/src/stream.rs
@@ -5,7 +5,7 @@
 
 use bytes::Bytes;
 use memory::{Hold, Kind};
-use routing::placement::Verdict;
+use routing::placement::HealthSignal;
 use slog::info;
 use telemetry::Counter;
 use tokio::sync::mpsc;
@@ -90,8 +90,8 @@
                     }
                     let placement = events.run.placement.clone();
                     events.run.judge(match is_silent {
-                        true => Verdict::Silent,
-                        false => Verdict::Faulty,
+                        true => HealthSignal::Unresponsive,
+                        false => HealthSignal::Faulty,
                     });
                     drop(events);
                     if !is_silent {
--- a/components/routing/src/placement.rs
+++ b/components/routing/src/placement.rs
@@ -124,25 +124,29 @@
 
 /// A request that is dropped before its endpoint said anything: whether that speaks of the endpoint.
 /// Callers leave a little before the time of their requests is over, so the time itself says little.
-pub fn verdict_without_answer(waited: Duration, expected: Duration, given: Duration) -> Verdict {
-    const LEAST_SILENCE: Duration = Duration::from_secs(1);
-    const EXPECTED_TIMES: u32 = 4;
-    let long = LEAST_SILENCE.max(expected * EXPECTED_TIMES);
-    match waited >= long.min(given / 2) {
-        true => Verdict::Silent,
-        false => Verdict::Neutral,
+pub fn signal_without_answer(
+    waited: Duration,
+    expected: Duration,
+    given: Duration,
+) -> HealthSignal {
+    const MIN_SILENCE: Duration = Duration::from_secs(1);
+    const EXPECTED_FACTOR: u32 = 4;
+    let min_silence = MIN_SILENCE.max(expected * EXPECTED_FACTOR);
+    match waited >= min_silence.min(given / 2) {
+        true => HealthSignal::Unresponsive,
+        false => HealthSignal::Inconclusive,
     }
 }
 
 /// How a request at an endpoint ended, as far as it speaks of the endpoint.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Verdict {
+pub enum HealthSignal {
     /// It answered well.
-    Sound,
+    Healthy,
     /// It answered with an error of its own, or broke its answer off.
     Faulty,
     /// It could not be reached or said nothing.
-    Silent,
+    Unresponsive,
     /// Says nothing of the endpoint: the caller left, or it had no room.
-    Neutral,
+    Inconclusive,
 }
--- a/components/routing/src/placement/balancer.rs
+++ b/components/routing/src/placement/balancer.rs
@@ -20,7 +20,7 @@
 use crate::placement::slowdown::{Memory, Slowdown};
 use crate::placement::unknown::Unknown;
 use crate::placement::{
-    beginnings, endpoint_hash, incarnation, PeerDispatch, Verdict, Versions, Work,
+    beginnings, endpoint_hash, incarnation, HealthSignal, PeerDispatch, Versions, Work,
 };
 
 /// Where a request goes.
@@ -315,7 +315,7 @@
     }
 
     /// A request ended.
-    pub fn ended(&mut self, now: Duration, ticket: &Ticket, verdict: Verdict) {
+    pub fn ended(&mut self, now: Duration, ticket: &Ticket, signal: HealthSignal) {
         let Some(slot) = self.slot_of(ticket) else {
             return;
         };
@@ -323,10 +323,10 @@
         if let Some(number) = ticket.number {
             slot.queue.drop_entry(now, number);
         }
-        slot.judge(now, verdict);
+        slot.judge(now, signal);
         let (speed, told) = (slot.speed(), slot.told);
         let (service, hall) = (slot.spec.service.clone(), slot.spec.zone.clone());
-        if verdict == Verdict::Sound {
+        if signal == HealthSignal::Healthy {
             let way = self.network_costs.region_round_trip_ms(&hall);
             let slowdown = self.slowdown_since(now, ticket);
             let on_the_whole = self.memory(&service).on_the_whole(told);
--- a/components/routing/src/placement/slot.rs
+++ b/components/routing/src/placement/slot.rs
@@ -9,7 +9,7 @@
 use crate::placement::queue::PromptQueue;
 use crate::placement::slowdown::{Memory, Slowdown, Told};
 use crate::placement::speed::Speed;
-use crate::placement::{incarnation, Verdict};
+use crate::placement::{incarnation, HealthSignal};
 
 /// First time an endpoint is passed over after it was silent; it doubles with each time in a row.
 const FIRST_SUSPICION: Duration = Duration::from_millis(250);
@@ -216,19 +216,19 @@
     }
 
     /// Draws conclusions from the end of a request.
-    pub fn judge(&mut self, now: Duration, verdict: Verdict) {
-        match verdict {
-            Verdict::Neutral => {}
-            Verdict::Sound => {
+    pub fn judge(&mut self, now: Duration, signal: HealthSignal) {
+        match signal {
+            HealthSignal::Inconclusive => {}
+            HealthSignal::Healthy => {
                 self.silent_in_row = 0;
                 self.suspected_until = Duration::ZERO;
                 self.fault_share *= 1.0 - FAULT_WEIGHT;
             }
-            Verdict::Faulty => {
+            HealthSignal::Faulty => {
                 self.silent_in_row = 0;
                 self.fault_share += (1.0 - self.fault_share) * FAULT_WEIGHT;
             }
-            Verdict::Silent => {
+            HealthSignal::Unresponsive => {
                 let pause = FIRST_SUSPICION * (1 << self.silent_in_row.min(5));
                 self.silent_in_row += 1;
                 self.suspected_until = now + pause.min(LONGEST_SUSPICION);
--- a/components/routing/tests/placement.rs
+++ b/components/routing/tests/placement.rs
@@ -6,8 +6,8 @@
 use rand::SeedableRng;
 use rand_chacha::ChaCha8Rng;
 use routing::placement::{
-    endpoint_hash, verdict_without_answer, Balancer, PeerDispatch, PromptPart, Verdict, Versions,
-    Work,
+    endpoint_hash, signal_without_answer, Balancer, HealthSignal, PeerDispatch, PromptPart,
+    Versions, Work,
 };
 
 fn ms(ms: u64) -> Duration {
@@ -81,7 +81,7 @@
         .choose(ms(0), &prompt(1, 2, 8000), &[], Versions::Any, &mut rng)
         .unwrap();
     let ticket = balancer.sent(ms(0), &prompt(1, 2, 8000), &first);
-    balancer.ended(ms(2000), &ticket, Verdict::Sound);
+    balancer.ended(ms(2000), &ticket, HealthSignal::Healthy);
     for own in 3..20 {
         let again = prompt(1, own, 8000);
         let next = balancer
@@ -120,7 +120,7 @@
         .choose(ms(0), &plain(), &[], Versions::Any, &mut rng)
         .unwrap();
     let ticket = balancer.sent(ms(0), &plain(), &first);
-    balancer.ended(ms(300), &ticket, Verdict::Silent);
+    balancer.ended(ms(300), &ticket, HealthSignal::Unresponsive);
     for _ in 0..20 {
         let next = balancer
             .choose(ms(301), &plain(), &[], Versions::Any, &mut rng)
@@ -151,15 +151,15 @@
 
 #[test]
 fn a_caller_that_leaves_just_before_its_time_is_over_speaks_of_a_silent_endpoint() {
-    let verdict =
-        |waited, expected, given| verdict_without_answer(ms(waited), ms(expected), ms(given));
-    assert_eq!(verdict(2990, 50, 3000), Verdict::Silent);
-    assert_eq!(verdict(795, 60, 800), Verdict::Silent);
-    assert_eq!(verdict(200, 60, 800), Verdict::Neutral);
-    assert_eq!(verdict(2400, 50, 15_000), Verdict::Silent);
+    let signal =
+        |waited, expected, given| signal_without_answer(ms(waited), ms(expected), ms(given));
+    assert_eq!(signal(2990, 50, 3000), HealthSignal::Unresponsive);
+    assert_eq!(signal(795, 60, 800), HealthSignal::Unresponsive);
+    assert_eq!(signal(200, 60, 800), HealthSignal::Inconclusive);
+    assert_eq!(signal(2400, 50, 15_000), HealthSignal::Unresponsive);
     assert_eq!(
-        verdict(2400, 1500, 15_000),
-        Verdict::Neutral,
+        signal(2400, 1500, 15_000),
+        HealthSignal::Inconclusive,
         "a long prompt"
     );
 }
@@ -208,7 +208,7 @@
         let mut ticket = balancer.sent(at, &work, &placement);
         let took = START_MS + u64::from(placement.unread_tokens) / RATE;
         balancer.first_token(at + ms(took), &mut ticket);
-        balancer.ended(at + ms(900), &ticket, Verdict::Sound);
+        balancer.ended(at + ms(900), &ticket, HealthSignal::Healthy);
         let known = balancer.known_rate("s");
         assert_eq!(known.is_some(), own >= 23, "{own} {known:?}");
     }
@@ -243,7 +243,7 @@
         }
         for ticket in &tickets {
             balancer.stream_ended(now, ticket, Some(ms(300)), Duration::from_secs(10));
-            balancer.ended(now, ticket, Verdict::Sound);
+            balancer.ended(now, ticket, HealthSignal::Healthy);
         }
     }
     let learnt = balancer.learnt("s");
--- a/components/routing/tests/regions.rs
+++ b/components/routing/tests/regions.rs
@@ -9,8 +9,8 @@
 use rand::SeedableRng;
 use rand_chacha::ChaCha8Rng;
 use routing::placement::{
-    endpoint_hash, Balancer, Exclusion, NetworkCosts, PeerDispatch, Placement, PromptPart, Verdict,
-    Versions, Work,
+    endpoint_hash, Balancer, Exclusion, HealthSignal, NetworkCosts, PeerDispatch, Placement,
+    PromptPart, Versions, Work,
 };
 use topology::Topology;
 
@@ -262,7 +262,7 @@
         let mut ticket = balancer.sent(at, &work, &placed);
         let took = 60 + u64::from(placed.unread_tokens) / RATE;
         balancer.first_token(at + ms(took), &mut ticket);
-        balancer.ended(at + ms(took + 100), &ticket, Verdict::Sound);
+        balancer.ended(at + ms(took + 100), &ticket, HealthSignal::Healthy);
     }
     let rate = balancer.known_rate("s").unwrap();
     assert!((130.0..=170.0).contains(&rate), "{rate}");
@@ -302,7 +302,7 @@
     let first = choose(&mut balancer, ms(0), &work).unwrap();
     assert_eq!(first.endpoint, "a");
     let ticket = balancer.sent(ms(0), &work, &first);
-    balancer.ended(ms(10), &ticket, Verdict::Silent);
+    balancer.ended(ms(10), &ticket, HealthSignal::Unresponsive);
     assert_eq!(choose(&mut balancer, ms(20), &work).unwrap().endpoint, "b");
     balancer.set_link_parts(ms(20), &parts(10.0));
     let placed = choose(&mut balancer, ms(20), &work).unwrap();
--- a/components/routing/tests/restarts.rs
+++ b/components/routing/tests/restarts.rs
@@ -8,7 +8,7 @@
 use rand::SeedableRng;
 use rand_chacha::ChaCha8Rng;
 use routing::placement::{
-    incarnation, Balancer, PeerDispatch, Placement, PromptPart, Sight, Verdict, Versions, Work,
+    incarnation, Balancer, HealthSignal, PeerDispatch, Placement, PromptPart, Sight, Versions, Work,
 };
 
 const NOW: Duration = Duration::from_secs(10);
@@ -78,7 +78,7 @@
     let second = choose(&mut balancer);
     balancer.sent(NOW, &prompt(), &second);
     balancer.first_token(NOW, &mut old);
-    balancer.ended(NOW, &old, Verdict::Silent);
+    balancer.ended(NOW, &old, HealthSignal::Unresponsive);
     assert_eq!(balancer.occupancy(NOW, "s")["z"].requests, 1);
     // A silent end of the old run would have the endpoint passed over.
     assert_eq!(choose(&mut balancer).endpoint, "a");
--- a/components/routing/tests/slowdowns.rs
+++ b/components/routing/tests/slowdowns.rs
@@ -8,7 +8,7 @@
 use rand::SeedableRng;
 use rand_chacha::ChaCha8Rng;
 use routing::placement::{
-    endpoint_hash, Balancer, Placement, PromptPart, Sight, Slowdown, Verdict, Versions, Work,
+    endpoint_hash, Balancer, HealthSignal, Placement, PromptPart, Sight, Slowdown, Versions, Work,
 };
 
 const LONG_PROMPT: u32 = 6_000;
@@ -158,7 +158,7 @@
     let first = at + ms(u64::from(LONG_PROMPT) / 100 * percent / 100);
     balancer.see(told(id, first, percent as u32));
     balancer.first_token(first, &mut ticket);
-    balancer.ended(first + ms(50), &ticket, Verdict::Sound);
+    balancer.ended(first + ms(50), &ticket, HealthSignal::Healthy);
 }
 
 #[test]
@@ -192,7 +192,7 @@
             balancer.see(told("e1", at, percent as u32));
             balancer.event(at, &mut ticket);
         }
-        balancer.ended(start + ms(900), &ticket, Verdict::Sound);
+        balancer.ended(start + ms(900), &ticket, HealthSignal::Healthy);
     }
     let steps = balancer.learnt("s").steps;
     let mean = steps.mean_step_ms();
--- a/components/routing/tests/speeds.rs
+++ b/components/routing/tests/speeds.rs
@@ -7,7 +7,7 @@
 use directory::{Endpoint, EndpointState};
 use rand::SeedableRng;
 use rand_chacha::ChaCha8Rng;
-use routing::placement::{Balancer, Placement, PromptPart, Verdict, Versions, Work};
+use routing::placement::{Balancer, HealthSignal, Placement, PromptPart, Versions, Work};
 
 fn ms(ms: u64) -> Duration {
     Duration::from_millis(ms)
@@ -57,7 +57,7 @@
     let mut ticket = balancer.sent(at, &work, &placed);
     let first = at + ms(5 + u64::from(tokens / rate));
     balancer.first_token(first, &mut ticket);
-    balancer.ended(first + ms(50), &ticket, Verdict::Sound);
+    balancer.ended(first + ms(50), &ticket, HealthSignal::Healthy);
 }
 
 #[test]
