--- a/bench/src/decisions.rs
+++ b/bench/src/decisions.rs
@@ -6,7 +6,7 @@
 use rand::SeedableRng;
 use rand_chacha::ChaCha8Rng;
 use replay::{generate, replay, Deployment, Options, Report, Story};
-use routing::{Ask, Policy, Prompt, Reading, Router};
+use routing::{Policy, Prompt, Reading, Router, RoutingRequest};
 use schema::settings::{Endpoint, PriceClass, Priority};
 
 const POLICIES: [(&str, Policy); 4] = [
@@ -193,8 +193,8 @@
     Prompt::of_messages(&messages)
 }
 
-fn ask(prompt: &Prompt) -> Ask<'_> {
-    Ask {
+fn ask(prompt: &Prompt) -> RoutingRequest<'_> {
+    RoutingRequest {
         pool: "chat",
         prompt,
         priority: Priority::INTERACTIVE,
--- a/components/node/src/call.rs
+++ b/components/node/src/call.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use errors::{Kind, Problem};
-use routing::{Ask, Prompt};
+use routing::{Prompt, RoutingRequest};
 use schema::settings::{Priority, Team};
 use tiny_http::{Method, Request};
 
@@ -43,8 +43,13 @@
 
 impl Call {
     /// What routing is asked for this request.
-    pub fn ask<'a>(&self, pool: &'a str, prompt: &'a Prompt, exclude: &'a [String]) -> Ask<'a> {
-        Ask {
+    pub fn ask<'a>(
+        &self,
+        pool: &'a str,
+        prompt: &'a Prompt,
+        exclude: &'a [String],
+    ) -> RoutingRequest<'a> {
+        RoutingRequest {
             pool,
             prompt,
             priority: self.priority,
--- a/components/node/src/chat_run/dispatch.rs
+++ b/components/node/src/chat_run/dispatch.rs
@@ -5,7 +5,7 @@
 
 use fleet::Move;
 use limits::{Verdict, Waiter};
-use routing::{Ask, Decision};
+use routing::{Decision, RoutingRequest};
 use schema::settings::Priority;
 use session::{Cause, Event};
 use telemetry::{Counter, Hop, Timer};
@@ -95,7 +95,7 @@
         Some((decision.chosen.endpoint, address))
     }
 
-    pub(super) fn ask<'b>(&'b self, exclude: &'b [String]) -> Ask<'b> {
+    pub(super) fn ask<'b>(&'b self, exclude: &'b [String]) -> RoutingRequest<'b> {
         self.call.ask(&self.pool.name, &self.prompt, exclude)
     }
 
--- a/components/node/src/traffic.rs
+++ b/components/node/src/traffic.rs
@@ -9,7 +9,7 @@
 use limits::{Budget, Gate, Limits, Refused, TeamMeter, Verdict, Waiter};
 use rand::SeedableRng;
 use rand_chacha::ChaCha8Rng;
-use routing::{Ask, Decision, Router};
+use routing::{Decision, Router, RoutingRequest};
 use schema::settings::{Configuration, Priority, Team};
 
 use crate::attempt::RunEvent;
@@ -230,7 +230,7 @@
     }
 
     /// Chooses an endpoint, notes the request as sent there, and reports its address.
-    pub fn route(&mut self, now: Duration, ask: &Ask<'_>) -> Option<(Decision, String)> {
+    pub fn route(&mut self, now: Duration, ask: &RoutingRequest<'_>) -> Option<(Decision, String)> {
         let decision = self.router.choose(now, ask, &mut self.rng)?;
         let endpoint = &decision.chosen.endpoint;
         self.router.sent(endpoint, ask);
--- a/components/replay/src/world/streams.rs
+++ b/components/replay/src/world/streams.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use routing::Ask;
+use routing::RoutingRequest;
 use schema::settings::Priority;
 use session::{Cause, Event, Failure};
 
@@ -63,7 +63,7 @@
     pub(super) fn choose(&mut self, id: usize) -> Option<(String, Option<Duration>)> {
         let request = &self.requests[id];
         let node = &mut self.nodes[request.node];
-        let ask = |exclude| Ask {
+        let ask = |exclude| RoutingRequest {
             pool: &request.line.pool,
             prompt: &request.prompt,
             priority: Priority(request.line.class),
--- a/components/routing/src/decision.rs
+++ b/components/routing/src/decision.rs
@@ -9,7 +9,7 @@
 
 /// A request that needs an endpoint.
 #[derive(Clone, Debug)]
-pub struct Ask<'a> {
+pub struct RoutingRequest<'a> {
     /// Pool that serves it.
     pub pool: &'a str,
     /// Shape of its prompt.
--- a/components/routing/src/lib.rs
+++ b/components/routing/src/lib.rs
@@ -15,7 +15,7 @@
 
 pub use baseline::Policy;
 pub use belief::{Belief, CacheEvent, CacheGossip};
-pub use decision::{Ask, Candidate, Decision};
+pub use decision::{Candidate, Decision, RoutingRequest};
 pub use endpoint::{EndpointState, Reading};
 pub use prompt::{Prompt, BLOCK_BYTES, BYTES_PER_TOKEN};
 pub use rendezvous::{rank, weight};
--- a/components/routing/src/router.rs
+++ b/components/routing/src/router.rs
@@ -8,7 +8,7 @@
 
 use crate::baseline::{pick, Policy};
 use crate::belief::{Belief, CacheEvent};
-use crate::decision::{Ask, Candidate, Decision};
+use crate::decision::{Candidate, Decision, RoutingRequest};
 use crate::endpoint::{EndpointState, Reading};
 use crate::prompt::{BLOCK_BYTES, BYTES_PER_TOKEN};
 use crate::rendezvous::weight;
@@ -78,12 +78,17 @@
     }
 
     /// The endpoint for a request, or `None` if no endpoint of the pool is usable.
-    pub fn choose(&self, now: Duration, ask: &Ask<'_>, rng: &mut impl Rng) -> Option<Decision> {
-        let members = self.pools.get(ask.pool)?;
+    pub fn choose(
+        &self,
+        now: Duration,
+        request: &RoutingRequest<'_>,
+        rng: &mut impl Rng,
+    ) -> Option<Decision> {
+        let members = self.pools.get(request.pool)?;
         let usable: Vec<u32> = members
             .iter()
             .copied()
-            .filter(|i| self.usable(*i, now, ask))
+            .filter(|i| self.usable(*i, now, request))
             .collect();
         let passed_over = (members.len() - usable.len()) as u32;
         if self.policy != Policy::Scored {
@@ -95,7 +100,7 @@
                 (usable.len() as u32, passed_over),
             ));
         }
-        let weighed = self.weigh(now, ask, &usable);
+        let weighed = self.weigh(now, request, &usable);
         let (first, second) = best_two(&weighed, rng)?;
         let runner_up = second.map(|(i, e)| self.candidate(i, e));
         Some(self.decision(
@@ -107,12 +112,12 @@
     }
 
     /// Notes that a request was sent.
-    pub fn sent(&mut self, endpoint: &str, ask: &Ask<'_>) {
+    pub fn sent(&mut self, endpoint: &str, request: &RoutingRequest<'_>) {
         let Some(&i) = self.index.get(endpoint) else {
             return;
         };
         self.states[i as usize].own += 1;
-        self.belief.store(i, &ask.prompt.blocks);
+        self.belief.store(i, &request.prompt.blocks);
     }
 
     /// Notes that a request ended; `held` is how long it had a slot.
@@ -219,18 +224,23 @@
         Some(&mut self.states[i as usize])
     }
 
-    fn usable(&self, i: u32, now: Duration, ask: &Ask<'_>) -> bool {
+    fn usable(&self, i: u32, now: Duration, request: &RoutingRequest<'_>) -> bool {
         let state = &self.states[i as usize];
-        state.is_usable(now) && !ask.exclude.contains(&state.spec.name)
+        state.is_usable(now) && !request.exclude.contains(&state.spec.name)
     }
 
-    fn weigh(&self, now: Duration, ask: &Ask<'_>, usable: &[u32]) -> Vec<(u32, Estimate)> {
-        let cached = self.cached_tokens(ask, usable);
+    fn weigh(
+        &self,
+        now: Duration,
+        request: &RoutingRequest<'_>,
+        usable: &[u32],
+    ) -> Vec<(u32, Estimate)> {
+        let cached = self.cached_tokens(request, usable);
         let view = self.view(usable);
-        let rates = self.rates.get(ask.pool).copied().unwrap_or_default();
+        let rates = self.rates.get(request.pool).copied().unwrap_or_default();
         let weigh = |(i, cached): (&u32, u32)| {
             let state = &self.states[*i as usize];
-            (*i, estimate(now, ask, state, cached, view, rates))
+            (*i, estimate(now, request, state, cached, view, rates))
         };
         usable.iter().zip(cached).map(weigh).collect()
     }
@@ -249,27 +259,28 @@
         view
     }
 
-    fn cached_tokens(&self, ask: &Ask<'_>, usable: &[u32]) -> Vec<u32> {
+    fn cached_tokens(&self, request: &RoutingRequest<'_>, usable: &[u32]) -> Vec<u32> {
         let mut cached = vec![0; usable.len()];
-        if ask.prompt.tokens == 0 {
+        if request.prompt.tokens == 0 {
             return cached;
         }
-        if let Some(home) = self.home(ask, usable) {
-            cached[home] = (f64::from(ask.prompt.earlier_tokens) * HOME_SHARE) as u32;
+        if let Some(home) = self.home(request, usable) {
+            cached[home] = (f64::from(request.prompt.earlier_tokens) * HOME_SHARE) as u32;
         }
-        self.belief.holders(&ask.prompt.blocks, |endpoint, depth| {
-            if let Ok(position) = usable.binary_search(&endpoint) {
-                let tokens = (depth * BLOCK_BYTES / BYTES_PER_TOKEN) as u32;
-                cached[position] = cached[position].max(tokens);
-            }
-        });
+        self.belief
+            .holders(&request.prompt.blocks, |endpoint, depth| {
+                if let Ok(position) = usable.binary_search(&endpoint) {
+                    let tokens = (depth * BLOCK_BYTES / BYTES_PER_TOKEN) as u32;
+                    cached[position] = cached[position].max(tokens);
+                }
+            });
         cached
     }
 
-    fn home(&self, ask: &Ask<'_>, usable: &[u32]) -> Option<usize> {
+    fn home(&self, request: &RoutingRequest<'_>, usable: &[u32]) -> Option<usize> {
         let name = |i: u32| self.states[i as usize].spec.name.as_str();
         let positions = 0..usable.len();
-        positions.max_by_key(|p| weight(ask.prompt.home, name(usable[*p])))
+        positions.max_by_key(|p| weight(request.prompt.home, name(usable[*p])))
     }
 
     fn candidate(&self, i: u32, estimate: Estimate) -> Candidate {
--- a/components/routing/src/score.rs
+++ b/components/routing/src/score.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use crate::decision::Ask;
+use crate::decision::RoutingRequest;
 use crate::endpoint::EndpointState;
 
 /// Prices are weighed against the cheapest endpoint of the pool: this many milliseconds a factor.
@@ -61,7 +61,7 @@
 /// Weighs one endpoint.
 pub(crate) fn estimate(
     now: Duration,
-    ask: &Ask<'_>,
+    request: &RoutingRequest<'_>,
     state: &EndpointState,
     cached_tokens: u32,
     view: PoolView,
@@ -69,12 +69,12 @@
 ) -> Estimate {
     let slots = f64::from(state.spec.slots.max(1));
     let wait_ms = wait(now, state, slots, view, rates);
-    let uncached = ask.prompt.tokens.saturating_sub(cached_tokens);
+    let uncached = request.prompt.tokens.saturating_sub(cached_tokens);
     let prefill_ms = f64::from(uncached) * rates.prefill_ms_per_token;
-    let weight = f64::from(ask.latency_weight.min(100)) / 100.0;
-    let late = (wait_ms + prefill_ms - ask.target.as_secs_f64() * 1000.0).max(0.0);
+    let weight = f64::from(request.latency_weight.min(100)) / 100.0;
+    let late = (wait_ms + prefill_ms - request.target.as_secs_f64() * 1000.0).max(0.0);
     let price = price_ratio(state, view) * PRICE_MS;
-    let risk = risk_ms(ask, state, rates);
+    let risk = risk_ms(request, state, rates);
     Estimate {
         wait_ms,
         prefill_ms,
@@ -104,9 +104,9 @@
 }
 
 // A reclaim makes the whole prompt be computed again elsewhere.
-fn risk_ms(ask: &Ask<'_>, state: &EndpointState, rates: Rates) -> f64 {
+fn risk_ms(request: &RoutingRequest<'_>, state: &EndpointState, rates: Rates) -> f64 {
     if !state.is_reclaimable() {
         return 0.0;
     }
-    rates.reclaim_risk * f64::from(ask.prompt.tokens) * rates.prefill_ms_per_token
+    rates.reclaim_risk * f64::from(request.prompt.tokens) * rates.prefill_ms_per_token
 }
--- a/components/routing/tests/promises.rs
+++ b/components/routing/tests/promises.rs
@@ -5,7 +5,7 @@
 use quickcheck::{Gen, QuickCheck, Testable};
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
-use routing::{Ask, Prompt, Reading, Router};
+use routing::{Prompt, Reading, Router, RoutingRequest};
 use schema::settings::{Endpoint, PriceClass, Priority};
 
 const SEED: u64 = 20261202;
@@ -37,8 +37,8 @@
     router
 }
 
-fn ask<'a>(prompt: &'a Prompt, exclude: &'a [String]) -> Ask<'a> {
-    Ask {
+fn request<'a>(prompt: &'a Prompt, exclude: &'a [String]) -> RoutingRequest<'a> {
+    RoutingRequest {
         pool: "chat",
         prompt,
         priority: Priority::STANDARD,
@@ -70,9 +70,13 @@
             router.answered(&gone);
             router.leave(&gone, Duration::from_secs(90));
             let prompt = conversation(rng.random_range(0..9));
-            let ask = ask(&prompt, &[]);
-            let chosen = router.choose(now, &ask, &mut rng).unwrap().chosen.endpoint;
-            router.sent(&chosen, &ask);
+            let request = request(&prompt, &[]);
+            let chosen = router
+                .choose(now, &request, &mut rng)
+                .unwrap()
+                .chosen
+                .endpoint;
+            router.sent(&chosen, &request);
             chosen != gone
         })
     }
@@ -87,7 +91,7 @@
         let exclude: Vec<String> = (0..ENDPOINTS - 1).map(|n| format!("w{n}")).collect();
         let prompt = conversation(seed);
         let decision = router
-            .choose(Duration::ZERO, &ask(&prompt, &exclude), &mut rng)
+            .choose(Duration::ZERO, &request(&prompt, &exclude), &mut rng)
             .unwrap();
         decision.chosen.endpoint == "w5" && decision.passed_over == ENDPOINTS - 1
     }
@@ -100,7 +104,7 @@
     (0..ENDPOINTS).for_each(|n| router.leave(&format!("w{n}"), Duration::ZERO));
     let mut rng = ChaCha8Rng::seed_from_u64(1);
     assert_eq!(
-        router.choose(Duration::ZERO, &ask(&conversation(1), &[]), &mut rng),
+        router.choose(Duration::ZERO, &request(&conversation(1), &[]), &mut rng),
         None
     );
 }
@@ -116,10 +120,10 @@
         later.extend(["answer ".repeat(100), "and then ".repeat(9)]);
         let later = Prompt::of_messages(&later);
         let a = first
-            .choose(Duration::ZERO, &ask(&later, &[]), &mut rng)
+            .choose(Duration::ZERO, &request(&later, &[]), &mut rng)
             .unwrap();
         let b = second
-            .choose(Duration::ZERO, &ask(&later, &[]), &mut rng)
+            .choose(Duration::ZERO, &request(&later, &[]), &mut rng)
             .unwrap();
         same += usize::from(a.chosen.endpoint == b.chosen.endpoint);
     }
@@ -132,11 +136,11 @@
     let mut router = router();
     let prompt = conversation(7);
     let home = router
-        .choose(Duration::ZERO, &ask(&prompt, &[]), &mut rng)
+        .choose(Duration::ZERO, &request(&prompt, &[]), &mut rng)
         .unwrap()
         .chosen
         .endpoint;
-    router.sent(&home, &ask(&prompt, &[]));
+    router.sent(&home, &request(&prompt, &[]));
     router.read(
         &home,
         Reading {
@@ -146,7 +150,7 @@
         },
     );
     let next = router
-        .choose(Duration::ZERO, &ask(&prompt, &[]), &mut rng)
+        .choose(Duration::ZERO, &request(&prompt, &[]), &mut rng)
         .unwrap();
     assert_ne!(next.chosen.endpoint, home);
 }
@@ -157,9 +161,9 @@
     let mut router = Router::default();
     router.configure(&[endpoint(0, 3000), endpoint(1, 1000)]);
     let prompt = conversation(3);
-    let cheap = Ask {
+    let cheap = RoutingRequest {
         latency_weight: 0,
-        ..ask(&prompt, &[])
+        ..request(&prompt, &[])
     };
     let chosen = router
         .choose(Duration::ZERO, &cheap, &mut rng)
@@ -177,9 +181,9 @@
     let prompt = conversation(3);
     router.failed(Duration::ZERO, "w0");
     assert!(router
-        .choose(Duration::from_millis(100), &ask(&prompt, &[]), &mut rng)
+        .choose(Duration::from_millis(100), &request(&prompt, &[]), &mut rng)
         .is_none());
     assert!(router
-        .choose(Duration::from_millis(300), &ask(&prompt, &[]), &mut rng)
+        .choose(Duration::from_millis(300), &request(&prompt, &[]), &mut rng)
         .is_some());
 }
