--- a/components/node/src/control.rs
+++ b/components/node/src/control.rs
@@ -12,7 +12,7 @@
 use provider::{body_hash, Notice};
 use rand::SeedableRng;
 use rand_chacha::ChaCha8Rng;
-use routing::{CacheEvent, CacheGossip, Reading};
+use routing::{CacheEvent, CacheUpdate, Reading};
 use schema::messages::{Packet, Summary};
 use schema::settings::{Configuration, PoolKind};
 use slog::{error, info, warn};
@@ -207,12 +207,12 @@
         let mut traffic = self.shared.traffic();
         for change in changes {
             let sequence = change.sequence;
-            let gossip = match change {
-                c if c.cleared => CacheGossip::Cleared,
-                c if c.evicted.is_empty() => CacheGossip::Stored(c.stored),
-                c => CacheGossip::Evicted(c.evicted),
+            let update = match change {
+                c if c.cleared => CacheUpdate::Cleared,
+                c if c.evicted.is_empty() => CacheUpdate::Stored(c.stored),
+                c => CacheUpdate::Evicted(c.evicted),
             };
-            let event = CacheEvent { sequence, gossip };
+            let event = CacheEvent { sequence, update };
             traffic.router.cache_event(endpoint, &event);
         }
     }
--- a/components/node/src/status.rs
+++ b/components/node/src/status.rs
@@ -66,7 +66,7 @@
         })
         .collect();
     let in_flight = traffic.in_flight();
-    let cached_blocks = traffic.router.believed_blocks();
+    let cached_blocks = traffic.router.cached_blocks();
     drop(traffic);
     json!({
         "node": shared.settings.name,
--- a/components/routing/src/lib.rs
+++ b/components/routing/src/lib.rs
@@ -4,19 +4,19 @@
 //! measurement shows both.
 
 mod baseline;
-mod belief;
 mod decision;
 mod endpoint;
 pub mod placement;
+mod prefix_index;
 mod prompt;
 mod rendezvous;
 mod router;
 mod score;
 
 pub use baseline::Policy;
-pub use belief::{Belief, CacheEvent, CacheGossip};
 pub use decision::{Candidate, Decision, RoutingRequest};
 pub use endpoint::{EndpointState, Reading};
+pub use prefix_index::{CacheEvent, CacheUpdate, PrefixIndex};
 pub use prompt::{Prompt, BLOCK_BYTES, BYTES_PER_TOKEN};
 pub use rendezvous::{rank, weight};
 pub use router::Router;
--- a/components/routing/src/belief.rs
+++ b/components/routing/src/prefix_index.rs
@@ -15,7 +15,7 @@
 
 /// A change of an endpoint's cache.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum CacheGossip {
+pub enum CacheUpdate {
     /// Blocks were stored.
     Stored(Vec<u64>),
     /// Blocks were evicted.
@@ -30,7 +30,7 @@
     /// Counter of the endpoint, without holes at the source.
     pub sequence: u64,
     /// What changed.
-    pub gossip: CacheGossip,
+    pub update: CacheUpdate,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -47,22 +47,22 @@
 
 /// Beliefs about all endpoints of a node, bounded in size.
 #[derive(Debug)]
-pub struct Belief {
+pub struct PrefixIndex {
     blocks: LruCache<u64, Vec<Holder>>,
     progress: HashMap<u32, Progress>,
 }
 
-impl Default for Belief {
+impl Default for PrefixIndex {
     fn default() -> Self {
         let capacity = NonZeroUsize::new(MAX_BLOCKS).unwrap_or(NonZeroUsize::MIN);
-        Belief {
+        PrefixIndex {
             blocks: LruCache::new(capacity),
             progress: HashMap::new(),
         }
     }
 }
 
-impl Belief {
+impl PrefixIndex {
     /// Believes that the endpoint has these blocks.
     pub fn store(&mut self, endpoint: u32, blocks: &[u64]) {
         let generation = self.generation(endpoint);
@@ -95,29 +95,29 @@
             self.forget(endpoint);
         }
         self.progress.entry(endpoint).or_default().next_sequence = Some(event.sequence + 1);
-        match &event.gossip {
-            CacheGossip::Stored(blocks) => self.store(endpoint, blocks),
-            CacheGossip::Evicted(blocks) => self.evict(endpoint, blocks),
-            CacheGossip::Cleared => self.forget(endpoint),
+        match &event.update {
+            CacheUpdate::Stored(blocks) => self.store(endpoint, blocks),
+            CacheUpdate::Evicted(blocks) => self.evict(endpoint, blocks),
+            CacheUpdate::Cleared => self.forget(endpoint),
         }
     }
 
     /// Calls `found(endpoint, blocks)` with the number of leading blocks each endpoint holds.
     pub fn holders(&self, blocks: &[u64], mut found: impl FnMut(u32, usize)) {
-        let mut level: Vec<u32> = Vec::new();
+        let mut holding: Vec<u32> = Vec::new();
         for (depth, block) in blocks.iter().enumerate() {
             let Some(holders) = self.blocks.peek(block) else {
                 return;
             };
-            let known = holders.iter().filter(|h| self.is_current(h));
-            let mut here: Vec<u32> = known.map(|h| h.endpoint).collect();
+            let current = holders.iter().filter(|h| self.is_current(h));
+            let mut holding_next: Vec<u32> = current.map(|h| h.endpoint).collect();
             // A prefix is of use only without holes.
-            here.retain(|e| depth == 0 || level.contains(e));
-            if here.is_empty() {
+            holding_next.retain(|e| depth == 0 || holding.contains(e));
+            if holding_next.is_empty() {
                 return;
             }
-            here.iter().for_each(|e| found(*e, depth + 1));
-            level = here;
+            holding_next.iter().for_each(|e| found(*e, depth + 1));
+            holding = holding_next;
         }
     }
 
@@ -152,9 +152,9 @@
 mod tests {
     use super::*;
 
-    fn depth(belief: &Belief, endpoint: u32, blocks: &[u64]) -> usize {
+    fn depth(index: &PrefixIndex, endpoint: u32, blocks: &[u64]) -> usize {
         let mut best = 0;
-        belief.holders(blocks, |e, depth| {
+        index.holders(blocks, |e, depth| {
             if e == endpoint {
                 best = depth;
             }
@@ -162,42 +162,42 @@
         best
     }
 
-    fn event(sequence: u64, gossip: CacheGossip) -> CacheEvent {
-        CacheEvent { sequence, gossip }
+    fn event(sequence: u64, update: CacheUpdate) -> CacheEvent {
+        CacheEvent { sequence, update }
     }
 
     #[test]
     fn can_find_the_longest_prefix_without_holes() {
-        let mut belief = Belief::default();
-        belief.store(1, &[10, 20, 30]);
-        belief.store(2, &[10, 30]);
-        assert_eq!(depth(&belief, 1, &[10, 20, 30, 40]), 3);
-        assert_eq!(depth(&belief, 2, &[10, 20, 30]), 1);
+        let mut index = PrefixIndex::default();
+        index.store(1, &[10, 20, 30]);
+        index.store(2, &[10, 30]);
+        assert_eq!(depth(&index, 1, &[10, 20, 30, 40]), 3);
+        assert_eq!(depth(&index, 2, &[10, 20, 30]), 1);
     }
 
     #[test]
     fn a_gap_drops_what_was_believed() {
-        let mut belief = Belief::default();
-        belief.take_event(1, &event(5, CacheGossip::Stored(vec![10])));
-        belief.take_event(1, &event(7, CacheGossip::Stored(vec![11])));
-        assert_eq!(depth(&belief, 1, &[10]), 0);
-        assert_eq!(depth(&belief, 1, &[11]), 1);
+        let mut index = PrefixIndex::default();
+        index.take_event(1, &event(5, CacheUpdate::Stored(vec![10])));
+        index.take_event(1, &event(7, CacheUpdate::Stored(vec![11])));
+        assert_eq!(depth(&index, 1, &[10]), 0);
+        assert_eq!(depth(&index, 1, &[11]), 1);
     }
 
     #[test]
     fn late_and_doubled_events_change_nothing() {
-        let mut belief = Belief::default();
-        belief.take_event(1, &event(5, CacheGossip::Stored(vec![10])));
-        belief.take_event(1, &event(6, CacheGossip::Evicted(vec![10])));
-        belief.take_event(1, &event(5, CacheGossip::Stored(vec![10])));
-        assert_eq!(depth(&belief, 1, &[10]), 0);
+        let mut index = PrefixIndex::default();
+        index.take_event(1, &event(5, CacheUpdate::Stored(vec![10])));
+        index.take_event(1, &event(6, CacheUpdate::Evicted(vec![10])));
+        index.take_event(1, &event(5, CacheUpdate::Stored(vec![10])));
+        assert_eq!(depth(&index, 1, &[10]), 0);
     }
 
     #[test]
     fn stays_within_its_bound() {
-        let mut belief = Belief::default();
+        let mut index = PrefixIndex::default();
         let blocks: Vec<u64> = (0..MAX_BLOCKS as u64 * 2).collect();
-        belief.store(1, &blocks);
-        assert_eq!(belief.len(), MAX_BLOCKS);
+        index.store(1, &blocks);
+        assert_eq!(index.len(), MAX_BLOCKS);
     }
 }
--- a/components/routing/src/router.rs
+++ b/components/routing/src/router.rs
@@ -7,9 +7,9 @@
 use schema::settings::Endpoint;
 
 use crate::baseline::{pick, Policy};
-use crate::belief::{Belief, CacheEvent};
 use crate::decision::{Candidate, Decision, RoutingRequest};
 use crate::endpoint::{EndpointState, Reading};
+use crate::prefix_index::{CacheEvent, PrefixIndex};
 use crate::prompt::{BLOCK_BYTES, BYTES_PER_TOKEN};
 use crate::rendezvous::weight;
 use crate::score::{estimate, Estimate, PoolView, Rates};
@@ -33,7 +33,7 @@
     index: HashMap<String, u32>,
     pools: BTreeMap<String, Vec<u32>>,
     rates: BTreeMap<String, Rates>,
-    belief: Belief,
+    prefix_index: PrefixIndex,
     policy: Policy,
 }
 
@@ -73,7 +73,7 @@
             .iter()
             .any(|(name, i)| self.index.get(name) != Some(i))
         {
-            self.belief = Belief::default();
+            self.prefix_index = PrefixIndex::default();
         }
     }
 
@@ -117,7 +117,7 @@
             return;
         };
         self.states[i as usize].own += 1;
-        self.belief.store(i, &request.prompt.blocks);
+        self.prefix_index.store(i, &request.prompt.blocks);
     }
 
     /// Notes that a request ended; `held` is how long it had a slot.
@@ -148,7 +148,7 @@
         let pause = FIRST_SUSPICION * (1 << state.failures.min(5));
         state.failures += 1;
         state.suspected_until = now + pause.min(MAX_SUSPICION);
-        self.belief.forget(i);
+        self.prefix_index.forget(i);
     }
 
     /// Takes a reading of an endpoint's load.
@@ -172,13 +172,13 @@
             return;
         };
         self.states[i as usize].leaving_at = None;
-        self.belief.forget(i);
+        self.prefix_index.forget(i);
     }
 
     /// Takes one cache event of an endpoint.
     pub fn cache_event(&mut self, endpoint: &str, event: &CacheEvent) {
         if let Some(&i) = self.index.get(endpoint) {
-            self.belief.take_event(i, event);
+            self.prefix_index.take_event(i, event);
         }
     }
 
@@ -205,8 +205,8 @@
     }
 
     /// Blocks of prompts that some endpoint is believed to have cached.
-    pub fn believed_blocks(&self) -> usize {
-        self.belief.len()
+    pub fn cached_blocks(&self) -> usize {
+        self.prefix_index.len()
     }
 
     /// What is known of an endpoint.
@@ -267,7 +267,7 @@
         if let Some(home) = self.home(request, usable) {
             cached[home] = (f64::from(request.prompt.earlier_tokens) * HOME_SHARE) as u32;
         }
-        self.belief
+        self.prefix_index
             .holders(&request.prompt.blocks, |endpoint, depth| {
                 if let Ok(position) = usable.binary_search(&endpoint) {
                     let tokens = (depth * BLOCK_BYTES / BYTES_PER_TOKEN) as u32;
