--- a/components/gateway/src/decisions.rs
+++ b/components/gateway/src/decisions.rs
@@ -415,13 +415,13 @@
         expected_ms: f64::from(placed.expected_ms),
         hold: Duration::from_millis(placed.hold_ms.max(0) as u64),
         weighed: placed.weighed.max(0) as usize,
-        counted: true,
+        is_placed_by_peer: true,
         version: placed.version.clone(),
         is_cold: false,
         hall: placed.hall.clone().unwrap_or_default(),
         home_ms: placed.home_ms.map(f64::from),
-        bytes_across: 0,
-        kept_for_link: false,
+        link_bytes: 0,
+        is_link_limited: false,
         slowdown: slowdown_of(placed.slowdown_percent).unwrap_or(Slowdown::NONE),
     }))
 }
--- a/components/gateway/src/placing.rs
+++ b/components/gateway/src/placing.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use routing::placement::{bytes_across, Exclusion, Placement, Work};
+use routing::placement::{link_bytes, Exclusion, Placement, Work};
 use slog::info;
 use telemetry::Counter;
 use topology::Distance;
@@ -118,30 +118,29 @@
         info!(self.log, "placed"; "id" => &job.head.id, "content" => %job.content, "route" => &job.route.name,
             "endpoint" => &placement.endpoint, "unread" => placement.unread_tokens,
             "expected_ms" => placement.expected_ms as u64, "weighed" => placement.weighed,
-            "slowdown" => placement.slowdown.percent(), "by_coordinator" => placement.counted, "version" => job.version,
+            "slowdown" => placement.slowdown.percent(), "by_coordinator" => placement.is_placed_by_peer, "version" => job.version,
             "hall" => &placement.hall, "distance" => self.distance(&placement.hall),
             "home_ms" => placement.home_ms.map(|ms| ms as u64));
     }
 
     /// Counts and logs what was decided about leaving the region.
     pub fn note_departure(&self, id: &str, work: &Work, placement: &Placement) {
-        if placement.kept_for_link {
+        if placement.is_link_limited {
             self.metrics.count(Counter::RegionDeclined);
             info!(self.log, "kept in region, the link has no room"; "id" => id, "service" => &work.service,
-                "bytes" => bytes_across(work), "expected_ms" => placement.expected_ms as u64);
+                "bytes" => link_bytes(work), "expected_ms" => placement.expected_ms as u64);
         }
-        if placement.bytes_across == 0 {
+        if placement.link_bytes == 0 {
             return;
         }
         self.metrics.count(Counter::RegionSent);
-        self.metrics
-            .add(Counter::RegionBytes, placement.bytes_across);
+        self.metrics.add(Counter::RegionBytes, placement.link_bytes);
         let way_ms = {
             let state = self.state.borrow();
             state.board.network_costs().round_trip_ms(&placement.hall)
         };
         info!(self.log, "leaves region"; "id" => id, "service" => &work.service,
-            "hall" => &placement.hall, "bytes" => placement.bytes_across, "way_ms" => way_ms as u64,
+            "hall" => &placement.hall, "bytes" => placement.link_bytes, "way_ms" => way_ms as u64,
             "expected_ms" => placement.expected_ms as u64,
             "home_ms" => placement.home_ms.map(|ms| ms as u64));
     }
--- a/components/gateway/src/traffic.rs
+++ b/components/gateway/src/traffic.rs
@@ -197,11 +197,11 @@
         let mut state = self.state.borrow_mut();
         let ticket = state.board.sent(now, &job.work, placement);
         // The coordinator that placed it reports it to the others.
-        if !placement.counted {
+        if !placement.is_placed_by_peer {
             state.tally.sent.push(sent_of(now, placement));
         }
         drop(state);
-        if !placement.counted && self.is_long(placement.unread_tokens) {
+        if !placement.is_placed_by_peer && self.is_long(placement.unread_tokens) {
             self.send_tally();
         }
         ticket
--- a/components/routing/src/placement.rs
+++ b/components/routing/src/placement.rs
@@ -24,7 +24,7 @@
 
 pub use balancer::{Balancer, Placement, Ticket};
 pub use cache::PromptCache;
-pub use departure::bytes_across;
+pub use departure::link_bytes;
 pub use engines::HallLoad;
 pub use exclusion::Exclusion;
 pub use network_cost::NetworkCosts;
--- a/components/routing/src/placement/balancer.rs
+++ b/components/routing/src/placement/balancer.rs
@@ -43,7 +43,7 @@
     /// Endpoints that were weighed.
     pub weighed: usize,
     /// Whether another gateway placed it, and counts it among what it sent.
-    pub counted: bool,
+    pub is_placed_by_peer: bool,
     /// Version of the endpoint's software; `None` where another gateway placed the request and did not report it.
     pub version: Option<String>,
     /// Whether the endpoint is slow from its start, so that its answers say nothing of its version.
@@ -54,9 +54,9 @@
     /// it stays or no endpoint there takes work.
     pub home_ms: Option<f64>,
     /// Bytes on the link between regions that are counted for it, 0 if it stays.
-    pub bytes_across: u64,
+    pub link_bytes: u64,
     /// Whether it stays in its region for want of room on the link.
-    pub kept_for_link: bool,
+    pub is_link_limited: bool,
     /// How long work is taken to need there.
     pub slowdown: Slowdown,
 }
--- a/components/routing/src/placement/choice.rs
+++ b/components/routing/src/placement/choice.rs
@@ -7,7 +7,7 @@
 use rand::{Rng, RngExt};
 
 use crate::placement::balancer::{ms, Balancer, Placement};
-use crate::placement::departure::{bytes_across, Departure, Places};
+use crate::placement::departure::{link_bytes, Departure, Places};
 use crate::placement::exclusion::Exclusion;
 use crate::placement::mix::Mix;
 use crate::placement::network_cost::OWN_REGION;
@@ -134,7 +134,7 @@
             let places = Places {
                 home_ms,
                 away_ms: found.cost_ms,
-                bytes: bytes_across(work),
+                bytes: link_bytes(work),
             };
             // What crosses the own region's link, for whomever it was decided.
             let beyond = if region == OWN_REGION {
@@ -161,13 +161,13 @@
             expected_ms: chosen.cost_ms,
             hold: hold.mul_f64(slot.slowness(weighing.pace, &weighing.memory)),
             weighed: count,
-            counted: false,
+            is_placed_by_peer: false,
             version: Some(slot.spec.version.clone()),
             is_cold: now < slot.cold_until,
             hall: slot.spec.zone.clone(),
             home_ms: home_ms.filter(|_| leaves),
-            bytes_across: if leaves { bytes_across(work) } else { 0 },
-            kept_for_link: departure == Departure::Declined,
+            link_bytes: if leaves { link_bytes(work) } else { 0 },
+            is_link_limited: departure == Departure::Declined,
             slowdown: weighing.memory.expected(now, slot.told),
         })
     }
--- a/components/routing/src/placement/departure.rs
+++ b/components/routing/src/placement/departure.rs
@@ -15,7 +15,7 @@
 const PLAIN_ANSWER_BYTES: u64 = 1000;
 
 /// Bytes that a request and its answer are expected to take on the link.
-pub fn bytes_across(work: &Work) -> u64 {
+pub fn link_bytes(work: &Work) -> u64 {
     let answer = match work.answer_tokens {
         0 => PLAIN_ANSWER_BYTES,
         tokens => u64::from(tokens) * BYTES_PER_TOKEN,
--- a/components/routing/src/placement/halls.rs
+++ b/components/routing/src/placement/halls.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use crate::placement::balancer::Balancer;
-use crate::placement::departure::bytes_across;
+use crate::placement::departure::link_bytes;
 use crate::placement::network_cost::NetworkCosts;
 use crate::placement::Work;
 
@@ -28,7 +28,7 @@
     /// Time until the link has room for the request that was chosen for last and for which there was none; `None` if
     /// it was not the link that held it back.
     pub fn link_wait(&mut self, now: Duration, work: &Work) -> Option<Duration> {
-        self.links.wait(now, bytes_across(work))
+        self.links.wait(now, link_bytes(work))
     }
 
     /// Place of a hall on the board.
--- a/components/routing/tests/regions.rs
+++ b/components/routing/tests/regions.rs
@@ -88,7 +88,7 @@
     for own in 2..200 {
         let work = prompt(own, 300, 1_000);
         let placed = choose(&mut balancer, ms(own * 1000), &work).unwrap();
-        assert_eq!((placed.endpoint.as_str(), placed.bytes_across), ("a", 0));
+        assert_eq!((placed.endpoint.as_str(), placed.link_bytes), ("a", 0));
     }
 }
 
@@ -100,7 +100,7 @@
         let placed = choose(&mut balancer, ms(0), &prompt(2, 300, 1_000)).unwrap();
         assert_eq!(placed.endpoint, expected, "{wait} ms");
         assert_eq!(placed.home_ms.is_some(), expected == "b");
-        assert_eq!(placed.bytes_across > 0, expected == "b");
+        assert_eq!(placed.link_bytes > 0, expected == "b");
     }
 }
 
@@ -126,7 +126,7 @@
             choose(&mut balancer, now, &small).unwrap();
         }
         let placed = choose(&mut balancer, now, &prompt(2, 300, bytes)).unwrap();
-        assert_eq!(placed.kept_for_link, placed.endpoint == "a");
+        assert_eq!(placed.is_link_limited, placed.endpoint == "a");
         placed.endpoint == "b"
     };
     assert!(leaves(1_000, 0) && leaves(72_000, 0));
@@ -140,7 +140,7 @@
     make_wait(&mut balancer, "a", 4000);
     let work = prompt(2, 300, 1_000);
     let placed = choose(&mut balancer, ms(0), &work).unwrap();
-    assert!(placed.endpoint == "a" && placed.kept_for_link);
+    assert!(placed.endpoint == "a" && placed.is_link_limited);
     assert_eq!(balancer.link_wait(ms(0), &work), None);
 }
 
@@ -155,7 +155,7 @@
             Some(placed) => {
                 assert_eq!(placed.home_ms, None);
                 assert_eq!(balancer.link_wait(ms(at), &work), None);
-                bytes += placed.bytes_across;
+                bytes += placed.link_bytes;
             }
             None => {
                 let wait = balancer
@@ -288,11 +288,11 @@
         placed.unwrap()
     };
     let there = placed(&mut balancer);
-    assert_eq!((there.endpoint.as_str(), there.bytes_across), ("b", 0));
+    assert_eq!((there.endpoint.as_str(), there.link_bytes), ("b", 0));
     make_wait(&mut balancer, "b", 2000);
     let here = placed(&mut balancer);
     assert_eq!(here.endpoint, "a");
-    assert!(here.bytes_across > 0, "it crosses the link all the same");
+    assert!(here.link_bytes > 0, "it crosses the link all the same");
 }
 
 #[test]
@@ -306,5 +306,5 @@
     assert_eq!(choose(&mut balancer, ms(20), &work).unwrap().endpoint, "b");
     balancer.set_link_parts(ms(20), &parts(10.0));
     let placed = choose(&mut balancer, ms(20), &work).unwrap();
-    assert!(placed.endpoint == "a" && placed.kept_for_link);
+    assert!(placed.endpoint == "a" && placed.is_link_limited);
 }
