--- a/components/gateway/src/cut.rs
+++ b/components/gateway/src/cut.rs
@@ -88,7 +88,7 @@
     }
 
     fn is_over(&self, placement: &Placement) -> bool {
-        self.state.borrow().board.is_over(placement)
+        self.state.borrow().board.has_restarted_since(placement)
     }
 }
 
--- a/components/gateway/src/said.rs
+++ b/components/gateway/src/said.rs
@@ -73,7 +73,7 @@
         let state = self.state.borrow();
         let service = &job.work.service;
         let left = match state.endpoints_known {
-            true => state.board.time_to_open(now, service),
+            true => state.board.time_until_open(now, service),
             // A coordinator found none, so all that it knows are closed to this gateway.
             false if progress.tried.is_empty() => state.board.notices().least_pause(now, service),
             // Those that the job was tried at may be open.
--- a/components/gateway/src/sights.rs
+++ b/components/gateway/src/sights.rs
@@ -69,7 +69,7 @@
     pub fn take_sights(&self, sights: &[Sight]) {
         let mut state = self.state.borrow_mut();
         for sight in sights {
-            state.board.see(*sight);
+            state.board.observe(*sight);
         }
     }
 
@@ -79,7 +79,7 @@
         let mut state = self.state.borrow_mut();
         for sight in sights.into_iter().flatten() {
             let sight = received_sight(now, sight);
-            if state.board.see(sight) {
+            if state.board.observe(sight) {
                 state.tally.sights.push(sight);
             }
         }
@@ -89,7 +89,7 @@
         let mut state = self.state.borrow_mut();
         if !state.fleet.decides {
             self.sights.push(sight);
-        } else if state.board.see(sight) {
+        } else if state.board.observe(sight) {
             state.tally.sights.push(sight);
         }
     }
--- a/components/gateway/src/state.rs
+++ b/components/gateway/src/state.rs
@@ -93,7 +93,7 @@
             sent_here: false,
         };
         let mut placement = self.choose(now, work, exclusion, asked)?;
-        self.board.sent_for_other(now, work, &placement);
+        self.board.placed_for_peer(now, work, &placement);
         self.tally.sent.push(sent_of(now, &placement));
         if self.gates.under_way(&work.service).is_none() {
             placement.version = None;
--- a/components/routing/src/placement/balancer.rs
+++ b/components/routing/src/placement/balancer.rs
@@ -216,7 +216,7 @@
     }
 
     /// Whether an endpoint started again since a request was placed there.
-    pub fn is_over(&self, placement: &Placement) -> bool {
+    pub fn has_restarted_since(&self, placement: &Placement) -> bool {
         let known = self.endpoint(&placement.endpoint);
         known.is_some_and(|known| incarnation(&known.id, known.born_ms) != placement.incarnation)
     }
@@ -265,7 +265,7 @@
     }
 
     /// Notes that a request placed here is sent by another gateway, which reports nothing of its end.
-    pub fn sent_for_other(&mut self, now: Duration, work: &Work, placement: &Placement) {
+    pub fn placed_for_peer(&mut self, now: Duration, work: &Work, placement: &Placement) {
         let Some(slot) = self.slot_mut(&placement.endpoint) else {
             return;
         };
--- a/components/routing/src/placement/exclusion.rs
+++ b/components/routing/src/placement/exclusion.rs
@@ -54,7 +54,7 @@
     }
 
     /// Time until an endpoint takes a request, as far as pauses and limits go: zero if one does now, `None` if none is there.
-    pub fn time_to_open(&self, now: Duration, service: &str) -> Option<Duration> {
+    pub fn time_until_open(&self, now: Duration, service: &str) -> Option<Duration> {
         let slots = self.services.get(service).into_iter();
         let ready = slots.flat_map(ServiceSlots::iter);
         let ready = ready.filter(|slot| slot.spec.is_ready());
--- a/components/routing/src/placement/sight.rs
+++ b/components/routing/src/placement/sight.rs
@@ -23,7 +23,7 @@
 
 impl Balancer {
     /// Takes what an answer showed. Says whether another gateway that places requests would choose otherwise by it.
-    pub fn see(&mut self, sight: Sight) -> bool {
+    pub fn observe(&mut self, sight: Sight) -> bool {
         let Some(id) = self.id_of(sight.endpoint) else {
             return false;
         };
--- a/components/routing/tests/counts.rs
+++ b/components/routing/tests/counts.rs
@@ -46,7 +46,7 @@
 }
 
 fn count(balancer: &mut Balancer, at: Duration, requests: u32) -> bool {
-    balancer.see(Sight {
+    balancer.observe(Sight {
         endpoint: endpoint_hash("e1"),
         at,
         requests: Some(requests),
--- a/components/routing/tests/limits.rs
+++ b/components/routing/tests/limits.rs
@@ -80,7 +80,7 @@
         .notices_mut()
         .note_spent(ms(10), endpoint_hash("e1"), ms(250));
     assert_eq!(choose(&mut balancer, ms(100), 0), None);
-    assert_eq!(balancer.time_to_open(ms(100), S), Some(ms(160)));
+    assert_eq!(balancer.time_until_open(ms(100), S), Some(ms(160)));
     assert_eq!(choose(&mut balancer, ms(260), 0).as_deref(), Some("e1"));
 }
 
--- a/components/routing/tests/restarts.rs
+++ b/components/routing/tests/restarts.rs
@@ -111,9 +111,12 @@
         let mut balancer = balancer();
         balancer.insert(NOW, endpoint("a", before));
         let placed = choose(&mut balancer);
-        assert!(!balancer.is_over(&placed));
+        assert!(!balancer.has_restarted_since(&placed));
         balancer.insert(NOW, endpoint("a", after));
-        assert!(balancer.is_over(&placed), "{before:?} {after:?}");
+        assert!(
+            balancer.has_restarted_since(&placed),
+            "{before:?} {after:?}"
+        );
     }
 }
 
@@ -129,7 +132,7 @@
             ..endpoint("a", Some(1))
         },
     );
-    assert!(!balancer.is_over(&placed));
+    assert!(!balancer.has_restarted_since(&placed));
     assert_eq!(choose(&mut balancer).unread_tokens, 0);
 }
 
@@ -151,6 +154,6 @@
         slowdown: None,
     };
     balancer.insert(NOW, endpoint("a", Some(2)));
-    balancer.see(sight);
+    balancer.observe(sight);
     assert_eq!(balancer.occupancy(NOW, "s")["z"].requests, 0);
 }
--- a/components/routing/tests/slowdowns.rs
+++ b/components/routing/tests/slowdowns.rs
@@ -82,8 +82,8 @@
 #[test]
 fn a_long_prompt_goes_past_an_endpoint_that_is_slow_now() {
     let mut balancer = balancer(&["e1", "e2"]);
-    assert!(balancer.see(told("e1", ms(100), 250)));
-    assert!(!balancer.see(told("e2", ms(100), 100)));
+    assert!(balancer.observe(told("e1", ms(100), 250)));
+    assert!(!balancer.observe(told("e2", ms(100), 100)));
     assert_eq!(shares(&mut balancer, ms(110)), (0, 100));
 }
 
@@ -91,10 +91,10 @@
 fn a_slow_moment_long_ago_says_nothing_any_more() {
     let mut balancer = balancer(&["e1", "e2"]);
     for at in (0..5_000).step_by(50) {
-        balancer.see(told("e1", ms(at), 100));
-        balancer.see(told("e2", ms(at), 100));
+        balancer.observe(told("e1", ms(at), 100));
+        balancer.observe(told("e2", ms(at), 100));
     }
-    balancer.see(told("e1", ms(5_000), 250));
+    balancer.observe(told("e1", ms(5_000), 250));
     let mut expected = |at: u64, not: &str| {
         let placed = choose(&mut balancer, ms(at), &prompt(1, LONG_PROMPT), &[not]);
         placed.slowdown.factor()
@@ -108,8 +108,8 @@
 fn an_endpoint_that_is_always_slow_is_known_to_be_long_after_it_told() {
     let mut balancer = balancer(&["e1", "e2"]);
     for at in (0..2_000).step_by(50) {
-        balancer.see(told("e1", ms(at), 170));
-        balancer.see(told("e2", ms(at), 70));
+        balancer.observe(told("e1", ms(at), 170));
+        balancer.observe(told("e2", ms(at), 70));
     }
     let later = ms(60_000);
     let slow = choose(&mut balancer, later, &prompt(1, LONG_PROMPT), &["e2"]);
@@ -127,7 +127,7 @@
         for (i, id) in ["e1", "e2"].iter().enumerate() {
             let within = (at + i as u64 * cycle / 2) % cycle;
             let percent = if within < slow_for { 250 } else { 100 };
-            balancer.see(told(id, ms(at), percent));
+            balancer.observe(told(id, ms(at), percent));
         }
     }
     ms(end)
@@ -140,7 +140,7 @@
     let mut restless = balancer(&["e1", "e2"]);
     swinging(&mut restless, 100, 100);
     let expected = |balancer: &mut Balancer| {
-        balancer.see(told("e1", end, 250));
+        balancer.observe(told("e1", end, 250));
         let placed = choose(balancer, end + ms(400), &prompt(1, LONG_PROMPT), &["e2"]);
         placed.slowdown.factor()
     };
@@ -151,12 +151,12 @@
 
 /// Sends a prompt to an endpoint that tells how long work takes there, and reads at 100 tokens a millisecond else.
 fn read(balancer: &mut Balancer, at: Duration, id: &str, not: &str, percent: u64) {
-    balancer.see(told(id, at, percent as u32));
+    balancer.observe(told(id, at, percent as u32));
     let work = prompt(at.as_millis() as u64 * 10 + percent, LONG_PROMPT);
     let placed = choose(balancer, at, &work, &[not]);
     let mut ticket = balancer.sent(at, &work, &placed);
     let first = at + ms(u64::from(LONG_PROMPT) / 100 * percent / 100);
-    balancer.see(told(id, first, percent as u32));
+    balancer.observe(told(id, first, percent as u32));
     balancer.first_token(first, &mut ticket);
     balancer.ended(first + ms(50), &ticket, HealthSignal::Healthy);
 }
@@ -171,7 +171,7 @@
             read(&mut balancer, ms(round * 1000 + 500), "e2", "e1", 100);
         }
         let later = ms(100_000);
-        balancer.see(told("e2", later, 100));
+        balancer.observe(told("e2", later, 100));
         choose(&mut balancer, later, &prompt(1, LONG_PROMPT), &["e1"]).expected_ms
     };
     let (without, with) = (expected(0), expected(2));
@@ -189,7 +189,7 @@
         let mut ticket = balancer.sent(start, &work, &placed);
         for event in 0..50 {
             let at = start + ms(event * 4 * percent / 100);
-            balancer.see(told("e1", at, percent as u32));
+            balancer.observe(told("e1", at, percent as u32));
             balancer.event(at, &mut ticket);
         }
         balancer.ended(start + ms(900), &ticket, HealthSignal::Healthy);
@@ -208,14 +208,14 @@
     let mut balancer = balancer(&["e1", "e2"]);
     let placed = choose(&mut balancer, ms(10), &prompt(1, LONG_PROMPT), &[]);
     assert_eq!(placed.slowdown, Slowdown::NONE);
-    assert!(!balancer.see(told("unknown", ms(10), 250)));
+    assert!(!balancer.observe(told("unknown", ms(10), 250)));
 }
 
 #[test]
 fn later_word_is_not_undone_by_earlier_word_that_comes_after_it() {
     let mut balancer = balancer(&["e1"]);
-    balancer.see(told("e1", ms(100), 100));
-    balancer.see(told("e1", ms(50), 250));
+    balancer.observe(told("e1", ms(100), 100));
+    balancer.observe(told("e1", ms(50), 250));
     let placed = choose(&mut balancer, ms(101), &prompt(1, LONG_PROMPT), &[]);
     assert_eq!(placed.slowdown.percent(), 100);
 }
@@ -228,7 +228,7 @@
         ..record("s", "e1")
     };
     balancer.insert(ms(10), again);
-    assert!(!balancer.see(told("e1", ms(20), 250)));
+    assert!(!balancer.observe(told("e1", ms(20), 250)));
     let placed = choose(&mut balancer, ms(21), &prompt(1, LONG_PROMPT), &[]);
     assert_eq!(placed.slowdown, Slowdown::NONE);
 }
@@ -243,8 +243,8 @@
         service: "plain".into(),
         ..Work::default()
     };
-    balancer.see(told("p1", ms(100), 250));
-    balancer.see(told("p2", ms(100), 100));
+    balancer.observe(told("p1", ms(100), 250));
+    balancer.observe(told("p2", ms(100), 100));
     let chosen = (0..20).map(|i| choose(&mut balancer, ms(100 + i), &work, &[]).endpoint);
     assert!(chosen.into_iter().all(|id| id == "p2"));
 }
--- a/components/routing/tests/waves.rs
+++ b/components/routing/tests/waves.rs
@@ -88,7 +88,7 @@
         };
         let placed = self.balancer.choose(now, &work, &[], Versions::Any, rng);
         let placed = placed.expect("all endpoints take work");
-        self.balancer.sent_for_other(now, &work, &placed);
+        self.balancer.placed_for_peer(now, &work, &placed);
         self.left += usize::from(!placed.endpoint.starts_with(self.name));
         PeerDispatch {
             endpoint: endpoint_hash(&placed.endpoint),
