--- a/bench/src/decisions.rs
+++ b/bench/src/decisions.rs
@@ -150,7 +150,7 @@
     router.configure(&endpoints);
     for (n, e) in endpoints.iter().enumerate() {
         let running = (n % 16) as u32;
-        router.read(
+        router.record_reading(
             &e.name,
             Reading {
                 running,
--- a/components/node/src/control.rs
+++ b/components/node/src/control.rs
@@ -213,7 +213,7 @@
                 c => CacheUpdate::Evicted(c.evicted),
             };
             let event = CacheEvent { sequence, update };
-            traffic.router.cache_event(endpoint, &event);
+            traffic.router.apply_cache_event(endpoint, &event);
         }
     }
 
@@ -288,7 +288,7 @@
                     queued: load.queued,
                     at,
                 };
-                self.shared.traffic().router.read(&name, reading);
+                self.shared.traffic().router.record_reading(&name, reading);
             }
             Action::UseSummary(summary) => self.use_summary(now, &summary),
             Action::Leave(..) => {}
@@ -358,7 +358,7 @@
         let queued = (summary.queued / summary.endpoints).max(0) as u32;
         for (name, slots) in of_cell {
             let running = slots.saturating_sub(free);
-            traffic.router.read(
+            traffic.router.record_reading(
                 &name,
                 Reading {
                     running,
--- a/components/replay/src/world.rs
+++ b/components/replay/src/world.rs
@@ -437,7 +437,9 @@
                 queued: engine.queue.len() as u32,
                 at: self.now,
             };
-            self.nodes[node].router.read(&engine.spec.name, reading);
+            self.nodes[node]
+                .router
+                .record_reading(&engine.spec.name, reading);
         }
         self.release(node);
         self.push(self.now + READ_INTERVAL, Happening::Read(node));
--- a/components/routing/src/router.rs
+++ b/components/routing/src/router.rs
@@ -152,7 +152,7 @@
     }
 
     /// Takes a reading of an endpoint's load.
-    pub fn read(&mut self, endpoint: &str, reading: Reading) {
+    pub fn record_reading(&mut self, endpoint: &str, reading: Reading) {
         if let Some(state) = self.state_mut(endpoint) {
             state.take_reading(reading);
         }
@@ -176,7 +176,7 @@
     }
 
     /// Takes one cache event of an endpoint.
-    pub fn cache_event(&mut self, endpoint: &str, event: &CacheEvent) {
+    pub fn apply_cache_event(&mut self, endpoint: &str, event: &CacheEvent) {
         if let Some(&i) = self.index.get(endpoint) {
             self.prefix_index.take_event(i, event);
         }
--- a/components/routing/tests/promises.rs
+++ b/components/routing/tests/promises.rs
@@ -66,7 +66,7 @@
                 queued: 0,
                 at: now,
             };
-            router.read(&gone, reading);
+            router.record_reading(&gone, reading);
             router.answered(&gone);
             router.leave(&gone, Duration::from_secs(90));
             let prompt = conversation(rng.random_range(0..9));
@@ -141,7 +141,7 @@
         .chosen
         .endpoint;
     router.sent(&home, &request(&prompt, &[]));
-    router.read(
+    router.record_reading(
         &home,
         Reading {
             running: 4,
