--- a/components/gateway/src/state.rs
+++ b/components/gateway/src/state.rs
@@ -196,7 +196,7 @@
             self.fleet.decides,
             self.most_gateways,
         );
-        self.board.set_link_parts(now, &parts);
+        self.board.set_link_rates(now, &parts);
     }
 
     /// What repeats are allowed.
--- a/components/routing/src/baseline.rs
+++ b/components/routing/src/baseline.rs
@@ -1,51 +1,55 @@
-//! Policies to compare with, kept for measurement.
+//! Routing policies, including simple baselines for benchmarks.
 
 use rand::{Rng, RngExt};
 
 use crate::endpoint::EndpointState;
 
-/// How an endpoint is chosen.
+/// Policy by which an endpoint is chosen.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum Policy {
-    /// Prefix affinity, load, price and reclaim risk.
+    /// Lowest score by prefix affinity, load, price and reclaim risk.
     #[default]
     Scored,
-    /// Any usable endpoint.
+    /// A usable endpoint at random.
     Random,
-    /// The endpoint with the fewest requests for its slots.
+    /// The endpoint with the fewest requests per slot.
     LeastLoad,
-    /// The less loaded of two random ones.
+    /// The less loaded of two random endpoints.
     TwoChoices,
 }
 
-/// Picks among `usable` by a baseline policy; `None` if there is nothing to pick.
+/// Picks one of `usable`, given as positions in `states`; `None` if it is empty.
 pub(crate) fn pick(
     policy: Policy,
     usable: &[u32],
     states: &[EndpointState],
     rng: &mut impl Rng,
 ) -> Option<u32> {
-    let any = |rng: &mut _| usable[RngExt::random_range(rng, 0..usable.len())];
+    let random = |rng: &mut _| usable[RngExt::random_range(rng, 0..usable.len())];
     if usable.is_empty() {
         return None;
     }
     match policy {
-        Policy::Scored | Policy::Random => Some(any(rng)),
+        Policy::Scored | Policy::Random => Some(random(rng)),
         Policy::LeastLoad => usable
             .iter()
             .copied()
-            .min_by_key(|i| fill(&states[*i as usize])),
+            .min_by_key(|i| load_per_slot_milli(&states[*i as usize])),
         Policy::TwoChoices => {
-            let (a, b) = (any(rng), any(rng));
-            Some(if fill(&states[a as usize]) <= fill(&states[b as usize]) {
-                a
-            } else {
-                b
-            })
+            let (a, b) = (random(rng), random(rng));
+            Some(
+                if load_per_slot_milli(&states[a as usize])
+                    <= load_per_slot_milli(&states[b as usize])
+                {
+                    a
+                } else {
+                    b
+                },
+            )
         }
     }
 }
 
-fn fill(state: &EndpointState) -> u64 {
+fn load_per_slot_milli(state: &EndpointState) -> u64 {
     u64::from(state.load()) * 1000 / u64::from(state.spec.slots.max(1) as u32)
 }
--- a/components/routing/src/decision.rs
+++ b/components/routing/src/decision.rs
@@ -1,4 +1,4 @@
-//! What routing is asked and what it answers.
+//! Input and result of a routing decision.
 
 use std::time::Duration;
 
@@ -10,38 +10,38 @@
 /// A request that needs an endpoint.
 #[derive(Clone, Debug)]
 pub struct RoutingRequest<'a> {
-    /// Pool that serves it.
+    /// Name of the pool whose endpoints can run the request.
     pub pool: &'a str,
-    /// Shape of its prompt.
+    /// Block hashes and length of the prompt.
     pub prompt: &'a Prompt,
-    /// Class it runs in.
+    /// Priority class of the request.
     pub priority: Priority,
     /// Target time to the first token.
     pub target: Duration,
     /// Weight of latency against cost, 0 to 100.
     pub latency_weight: u32,
-    /// Endpoints not to use again.
+    /// Names of endpoints that must not be used, such as those already tried.
     pub exclude: &'a [String],
 }
 
-/// One endpoint that was weighed.
+/// An endpoint that was considered, with its estimate.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Candidate {
     /// Name of the endpoint.
     pub endpoint: String,
-    /// What was expected of it.
+    /// Expected wait, prefill time and score.
     pub estimate: Estimate,
 }
 
-/// The choice and what stood next to it.
+/// The chosen endpoint and the next best one.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Decision {
-    /// Endpoint to use.
+    /// Endpoint that the request goes to.
     pub chosen: Candidate,
-    /// The next best, if there was one.
+    /// Next best endpoint, if there was another usable one.
     pub runner_up: Option<Candidate>,
-    /// Endpoints weighed.
+    /// Number of usable endpoints that were compared.
     pub weighed: u32,
-    /// Endpoints of the pool that were passed over as leaving, suspected or excluded.
+    /// Number of endpoints of the pool that were skipped as leaving, suspected or excluded.
     pub passed_over: u32,
 }
--- a/components/routing/src/endpoint.rs
+++ b/components/routing/src/endpoint.rs
@@ -1,41 +1,41 @@
-//! What a node knows of one endpoint.
+//! The state that a node keeps of one endpoint.
 
 use std::time::Duration;
 
 use schema::settings::{Endpoint, PriceClass};
 
-/// One reading of an endpoint's load.
+/// A reading of an endpoint's load.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Reading {
-    /// Requests running.
+    /// Requests that run at the endpoint.
     pub running: u32,
-    /// Requests waiting.
+    /// Requests that wait at the endpoint.
     pub queued: u32,
-    /// When it was taken, on this node's clock.
+    /// Time of the reading, on this node's clock.
     pub at: Duration,
 }
 
-/// Everything that routing weighs about an endpoint.
+/// Configuration, load and health of one endpoint.
 #[derive(Clone, Debug)]
 pub struct EndpointState {
-    /// What the configuration says of it.
+    /// Its entry in the configuration.
     pub spec: Endpoint,
-    /// Its latest reading.
+    /// Latest load reading.
     pub reading: Reading,
-    /// Requests of this node that run there.
+    /// Requests of this node that are in flight there.
     pub own: u32,
     /// [`EndpointState::own`] when the reading was taken.
     pub own_at_reading: u32,
-    /// When its VM goes away; set once and never taken back in this incarnation.
+    /// Time its VM goes away; cleared only when the VM is replaced.
     pub leaving_at: Option<Duration>,
-    /// Until when it is passed over after failures.
+    /// End of the time for which it is skipped after failures.
     pub suspected_until: Duration,
-    /// Failures in a row.
+    /// Consecutive failures.
     pub failures: u32,
 }
 
 impl EndpointState {
-    /// An endpoint of which nothing is known yet.
+    /// Creates the state of an endpoint without readings or requests.
     pub fn new(spec: Endpoint) -> Self {
         EndpointState {
             spec,
@@ -48,7 +48,7 @@
         }
     }
 
-    /// Whether new work may go there.
+    /// Whether new requests may be sent there.
     pub fn is_usable(&self, now: Duration) -> bool {
         self.leaving_at.is_none() && now >= self.suspected_until
     }
@@ -58,7 +58,8 @@
         self.spec.price_class == PriceClass::RECLAIMABLE
     }
 
-    /// Requests there by the reading, corrected for what this node has sent and seen end since.
+    /// Returns the requests expected there: those of the latest reading, corrected by what this
+    /// node has sent and seen end since.
     pub fn load(&self) -> u32 {
         let read = self.reading.running + self.reading.queued;
         (read + self.own)
@@ -66,7 +67,7 @@
             .max(self.own)
     }
 
-    /// Takes a reading unless a newer one is known.
+    /// Records a reading unless a newer one is known.
     pub fn take_reading(&mut self, reading: Reading) {
         if reading.at >= self.reading.at {
             self.reading = reading;
--- a/components/routing/src/lib.rs
+++ b/components/routing/src/lib.rs
@@ -1,7 +1,7 @@
-//! Where a request runs: prefix affinity, load, price and reclaim risk, as a pure library.
+//! Chooses the endpoint that runs a request, by prefix affinity, load, price and reclaim risk.
 //!
-//! Time and randomness come in as values. Baselines stand beside the router so that every
-//! measurement shows both.
+//! The library does no I/O: time and randomness are passed in as values. Baseline policies stand
+//! beside the router so that benchmarks can compare against them.
 
 mod baseline;
 mod decision;
--- a/components/routing/src/placement.rs
+++ b/components/routing/src/placement.rs
@@ -1,78 +1,79 @@
-//! Placement of requests on endpoints that other gateways send to as well.
+//! Places requests on endpoints that other gateways send to as well.
 //!
-//! Each gateway keeps a board: for every endpoint the prompts ahead that are still to be read, the
-//! requests that run there, and the prompt parts it keeps. Gateways report to each other what they sent,
-//! so the boards agree but for the age of the gossip.
+//! Each gateway keeps a [`Balancer`]: for each endpoint the queued prompts, the running requests
+//! and the prompt prefixes it is believed to cache. Gateways report to each other what they sent,
+//! so their balancers agree except for the delay of these reports.
 
 mod balancer;
 mod cache;
 mod choice;
-mod departure;
 mod engines;
+mod entry;
 mod exclusion;
 mod halls;
 mod mix;
 mod network_cost;
-mod pace;
 mod queue;
+mod region_link;
 mod service;
 mod sight;
-mod slot;
 mod slowdown;
 mod speed;
-mod unknown;
+mod timings;
+mod unreported;
 
 pub use balancer::{Balancer, Placement, Ticket};
 pub use cache::PromptCache;
-pub use departure::link_bytes;
 pub use engines::HallLoad;
 pub use exclusion::Exclusion;
 pub use network_cost::NetworkCosts;
 pub use queue::PromptQueue;
+pub use region_link::link_bytes;
 pub use sight::Sight;
 pub use slowdown::Slowdown;
 
 use std::time::Duration;
 
-/// One part of a prompt; parts that stand in several prompts have one id.
+/// One part of a prompt. A part that occurs in several prompts has the same id in all of them.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct PromptPart {
-    /// Id of the part.
+    /// Id that all occurrences of the part share.
     pub id: u64,
-    /// Its tokens.
+    /// Length of the part in tokens.
     pub tokens: u32,
 }
 
-/// What is to be placed.
+/// What placement has to know of a request.
 #[derive(Clone, Debug, Default)]
 pub struct Work {
-    /// Service that runs it.
+    /// Name of the service that runs the request.
     pub service: String,
-    /// Parts of its prompt in order; the last one is the request's own.
+    /// Parts of the prompt in order. The last one belongs to this request alone.
     pub parts: Vec<PromptPart>,
-    /// Tokens of the whole prompt, 0 for a plain request.
+    /// Length of the whole prompt in tokens; 0 for a request without a prompt.
     pub prompt_tokens: u32,
-    /// Tokens of the answer as far as can be guessed, 0 if unknown.
+    /// Estimated length of the answer in tokens; 0 if unknown.
     pub answer_tokens: u32,
-    /// Bytes of its body.
+    /// Size of the request body in bytes.
     pub body_bytes: u32,
 }
 
-/// Which versions of its service's software may run a request.
+/// Versions of a service's software that may run a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Versions<'a> {
-    /// All.
+    /// All versions.
     Any,
-    /// All but this one.
+    /// All versions except this one.
     Not(&'a str),
-    /// This one.
+    /// Only this version.
     Only(&'a str),
-    /// This one, on so many of its endpoints only, so that these are loaded as the others are.
+    /// Only this version, and only on the first endpoints up to this number, so that each of them
+    /// is as loaded as the endpoints of the other version.
     Few(&'a str, usize),
 }
 
 impl Versions<'_> {
-    /// Whether an endpoint of a version may run it.
+    /// Whether an endpoint of this version may run the request.
     pub fn allows(&self, version: &str) -> bool {
         match self {
             Versions::Any => true,
@@ -82,23 +83,26 @@
     }
 }
 
-/// Hashes of a prompt's beginnings: the one at `i` stands for the parts up to `i`.
-pub fn beginnings(parts: &[PromptPart]) -> Vec<u64> {
+/// Returns the hashes of a prompt's prefixes: the one at `i` covers the parts up to and including
+/// `i`.
+pub fn prefix_hashes(parts: &[PromptPart]) -> Vec<u64> {
     let mut hash = 0;
-    let mut list = Vec::with_capacity(parts.len());
+    let mut hashes = Vec::with_capacity(parts.len());
     for part in parts {
         hash = xxhash_rust::xxh3::xxh3_64_with_seed(&part.id.to_le_bytes(), hash);
-        list.push(hash);
+        hashes.push(hash);
     }
-    list
+    hashes
 }
 
-/// Hash under which gateways name an endpoint to each other.
+/// Returns the hash by which gateways refer to an endpoint in messages.
 pub fn endpoint_hash(id: &str) -> u64 {
     xxhash_rust::xxh3::xxh3_64(id.as_bytes())
 }
 
-/// Hash under which gateways name one start of an endpoint to each other: what they say of it ends with the process.
+/// Returns the hash by which gateways refer to one run of an endpoint's process in messages. What
+/// they report about a run does not apply to the next one. `born_ms` is the start time of the
+/// process, if known.
 pub fn incarnation(id: &str, born_ms: Option<u64>) -> u64 {
     let id_hash = endpoint_hash(id);
     match born_ms {
@@ -107,23 +111,26 @@
     }
 }
 
-/// What another gateway sent to an endpoint.
+/// A request that another gateway sent to an endpoint.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct PeerDispatch {
     /// [`incarnation`] of the endpoint.
     pub endpoint: u64,
-    /// Tokens that the endpoint is expected to read.
+    /// Prompt tokens that the endpoint is expected to read, that is, without the cached ones.
     pub unread_tokens: u32,
-    /// Hash of the prompt's shared beginning, 0 if it has none.
+    /// Hash of the prompt's shared prefix, 0 if it has none.
     pub shared_prompt: u64,
-    /// When it was sent, on this gateway's clock.
+    /// Time it was sent, on this gateway's clock.
     pub sent_at: Duration,
-    /// Time that it is expected to run.
+    /// Expected time from sending the request to its end.
     pub hold: Duration,
 }
 
-/// A request that is dropped before its endpoint said anything: whether that speaks of the endpoint.
-/// Callers leave a little before the time of their requests is over, so the time itself says little.
+/// Classifies a request that was dropped before its endpoint answered.
+///
+/// `waited` is the time since it was sent, `expected` the expected time to the first token and
+/// `given` the time limit of the request. Callers give up shortly before the limit, so a wait of
+/// half of it already counts as no response.
 pub fn signal_without_answer(
     waited: Duration,
     expected: Duration,
@@ -138,15 +145,15 @@
     }
 }
 
-/// How a request at an endpoint ended, as far as it speaks of the endpoint.
+/// What the end of a request shows about the health of its endpoint.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum HealthSignal {
-    /// It answered well.
+    /// The endpoint answered without an error.
     Healthy,
-    /// It answered with an error of its own, or broke its answer off.
+    /// The endpoint answered with an error of its own or broke off its answer.
     Faulty,
-    /// It could not be reached or said nothing.
+    /// The endpoint could not be reached or did not respond.
     Unresponsive,
-    /// Says nothing of the endpoint: the caller left, or it had no room.
+    /// Shows nothing about the endpoint: the caller left, or the endpoint had no room.
     Inconclusive,
 }
--- a/components/routing/src/placement/balancer.rs
+++ b/components/routing/src/placement/balancer.rs
@@ -1,4 +1,4 @@
-//! The board of all endpoints: what is known of them and of the requests there.
+//! State of all endpoints and of the requests in flight there.
 
 use std::collections::{BTreeMap, HashMap};
 use std::net::SocketAddr;
@@ -9,124 +9,128 @@
 use notices::{Notices, Standing};
 use topology::Topology;
 
-use crate::placement::departure::Links;
-use crate::placement::engines::Span;
+use crate::placement::engines::EventWindow;
+use crate::placement::entry::EndpointEntry;
 use crate::placement::exclusion::standing;
-use crate::placement::mix::Mix;
+use crate::placement::mix::PromptMix;
 use crate::placement::network_cost::NetworkCosts;
-use crate::placement::pace::Pace;
-use crate::placement::service::ServiceSlots;
-use crate::placement::slot::Slot;
-use crate::placement::slowdown::{Memory, Slowdown};
-use crate::placement::unknown::Unknown;
+use crate::placement::region_link::RegionLinks;
+use crate::placement::service::ServiceEndpoints;
+use crate::placement::slowdown::{Slowdown, SlowdownModel};
+use crate::placement::timings::ServiceTimings;
+use crate::placement::unreported::UnreportedRequests;
 use crate::placement::{
-    beginnings, endpoint_hash, incarnation, HealthSignal, PeerDispatch, Versions, Work,
+    endpoint_hash, incarnation, prefix_hashes, HealthSignal, PeerDispatch, Versions, Work,
 };
 
-/// Where a request goes.
+/// Endpoint chosen for a request.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Placement {
     /// Id of the endpoint.
     pub endpoint: String,
-    /// The start of it that is meant, as [`incarnation`].
+    /// Run of the endpoint's process, as [`incarnation`].
     pub incarnation: u64,
-    /// Its address.
+    /// Address of the endpoint.
     pub address: SocketAddr,
-    /// Tokens it is expected to read.
+    /// Prompt tokens that the endpoint is expected to read.
     pub unread_tokens: u32,
-    /// Hash of the prompt's shared beginning, 0 if it has none.
+    /// Hash of the prompt's shared prefix, 0 if it has none.
     pub shared_prompt: u64,
-    /// Expected time to its first token, in milliseconds.
+    /// Cost of the endpoint in milliseconds: the expected time to the first token plus costs for
+    /// faults, limits and effects on other requests.
     pub expected_ms: f64,
-    /// Expected time to its end.
+    /// Expected time from sending the request to its end.
     pub hold: Duration,
-    /// Endpoints that were weighed.
+    /// Number of endpoints that were compared.
     pub weighed: usize,
-    /// Whether another gateway placed it, and counts it among what it sent.
+    /// Whether another gateway placed the request and already counts it as sent.
     pub is_placed_by_peer: bool,
-    /// Version of the endpoint's software; `None` where another gateway placed the request and did not report it.
+    /// Version of the endpoint's software; `None` if another gateway placed the request and did not
+    /// report it.
     pub version: Option<String>,
-    /// Whether the endpoint is slow from its start, so that its answers say nothing of its version.
+    /// Whether the endpoint is still slow after its start, so that its answers must not be used to
+    /// judge its version.
     pub is_cold: bool,
-    /// Its data hall.
+    /// Data hall of the endpoint.
     pub hall: String,
-    /// Expected time at the best endpoint of the own region, in milliseconds, for a request that leaves it; `None` if
-    /// it stays or no endpoint there takes work.
+    /// Cost of the best endpoint of the own region in milliseconds, for a request that leaves it;
+    /// `None` if the request stays or no endpoint there takes work.
     pub home_ms: Option<f64>,
-    /// Bytes on the link between regions that are counted for it, 0 if it stays.
+    /// Bytes counted on the link between regions, 0 if the request stays in its region.
     pub link_bytes: u64,
-    /// Whether it stays in its region for want of room on the link.
+    /// Whether the request stays in its region because the link has no room.
     pub is_link_limited: bool,
-    /// How long work is taken to need there.
+    /// Expected slowdown of the endpoint.
     pub slowdown: Slowdown,
 }
 
-/// A request under way, as the board counts it.
+/// A request in flight, as the balancer counts it.
 #[derive(Clone, Debug)]
 pub struct Ticket {
     pub(super) endpoint: String,
     incarnation: u64,
-    number: Option<u64>,
+    queue_number: Option<u64>,
     sent_at: Duration,
     unread_tokens: u32,
     answer_tokens: u32,
-    first_at: Option<Duration>,
-    // Nothing was to be read before it when it was sent.
-    alone: bool,
-    // How long work was taken to need there when it was sent, in parts of the mean.
+    first_token_at: Option<Duration>,
+    // Whether no prompt was queued before it when it was sent.
+    is_alone: bool,
+    // Expected slowdown when it was sent, relative to the service's mean.
     slowdown: f64,
-    // What its events show of the engine.
-    pub(super) span: Span,
+    // Events of its stream since the last engine sample.
+    pub(super) window: EventWindow,
 }
 
-/// Everything known of the endpoints of all services.
+/// Keeps the state of the endpoints of all services and chooses among them.
 #[derive(Debug)]
 pub struct Balancer {
     pub(super) network_costs: NetworkCosts,
-    pub(super) links: Links,
-    // Halls of the endpoints; a slot names its hall by its place here.
+    pub(super) region_links: RegionLinks,
+    // Halls of the endpoints. An entry refers to its hall by the index here.
     pub(super) halls: Vec<String>,
-    pub(super) services: BTreeMap<String, ServiceSlots>,
-    // Services by id of the endpoint, and ids by hash.
+    pub(super) services: BTreeMap<String, ServiceEndpoints>,
+    // Service by endpoint id.
     pub(super) service_of: HashMap<String, String>,
-    hashes: HashMap<u64, String>,
-    paces: BTreeMap<String, Pace>,
-    // What word of how long work takes is worth, by service.
-    pub(super) memories: BTreeMap<String, Memory>,
-    pub(super) mixes: BTreeMap<String, Mix>,
-    // By place of the region and weight of prompt: heavy ones are reported at once.
-    pub(super) unknown: BTreeMap<(usize, bool), Unknown>,
+    id_by_hash: HashMap<u64, String>,
+    timings: BTreeMap<String, ServiceTimings>,
+    // Slowdown statistics by service.
+    pub(super) slowdown_models: BTreeMap<String, SlowdownModel>,
+    pub(super) mixes: BTreeMap<String, PromptMix>,
+    // By region index and whether the prompt is heavy. They differ because heavy prompts are
+    // reported at once.
+    pub(super) unreported: BTreeMap<(usize, bool), UnreportedRequests>,
     pub(super) engines: BTreeMap<String, Engine>,
     pub(super) learners: BTreeMap<String, Learner>,
     pub(super) notices: Notices,
 }
 
 impl Balancer {
-    /// An empty board of a gateway in a data hall, where there is one region.
+    /// Creates an empty balancer for a gateway in a data hall, with a single region.
     pub fn new(hall: &str) -> Self {
         Self::with_topology(Topology::new(hall, "", &BTreeMap::new()))
     }
 
-    /// An empty board of a gateway among data halls.
+    /// Creates an empty balancer for a gateway in a topology of halls and regions.
     pub fn with_topology(topology: Topology) -> Self {
         Balancer {
             network_costs: NetworkCosts::new(topology),
-            links: Links::default(),
+            region_links: RegionLinks::default(),
             halls: Vec::new(),
             services: BTreeMap::new(),
             service_of: HashMap::new(),
-            hashes: HashMap::new(),
-            paces: BTreeMap::new(),
-            memories: BTreeMap::new(),
+            id_by_hash: HashMap::new(),
+            timings: BTreeMap::new(),
+            slowdown_models: BTreeMap::new(),
             mixes: BTreeMap::new(),
-            unknown: BTreeMap::new(),
+            unreported: BTreeMap::new(),
             engines: BTreeMap::new(),
             learners: BTreeMap::new(),
             notices: Notices::default(),
         }
     }
 
-    /// Takes what a configuration says of engines.
+    /// Applies the engine settings of a configuration.
     pub fn configure(&mut self, configuration: &Configuration) {
         let engines = configuration.services.iter();
         self.engines = engines
@@ -134,265 +138,274 @@
             .collect();
     }
 
-    /// Takes an endpoint's newest record.
+    /// Adds an endpoint or updates its record.
     pub fn insert(&mut self, now: Duration, endpoint: Endpoint) {
-        let known = self.slot_mut(&endpoint.id);
+        let known = self.entry_mut(&endpoint.id);
         let mut speed = None;
-        if let Some(slot) = known {
-            if slot.spec.is_same_start(&endpoint) {
-                slot.spec = endpoint;
+        if let Some(entry) = known {
+            if entry.spec.is_same_start(&endpoint) {
+                entry.spec = endpoint;
                 return;
             }
-            // What ran there, what it kept and how it answered ended with the process. How fast it reads is its VM's.
-            let is_same_vm = slot.spec.address.ip() == endpoint.address.ip();
-            speed = is_same_vm.then_some(slot.speed);
+            // Requests, cache and health belong to the old process and are dropped. The reading
+            // speed belongs to the VM and is kept if the VM is the same.
+            let is_same_vm = entry.spec.address.ip() == endpoint.address.ip();
+            speed = is_same_vm.then_some(entry.speed);
             self.remove(&endpoint.id);
         }
         let (id, service) = (endpoint.id.clone(), endpoint.service.clone());
         let engine = self.engines.get(&service);
         let cache_tokens = engine.map_or(u64::MAX, |engine| engine.cache_tokens);
-        let mut slot = Slot::new(now, endpoint, cache_tokens);
-        slot.speed = speed.unwrap_or_default();
-        slot.is_engine = engine.is_some();
-        slot.hall = self.place_of_hall(&slot.spec.zone);
-        slot.region = self.network_costs.topology().place_of(&slot.spec.zone);
-        let hashes = [endpoint_hash(&id), slot.incarnation()];
-        self.hashes.extend(hashes.map(|hash| (hash, id.clone())));
+        let mut entry = EndpointEntry::new(now, endpoint, cache_tokens);
+        entry.speed = speed.unwrap_or_default();
+        entry.is_engine = engine.is_some();
+        entry.hall_index = self.hall_index(&entry.spec.zone);
+        entry.region_index = self.network_costs.topology().place_of(&entry.spec.zone);
+        let hashes = [endpoint_hash(&id), entry.incarnation()];
+        self.id_by_hash
+            .extend(hashes.map(|hash| (hash, id.clone())));
         self.services
             .entry(service.clone())
             .or_default()
-            .insert(slot);
+            .insert(entry);
         self.service_of.insert(id, service);
     }
 
-    /// Drops an endpoint that is gone.
+    /// Removes an endpoint.
     pub fn remove(&mut self, id: &str) {
         let Some(service) = self.service_of.remove(id) else {
             return;
         };
-        self.hashes.retain(|_, known| known != id);
-        if let Some(slots) = self.services.get_mut(&service) {
-            slots.remove(id);
+        self.id_by_hash.retain(|_, known| known != id);
+        if let Some(endpoints) = self.services.get_mut(&service) {
+            endpoints.remove(id);
         }
     }
 
-    /// Drops all endpoints; what was learnt of their services stays.
+    /// Removes all endpoints but keeps the statistics of their services.
     pub fn remove_all(&mut self) {
         self.services.clear();
         self.service_of.clear();
-        self.hashes.clear();
+        self.id_by_hash.clear();
     }
 
-    /// The record of an endpoint.
+    /// Returns the record of an endpoint.
     pub fn endpoint(&self, id: &str) -> Option<&Endpoint> {
-        let slots = self.services.get(self.service_of.get(id)?)?;
-        slots.get(id).map(|slot| &slot.spec)
+        let endpoints = self.services.get(self.service_of.get(id)?)?;
+        endpoints.get(id).map(|entry| &entry.spec)
     }
 
-    /// How many endpoints it holds.
+    /// Returns the number of endpoints.
     pub fn endpoint_count(&self) -> usize {
         self.service_of.len()
     }
 
-    /// All endpoints.
+    /// Iterates over the records of all endpoints.
     pub fn endpoints(&self) -> impl Iterator<Item = &Endpoint> {
-        let slots = self.services.values().flat_map(ServiceSlots::iter);
-        slots.map(|slot| &slot.spec)
+        let endpoints = self.services.values().flat_map(ServiceEndpoints::iter);
+        endpoints.map(|entry| &entry.spec)
     }
 
-    pub(super) fn slot_mut(&mut self, id: &str) -> Option<&mut Slot> {
+    pub(super) fn entry_mut(&mut self, id: &str) -> Option<&mut EndpointEntry> {
         let service = self.service_of.get(id)?;
         self.services.get_mut(service)?.get_mut(id)
     }
 
-    // The slot of the process that a request went to, if that still runs as far as is known.
-    fn slot_of(&mut self, ticket: &Ticket) -> Option<&mut Slot> {
-        let slot = self.slot_mut(&ticket.endpoint)?;
-        (slot.incarnation() == ticket.incarnation).then_some(slot)
+    // Returns the entry of the endpoint a request went to, if the same process still runs there.
+    fn entry_of(&mut self, ticket: &Ticket) -> Option<&mut EndpointEntry> {
+        let entry = self.entry_mut(&ticket.endpoint)?;
+        (entry.incarnation() == ticket.incarnation).then_some(entry)
     }
 
     pub(super) fn is_current(&mut self, ticket: &Ticket) -> bool {
-        self.slot_of(ticket).is_some()
+        self.entry_of(ticket).is_some()
     }
 
-    /// Whether an endpoint started again since a request was placed there.
+    /// Whether the endpoint's process was restarted since a request was placed there.
     pub fn has_restarted_since(&self, placement: &Placement) -> bool {
         let known = self.endpoint(&placement.endpoint);
         known.is_some_and(|known| incarnation(&known.id, known.born_ms) != placement.incarnation)
     }
 
-    /// Tokens that an engine of a service reads in a millisecond, once that is known.
+    /// Returns the prompt tokens per millisecond that an engine of the service reads, once enough
+    /// samples were seen.
     pub fn known_rate(&self, service: &str) -> Option<f64> {
-        self.paces.get(service)?.known_rate()
+        self.timings.get(service)?.known_rate()
     }
 
-    pub(super) fn pace(&self, service: &str) -> Pace {
-        self.paces.get(service).copied().unwrap_or_default()
+    pub(super) fn timings_of(&self, service: &str) -> ServiceTimings {
+        self.timings.get(service).copied().unwrap_or_default()
     }
 
-    /// Notes that a request goes to an endpoint.
+    /// Records that this gateway sends a request to an endpoint.
     pub fn sent(&mut self, now: Duration, work: &Work, placement: &Placement) -> Ticket {
         let mut ticket = Ticket {
             endpoint: placement.endpoint.clone(),
             incarnation: placement.incarnation,
-            number: None,
+            queue_number: None,
             sent_at: now,
             unread_tokens: placement.unread_tokens,
             answer_tokens: work.answer_tokens,
-            first_at: None,
-            alone: false,
-            slowdown: self.against_usual(&placement.endpoint, now),
-            span: Span::default(),
+            first_token_at: None,
+            is_alone: false,
+            slowdown: self.relative_slowdown(&placement.endpoint, now),
+            window: EventWindow::default(),
         };
-        let Some(slot) = self.slot_of(&ticket) else {
+        let Some(entry) = self.entry_of(&ticket) else {
             return ticket;
         };
-        slot.own += 1;
+        entry.own_requests += 1;
         if work.prompt_tokens > 0 {
-            self.note_mix(&work.service, placement.unread_tokens, placement.hold);
+            self.record_in_mix(&work.service, placement.unread_tokens, placement.hold);
         }
-        let Some(slot) = self.slot_mut(&placement.endpoint) else {
+        let Some(entry) = self.entry_mut(&placement.endpoint) else {
             return ticket;
         };
         if work.prompt_tokens > 0 {
-            ticket.alone = slot.queue.is_empty();
-            ticket.number = Some(slot.queue.push(now, placement.unread_tokens, true));
-            for (hash, part) in beginnings(&work.parts).into_iter().zip(&work.parts) {
-                slot.cache.keep(hash, part.tokens);
+            ticket.is_alone = entry.queue.is_empty();
+            ticket.queue_number = Some(entry.queue.push(now, placement.unread_tokens, true));
+            for (hash, part) in prefix_hashes(&work.parts).into_iter().zip(&work.parts) {
+                entry.cache.insert(hash, part.tokens);
             }
         }
         ticket
     }
 
-    /// Notes that a request placed here is sent by another gateway, which reports nothing of its end.
+    /// Records a request that was placed here and is sent by another gateway, which does not report
+    /// its end.
     pub fn placed_for_peer(&mut self, now: Duration, work: &Work, placement: &Placement) {
-        let Some(slot) = self.slot_mut(&placement.endpoint) else {
+        let Some(entry) = self.entry_mut(&placement.endpoint) else {
             return;
         };
-        slot.other_sent(now, placement.hold);
+        entry.record_peer_request(now, placement.hold);
         if work.prompt_tokens == 0 {
             return;
         }
-        slot.queue.push(now, placement.unread_tokens, false);
-        for (hash, part) in beginnings(&work.parts).into_iter().zip(&work.parts) {
-            slot.cache.keep(hash, part.tokens);
+        entry.queue.push(now, placement.unread_tokens, false);
+        for (hash, part) in prefix_hashes(&work.parts).into_iter().zip(&work.parts) {
+            entry.cache.insert(hash, part.tokens);
         }
-        self.note_mix(&work.service, placement.unread_tokens, placement.hold);
+        self.record_in_mix(&work.service, placement.unread_tokens, placement.hold);
     }
 
-    /// Id of the endpoint with this hash, of its id or of its present start.
+    /// Returns the id of the endpoint with this hash, either of its id or of its current
+    /// incarnation.
     pub fn id_of(&self, hash: u64) -> Option<String> {
-        self.hashes.get(&hash).cloned()
+        self.id_by_hash.get(&hash).cloned()
     }
 
-    /// The first token of a request came.
+    /// Records that the first token of a request arrived.
     pub fn first_token(&mut self, now: Duration, ticket: &mut Ticket) {
-        let Some(slot) = self.slot_of(ticket) else {
+        let Some(entry) = self.entry_of(ticket) else {
             return;
         };
-        let Some(number) = ticket.number.take() else {
+        let Some(number) = ticket.queue_number.take() else {
             return;
         };
-        ticket.first_at = Some(now);
-        slot.queue.read(now, number);
-        if !ticket.alone {
+        ticket.first_token_at = Some(now);
+        entry.queue.mark_read(now, number);
+        if !ticket.is_alone {
             return;
         }
-        let (service, hall) = (slot.spec.service.clone(), slot.spec.zone.clone());
-        let way = self.network_costs.region_round_trip_ms(&hall);
+        let (service, hall) = (entry.spec.service.clone(), entry.spec.zone.clone());
+        let round_trip_ms = self.network_costs.region_round_trip_ms(&hall);
         let slowdown = self.slowdown_since(now, ticket);
-        let took = (ms(now.saturating_sub(ticket.sent_at)) - way) / slowdown;
-        let pace = self.paces.entry(service).or_default();
-        let sample = pace.first_token(ticket.unread_tokens, took);
-        if let (Some(sample), Some(slot)) = (sample, self.slot_mut(&ticket.endpoint)) {
-            slot.read_at(sample);
+        let took = (ms(now.saturating_sub(ticket.sent_at)) - round_trip_ms) / slowdown;
+        let timings = self.timings.entry(service).or_default();
+        let sample = timings.first_token(ticket.unread_tokens, took);
+        if let (Some(sample), Some(entry)) = (sample, self.entry_mut(&ticket.endpoint)) {
+            entry.record_rate(sample);
         }
     }
 
-    // How long work took at the endpoint of a request while that ran, in parts of the mean.
+    // Returns the mean slowdown over a request, relative to the service's mean, from its values
+    // when the request was sent and now.
     fn slowdown_since(&self, now: Duration, ticket: &Ticket) -> f64 {
-        (ticket.slowdown + self.against_usual(&ticket.endpoint, now)) / 2.0
+        (ticket.slowdown + self.relative_slowdown(&ticket.endpoint, now)) / 2.0
     }
 
-    /// A request ended.
+    /// Records that a request ended.
     pub fn ended(&mut self, now: Duration, ticket: &Ticket, signal: HealthSignal) {
-        let Some(slot) = self.slot_of(ticket) else {
+        let Some(entry) = self.entry_of(ticket) else {
             return;
         };
-        slot.own = slot.own.saturating_sub(1);
-        if let Some(number) = ticket.number {
-            slot.queue.drop_entry(now, number);
+        entry.own_requests = entry.own_requests.saturating_sub(1);
+        if let Some(number) = ticket.queue_number {
+            entry.queue.remove(now, number);
         }
-        slot.judge(now, signal);
-        let (speed, told) = (slot.speed(), slot.told);
-        let (service, hall) = (slot.spec.service.clone(), slot.spec.zone.clone());
+        entry.record_end(now, signal);
+        let (speed, history) = (entry.speed(), entry.slowdown_history);
+        let (service, hall) = (entry.spec.service.clone(), entry.spec.zone.clone());
         if signal == HealthSignal::Healthy {
-            let way = self.network_costs.region_round_trip_ms(&hall);
+            let round_trip_ms = self.network_costs.region_round_trip_ms(&hall);
             let slowdown = self.slowdown_since(now, ticket);
-            let on_the_whole = self.memory(&service).on_the_whole(told);
-            let pace = self.paces.entry(service).or_default();
-            let slowness = speed.slowness(*pace) * on_the_whole;
-            pace.ended((ms(now.saturating_sub(ticket.sent_at)) - way).max(0.0) / slowdown);
-            if let Some(first) = ticket.first_at.filter(|_| ticket.answer_tokens > 0) {
-                pace.answered(
+            let long_term_slowdown = self.slowdown_model(&service).long_term_slowdown(history);
+            let timings = self.timings.entry(service).or_default();
+            let relative_duration = speed.relative_duration(*timings) * long_term_slowdown;
+            timings.ended(
+                (ms(now.saturating_sub(ticket.sent_at)) - round_trip_ms).max(0.0) / slowdown,
+            );
+            if let Some(first) = ticket.first_token_at.filter(|_| ticket.answer_tokens > 0) {
+                timings.answered(
                     ticket.answer_tokens,
-                    ms(now.saturating_sub(first)) / slowness,
+                    ms(now.saturating_sub(first)) / relative_duration,
                 );
             }
         }
     }
 
-    /// Another gateway reported what it sent.
+    /// Records a request that another gateway reported as sent.
     pub fn peer_sent(&mut self, now: Duration, dispatch: PeerDispatch) {
         let Some(id) = self.id_of(dispatch.endpoint) else {
             return;
         };
-        let Some(slot) = self.slot_mut(&id) else {
+        let Some(entry) = self.entry_mut(&id) else {
             return;
         };
-        let (is_engine, region) = (slot.is_engine, slot.region);
-        let service = slot.spec.service.clone();
-        slot.other_sent(dispatch.sent_at, dispatch.hold);
+        let (is_engine, region) = (entry.is_engine, entry.region_index);
+        let service = entry.spec.service.clone();
+        entry.record_peer_request(dispatch.sent_at, dispatch.hold);
         if dispatch.unread_tokens > 0 {
-            slot.queue.push(now, dispatch.unread_tokens, false);
+            entry.queue.push(now, dispatch.unread_tokens, false);
         }
         if dispatch.shared_prompt != 0 {
-            slot.cache.keep(dispatch.shared_prompt, 0);
+            entry.cache.insert(dispatch.shared_prompt, 0);
         }
         if is_engine {
-            self.note_mix(&service, dispatch.unread_tokens, dispatch.hold);
+            self.record_in_mix(&service, dispatch.unread_tokens, dispatch.hold);
         }
         let age = now.saturating_sub(dispatch.sent_at);
-        let heavy = self.pace(&service).reads_long(dispatch.unread_tokens);
-        let unknown = self.unknown.entry((region, heavy)).or_default();
-        unknown.note(now, age);
+        let is_heavy = self.timings_of(&service).is_heavy(dispatch.unread_tokens);
+        let unreported = self.unreported.entry((region, is_heavy)).or_default();
+        unreported.record(now, age);
     }
 
-    /// Ready endpoints of a service, none that said it leaves, whose version may run a request.
+    /// Returns the number of ready endpoints of a service that are not leaving and whose version
+    /// may run a request.
     pub fn ready_count(&self, now: Duration, service: &str, versions: Versions) -> usize {
-        let slots = self
+        let endpoints = self
             .services
             .get(service)
             .into_iter()
-            .flat_map(ServiceSlots::iter);
-        let ready = slots.filter(|slot| takes_work(now, slot, &self.notices));
+            .flat_map(ServiceEndpoints::iter);
+        let ready = endpoints.filter(|entry| takes_work(now, entry, &self.notices));
         ready
-            .filter(|slot| versions.allows(&slot.spec.version))
+            .filter(|entry| versions.allows(&entry.spec.version))
             .count()
     }
 
-    // Own requests and those of others alike, so that all gateways see the same mix.
-    fn note_mix(&mut self, service: &str, unread_tokens: u32, hold: Duration) {
+    // Counts requests of this gateway and of others alike, so that all gateways see the same mix.
+    fn record_in_mix(&mut self, service: &str, unread_tokens: u32, hold: Duration) {
         let tokens = f64::from(unread_tokens);
-        let heavy = self.pace(service).reads_long(unread_tokens);
+        let is_heavy = self.timings_of(service).is_heavy(unread_tokens);
         let mix = self.mixes.entry(service.to_string()).or_default();
-        mix.note(tokens, ms(hold), heavy);
+        mix.record(tokens, ms(hold), is_heavy);
     }
 }
 
-/// Whether an endpoint takes new work of some gateway.
-pub(super) fn takes_work(now: Duration, slot: &Slot, notices: &Notices) -> bool {
-    slot.spec.is_ready() && standing(now, slot, notices) != Standing::Leaving
+/// Whether an endpoint takes new requests of at least some gateways: it is ready and not leaving.
+pub(super) fn takes_work(now: Duration, entry: &EndpointEntry, notices: &Notices) -> bool {
+    entry.spec.is_ready() && standing(now, entry, notices) != Standing::Leaving
 }
 
 pub(super) fn ms(duration: Duration) -> f64 {
--- a/components/routing/src/placement/choice.rs
+++ b/components/routing/src/placement/choice.rs
@@ -1,4 +1,4 @@
-//! The choice of an endpoint for a request.
+//! Chooses an endpoint for a request.
 
 use std::time::Duration;
 
@@ -7,65 +7,67 @@
 use rand::{Rng, RngExt};
 
 use crate::placement::balancer::{ms, Balancer, Placement};
-use crate::placement::departure::{link_bytes, Departure, Places};
+use crate::placement::entry::EndpointEntry;
 use crate::placement::exclusion::Exclusion;
-use crate::placement::mix::Mix;
+use crate::placement::mix::PromptMix;
 use crate::placement::network_cost::OWN_REGION;
-use crate::placement::pace::Pace;
-use crate::placement::service::{ServiceSlots, Usable};
-use crate::placement::slot::Slot;
-use crate::placement::slowdown::Memory;
-use crate::placement::unknown::Unknown;
-use crate::placement::{beginnings, Versions, Work};
+use crate::placement::region_link::{link_bytes, LinkDecision, RegionCosts};
+use crate::placement::service::{ServiceEndpoints, UsableEndpoints};
+use crate::placement::slowdown::SlowdownModel;
+use crate::placement::timings::ServiceTimings;
+use crate::placement::unreported::UnreportedRequests;
+use crate::placement::{prefix_hashes, Versions, Work};
 
-/// Choices this close are distinguished at random, in milliseconds.
+/// Endpoints whose costs differ by at most this are chosen between at random, in milliseconds.
 const TIE_MS: f64 = 1.0;
-/// Cost of one more request beside the others at an engine, in milliseconds.
-const BESIDE_MS: f64 = 0.3;
-/// With this power of the taken part of an engine's slots a request costs the next ones: nearly nothing at a half, and the
-/// whole time until a slot is free where it takes the last one.
-const TAKEN_SLOTS_POWER: i32 = 4;
-/// Cost of an endpoint whose every answer is faulty, in milliseconds.
+/// Cost of each request that already runs at the engine, in milliseconds.
+const CONCURRENT_REQUEST_MS: f64 = 0.3;
+/// Exponent of the share of slots in use in the cost that a request puts on later ones: close to
+/// zero at one half, and the whole time until a slot is free when it takes the last slot.
+const USED_SLOTS_EXPONENT: i32 = 4;
+/// Cost of an endpoint all of whose answers are faulty, in milliseconds.
 const FAULTY_MS: f64 = 1000.0;
-/// Cost of an endpoint that was silent, while another region has endpoints too, in milliseconds: as much as one whose
-/// every answer is faulty.
+/// Cost of a suspected endpoint while another region has endpoints too, in milliseconds: as high as
+/// for one all of whose answers are faulty.
 const SUSPECTED_MS: f64 = FAULTY_MS;
-/// Cost of an endpoint that has just started, in milliseconds.
+/// Cost of an endpoint that is still slow after its start, in milliseconds.
 const COLD_MS: f64 = 20.0;
-/// A send to an endpoint that names a limit costs this part of the time between two of them, and at most so much, in
+/// A request to an endpoint with a rate limit costs this share of the interval between two
+/// permitted requests, up to the maximum below in milliseconds.
+const SCARCITY_SHARE: f64 = 0.25;
+const MAX_SCARCITY_MS: f64 = 500.0;
+/// Reading time of consecutive prompts above which callers notice a pause in their streams, in
 /// milliseconds.
-const SCARCE_PART: f64 = 0.25;
-const MOST_SCARCE_MS: f64 = 500.0;
-/// Prompts read one after the other for longer than this make a pause that a caller notices, in
-/// milliseconds.
-const NOTICED_PAUSE_MS: f64 = 350.0;
-/// Cost for each request that a noticed pause would hold up, in milliseconds, and the most of it.
-const HELD_UP_MS: f64 = 60.0;
-const MOST_HELD_UP_MS: f64 = 900.0;
-/// Cost of a light prompt among heavy ones, in milliseconds.
-const AMONG_HEAVY_MS: f64 = 200.0;
-/// Cost of a heavy prompt among light ones, in milliseconds.
-const AMONG_LIGHT_MS: f64 = 200.0;
-/// Endpoints weighed for each request of others that is not known yet, in parts of them all.
+const MIN_NOTICED_PAUSE_MS: f64 = 350.0;
+/// Cost per request whose stream a noticeable pause would stall, and its maximum, in milliseconds.
+const STALLED_STREAM_MS: f64 = 60.0;
+const MAX_STALLED_STREAMS_MS: f64 = 900.0;
+/// Cost of a light prompt at an engine meant for heavy ones, in milliseconds.
+const LIGHT_AMONG_HEAVY_MS: f64 = 200.0;
+/// Cost of a heavy prompt at an engine meant for light ones, in milliseconds.
+const HEAVY_AMONG_LIGHT_MS: f64 = 200.0;
+/// With n endpoints and u unreported requests of other gateways, this factor times n / u endpoints
+/// are compared.
 const SAMPLE_FACTOR: f64 = 6.0;
-/// Least endpoints weighed.
-const LEAST_SAMPLE: usize = 2;
-/// Part of a shared prompt expected at its home when nobody is known to keep it.
+/// Minimum number of endpoints that are compared.
+const MIN_SAMPLE: usize = 2;
+/// Share of a shared prompt that is expected to be cached at its home endpoint when no endpoint is
+/// known to cache it.
 const HOME_SHARE: f64 = 0.5;
 
-// An endpoint that was weighed.
+// An endpoint with the cost of the request there.
 #[derive(Clone, Copy)]
-struct Weighed {
+struct EndpointCost {
     cost_ms: f64,
     unread: u32,
     position: usize,
 }
 
 impl Balancer {
-    /// The endpoint for a request, or `None` if none takes work. Those in `exclude` and of other `versions` are
-    /// passed over; those under suspicion are used only if there is no other. Each region's endpoints are weighed by
-    /// themselves, as its own gateways do; a request leaves the own one only if it gains more than the way, and the
-    /// link has room.
+    /// Returns the endpoint for a request, or `None` if none takes it. Endpoints in `exclude` and
+    /// those of other `versions` are skipped; suspected endpoints are used only if their region has
+    /// no other. Each region's endpoints are compared among themselves, as the gateways there do. A
+    /// request leaves its region only if it gains more than the network cost and the link has room.
     pub fn choose(
         &mut self,
         now: Duration,
@@ -82,7 +84,8 @@
         self.choose_from(OWN_REGION, now, work, exclusion, versions, rng)
     }
 
-    /// The same for a request of a gateway in the region at this place.
+    /// Like [`Balancer::choose`], for a request of a gateway in the region with index
+    /// `home_region`.
     pub fn choose_from(
         &mut self,
         home_region: usize,
@@ -92,241 +95,254 @@
         versions: Versions,
         rng: &mut impl Rng,
     ) -> Option<Placement> {
-        self.links.begin();
-        let mut weighing = Weighing {
+        self.region_links.reset();
+        let mut cost_model = CostModel {
             now,
             work,
-            pace: self.pace(&work.service),
-            memory: self.memory(&work.service),
+            timings: self.timings_of(&work.service),
+            slowdown_model: self.slowdown_model(&work.service),
             mix: self.mixes.get(&work.service).copied().unwrap_or_default(),
-            hashes: beginnings(&work.parts),
+            hashes: prefix_hashes(&work.parts),
             hall_costs: self.hall_costs(home_region, work.body_bytes),
-            has_choice: false,
+            has_several_regions: false,
             notices: &self.notices,
         };
-        let slots = self.services.get_mut(&work.service)?;
-        let usable = slots.usable(now, exclusion, versions, &self.notices);
-        let regions = slots.by_region(usable, home_region);
-        weighing.has_choice = regions.len() > 1;
-        let (mut home, mut away) = (None, None::<(usize, Weighed)>);
+        let endpoints = self.services.get_mut(&work.service)?;
+        let usable = endpoints.usable(now, exclusion, versions, &self.notices);
+        let regions = endpoints.by_region(usable, home_region);
+        cost_model.has_several_regions = regions.len() > 1;
+        let (mut local_best, mut remote_best) = (None, None::<(usize, EndpointCost)>);
         let mut count = 0;
         for (region, positions) in regions {
-            let best = away.map_or(home, |(_, best)| Some(best));
-            if region != home_region && !weighing.may_gain(slots, &positions, best) {
+            let best = remote_best.map_or(local_best, |(_, best)| Some(best));
+            if region != home_region && !cost_model.can_be_cheaper(endpoints, &positions, best) {
                 continue;
             }
-            let unknown = self.unknown.entry((region, weighing.is_heavy()));
-            let unknown = unknown.or_default();
-            let weighed = weighing.weigh(slots, positions, unknown, rng);
-            count += weighed.len();
-            let cheapest = cheapest(&weighed, rng).copied();
+            let unreported = self.unreported.entry((region, cost_model.is_heavy()));
+            let unreported = unreported.or_default();
+            let costs = cost_model.region_costs(endpoints, positions, unreported, rng);
+            count += costs.len();
+            let cheapest = cheapest(&costs, rng).copied();
             match cheapest {
-                cheapest if region == home_region => home = cheapest,
+                cheapest if region == home_region => local_best = cheapest,
                 Some(found) if best.is_none_or(|best| found.cost_ms < best.cost_ms) => {
-                    away = Some((region, found));
+                    remote_best = Some((region, found));
                 }
                 _ => {}
             }
         }
-        let home_ms = home.map(|home| home.cost_ms);
-        let mut departure = Departure::Stays;
-        if let Some((region, found)) = away {
-            let places = Places {
-                home_ms,
-                away_ms: found.cost_ms,
+        let home_ms = local_best.map(|best| best.cost_ms);
+        let mut link_decision = LinkDecision::Local;
+        if let Some((region, found)) = remote_best {
+            let costs_by_region = RegionCosts {
+                local_ms: home_ms,
+                remote_ms: found.cost_ms,
                 bytes: link_bytes(work),
             };
-            // What crosses the own region's link, for whomever it was decided.
-            let beyond = if region == OWN_REGION {
+            // If the endpoint is in the own region, the link to the request's home region is
+            // crossed.
+            let linked_region = if region == OWN_REGION {
                 home_region
             } else {
                 region
             };
-            let name = self.network_costs.topology().region_at(beyond);
-            departure = self.links.decide(now, name, places);
+            let name = self.network_costs.topology().region_at(linked_region);
+            link_decision = self.region_links.decide(now, name, costs_by_region);
         }
-        let leaves = departure == Departure::Leaves;
-        let chosen = match leaves {
-            true => away.map(|(_, found)| found)?,
-            false => home?,
+        let leaves_region = link_decision == LinkDecision::Remote;
+        let chosen = match leaves_region {
+            true => remote_best.map(|(_, found)| found)?,
+            false => local_best?,
         };
-        let slot = slots.at(chosen.position);
-        let hold = weighing.pace.hold_of(work, chosen.unread);
+        let entry = endpoints.at(chosen.position);
+        let hold = cost_model.timings.expected_hold(work, chosen.unread);
         Some(Placement {
-            endpoint: slot.spec.id.clone(),
-            incarnation: slot.incarnation(),
-            address: slot.spec.address,
+            endpoint: entry.spec.id.clone(),
+            incarnation: entry.incarnation(),
+            address: entry.spec.address,
             unread_tokens: chosen.unread,
-            shared_prompt: shared_hash(&weighing.hashes),
+            shared_prompt: shared_hash(&cost_model.hashes),
             expected_ms: chosen.cost_ms,
-            hold: hold.mul_f64(slot.slowness(weighing.pace, &weighing.memory)),
+            hold: hold
+                .mul_f64(entry.relative_duration(cost_model.timings, &cost_model.slowdown_model)),
             weighed: count,
             is_placed_by_peer: false,
-            version: Some(slot.spec.version.clone()),
-            is_cold: now < slot.cold_until,
-            hall: slot.spec.zone.clone(),
-            home_ms: home_ms.filter(|_| leaves),
-            link_bytes: if leaves { link_bytes(work) } else { 0 },
-            is_link_limited: departure == Departure::Declined,
-            slowdown: weighing.memory.expected(now, slot.told),
+            version: Some(entry.spec.version.clone()),
+            is_cold: now < entry.cold_until,
+            hall: entry.spec.zone.clone(),
+            home_ms: home_ms.filter(|_| leaves_region),
+            link_bytes: if leaves_region { link_bytes(work) } else { 0 },
+            is_link_limited: link_decision == LinkDecision::Declined,
+            slowdown: cost_model
+                .slowdown_model
+                .expected(now, entry.slowdown_history),
         })
     }
 }
 
-// The one of least cost; those that are as good as it are distinguished at random.
-fn cheapest<'a>(weighed: &'a [Weighed], rng: &mut impl Rng) -> Option<&'a Weighed> {
-    let least = weighed.iter().map(|w| w.cost_ms).fold(f64::MAX, f64::min);
-    let near = weighed.iter().filter(|w| w.cost_ms <= least + TIE_MS);
-    let near: Vec<&Weighed> = near.collect();
-    match near.len() {
+// Returns the endpoint of lowest cost, at random among those within `TIE_MS` of it.
+fn cheapest<'a>(costs: &'a [EndpointCost], rng: &mut impl Rng) -> Option<&'a EndpointCost> {
+    let lowest_ms = costs.iter().map(|w| w.cost_ms).fold(f64::MAX, f64::min);
+    let tied = costs.iter().filter(|w| w.cost_ms <= lowest_ms + TIE_MS);
+    let tied: Vec<&EndpointCost> = tied.collect();
+    match tied.len() {
         0 => None,
-        count => Some(near[rng.random_range(0..count)]),
+        count => Some(tied[rng.random_range(0..count)]),
     }
 }
 
-// What endpoints are weighed by for one request.
-struct Weighing<'a> {
+// Values needed to compute the costs of one request.
+struct CostModel<'a> {
     now: Duration,
     work: &'a Work,
-    pace: Pace,
-    memory: Memory,
-    mix: Mix,
+    timings: ServiceTimings,
+    slowdown_model: SlowdownModel,
+    mix: PromptMix,
     hashes: Vec<u64>,
-    // What a request must gain in each hall, by the place of the hall on the board.
+    // Network cost by hall index.
     hall_costs: Vec<f64>,
-    // Whether there are endpoints in several regions.
-    has_choice: bool,
+    // Whether endpoints in several regions are usable.
+    has_several_regions: bool,
     notices: &'a Notices,
 }
 
-impl Weighing<'_> {
+impl CostModel<'_> {
     fn is_heavy(&self) -> bool {
-        self.pace.reads_long(self.work.prompt_tokens)
+        self.timings.is_heavy(self.work.prompt_tokens)
     }
 
-    // Whether some of these endpoints could be better than the best one found, were nothing to wait for there.
-    fn may_gain(&self, slots: &ServiceSlots, positions: &[usize], best: Option<Weighed>) -> bool {
+    // Whether some of these endpoints could have a lower cost than the best one so far if nothing
+    // waited there.
+    fn can_be_cheaper(
+        &self,
+        endpoints: &ServiceEndpoints,
+        positions: &[usize],
+        best: Option<EndpointCost>,
+    ) -> bool {
         let Some(best) = best else {
             return true;
         };
         let costs = positions
             .iter()
-            .map(|at| self.hall_costs[slots.at(*at).hall]);
+            .map(|at| self.hall_costs[endpoints.at(*at).hall_index]);
         costs.fold(f64::INFINITY, f64::min) < best.cost_ms
     }
 
-    // What endpoints of one region, or some of them, would cost.
-    fn weigh(
+    // Returns the costs at the endpoints of one region, or at a sample of them.
+    fn region_costs(
         &self,
-        slots: &mut ServiceSlots,
+        endpoints: &mut ServiceEndpoints,
         positions: Vec<usize>,
-        unknown: &mut Unknown,
+        unreported: &mut UnreportedRequests,
         rng: &mut impl Rng,
-    ) -> Vec<Weighed> {
-        let heavy = self.is_heavy();
-        let usable = slots.grouped(self.now, positions, self.work, self.mix, heavy);
-        let home = slots.home(shared_hash(&self.hashes), usable.group());
-        let candidates = candidates(unknown.count(self.now), &usable, home, rng);
-        let weighed = candidates.into_iter().map(|position| {
-            let slot = slots.at_mut(position);
-            let unread = self.unread(slot, home == Some(position));
-            let mut cost_ms = self.cost_ms(slot, unread);
-            cost_ms += self.hall_costs[slot.hall];
-            if self.has_choice && slot.is_suspected(self.now) {
+    ) -> Vec<EndpointCost> {
+        let is_heavy = self.is_heavy();
+        let usable = endpoints.split_by_weight(self.now, positions, self.work, self.mix, is_heavy);
+        let home = endpoints.home(shared_hash(&self.hashes), usable.group());
+        let candidates = candidates(unreported.expected(self.now), &usable, home, rng);
+        let costs = candidates.into_iter().map(|position| {
+            let entry = endpoints.at_mut(position);
+            let unread = self.unread(entry, home == Some(position));
+            let mut cost_ms = self.cost_ms(entry, unread);
+            cost_ms += self.hall_costs[entry.hall_index];
+            if self.has_several_regions && entry.is_suspected(self.now) {
                 cost_ms += SUSPECTED_MS;
             }
             if !usable.is_in_group(position) {
-                cost_ms += match heavy {
-                    true => AMONG_LIGHT_MS,
-                    false => AMONG_HEAVY_MS,
+                cost_ms += match is_heavy {
+                    true => HEAVY_AMONG_LIGHT_MS,
+                    false => LIGHT_AMONG_HEAVY_MS,
                 };
             }
-            Weighed {
+            EndpointCost {
                 cost_ms,
                 unread,
                 position,
             }
         });
-        weighed.collect()
+        costs.collect()
     }
 
-    // Tokens that an endpoint would have to read.
-    fn unread(&self, slot: &Slot, is_home: bool) -> u32 {
+    // Returns the prompt tokens that an endpoint would have to read.
+    fn unread(&self, entry: &EndpointEntry, is_home: bool) -> u32 {
         let work = self.work;
         if work.prompt_tokens == 0 {
             return 0;
         }
-        let kept = self.hashes.iter().rposition(|h| slot.cache.keeps(*h));
-        let count = kept.map_or(0, |last| last + 1);
+        let cached = self.hashes.iter().rposition(|h| entry.cache.contains(*h));
+        let count = cached.map_or(0, |last| last + 1);
         let tokens = |count: usize| work.parts[..count].iter().map(|p| p.tokens).sum::<u32>();
-        let mut known = tokens(count);
+        let mut cached_tokens = tokens(count);
         if is_home && count + 1 < work.parts.len() {
             let shared = f64::from(tokens(work.parts.len() - 1));
-            known = known.max((shared * HOME_SHARE) as u32);
+            cached_tokens = cached_tokens.max((shared * HOME_SHARE) as u32);
         }
-        work.prompt_tokens.saturating_sub(known)
+        work.prompt_tokens.saturating_sub(cached_tokens)
     }
 
-    // Expected time to the first token there, and what the request would cost others.
-    fn cost_ms(&self, slot: &mut Slot, unread: u32) -> f64 {
-        let (now, pace) = (self.now, self.pace);
-        let slowdown = self.memory.against_usual(now, slot.told);
-        let rate = slot.rate(pace) / slowdown;
-        let load = f64::from(slot.load(now));
-        let slots = f64::from(slot.spec.slots.max(1));
-        let excess = (load + 1.0 - slots).max(0.0);
-        let hold_ms = pace.hold_ms * slowdown;
-        let mut cost = excess * hold_ms / slots;
-        if slot.is_engine {
-            cost += taken_slot_ms((load + 1.0) / slots, hold_ms / slots);
+    // Returns the expected time to the first token there plus the cost for other requests.
+    fn cost_ms(&self, entry: &mut EndpointEntry, unread: u32) -> f64 {
+        let (now, timings) = (self.now, self.timings);
+        let slowdown = self
+            .slowdown_model
+            .relative_slowdown(now, entry.slowdown_history);
+        let rate = entry.rate(timings) / slowdown;
+        let load = f64::from(entry.load(now));
+        let slots = f64::from(entry.spec.slots.max(1));
+        let waiting = (load + 1.0 - slots).max(0.0);
+        let hold_ms = timings.hold_ms * slowdown;
+        let mut cost = waiting * hold_ms / slots;
+        if entry.is_engine {
+            cost += used_slots_ms((load + 1.0) / slots, hold_ms / slots);
         }
         if self.work.prompt_tokens > 0 {
-            let ahead = ms(slot.queue.wait(now, rate));
+            let ahead = ms(entry.queue.wait(now, rate));
             let reading = f64::from(unread) / rate;
-            cost += ahead + reading + ms(slot.queue.overdue(now, rate)) + load * BESIDE_MS;
-            if ahead < NOTICED_PAUSE_MS && ahead + reading > NOTICED_PAUSE_MS {
-                cost += (load * HELD_UP_MS).min(MOST_HELD_UP_MS);
+            cost +=
+                ahead + reading + ms(entry.queue.overdue(now, rate)) + load * CONCURRENT_REQUEST_MS;
+            if ahead < MIN_NOTICED_PAUSE_MS && ahead + reading > MIN_NOTICED_PAUSE_MS {
+                cost += (load * STALLED_STREAM_MS).min(MAX_STALLED_STREAMS_MS);
             }
         } else {
-            let slower_ms = hold_ms - pace.hold_ms;
+            let slower_ms = hold_ms - timings.hold_ms;
             cost += load / slots * hold_ms + slower_ms.max(0.0);
         }
-        cost += slot.fault_share * FAULTY_MS;
-        cost += self.scarcity_ms(slot);
-        cost += if now < slot.cold_until { COLD_MS } else { 0.0 };
+        cost += entry.fault_share * FAULTY_MS;
+        cost += self.scarcity_ms(entry);
+        cost += if now < entry.cold_until { COLD_MS } else { 0.0 };
         cost
     }
 
-    // What a send to an endpoint that names a limit costs the request that would have it otherwise.
-    fn scarcity_ms(&self, slot: &Slot) -> f64 {
+    // Returns the cost of using one of the few requests that an endpoint's rate limit permits.
+    fn scarcity_ms(&self, entry: &EndpointEntry) -> f64 {
         let limit = match self.notices.is_empty() {
             true => None,
-            false => self.notices.limit(slot.incarnation()),
+            false => self.notices.limit(entry.incarnation()),
         };
         limit.map_or(0.0, |rate| {
-            (SCARCE_PART * 1000.0 / rate.per_s()).min(MOST_SCARCE_MS)
+            (SCARCITY_SHARE * 1000.0 / rate.per_s()).min(MAX_SCARCITY_MS)
         })
     }
 }
 
-// What a request costs those that come after it, by the slots that are taken with it: where most are, the next ones wait
-// for one or push less urgent requests out, whose prompts are read again. `free_ms` is the time until a slot is free when
-// all are taken.
-fn taken_slot_ms(part: f64, free_ms: f64) -> f64 {
-    free_ms * part.min(1.0).powi(TAKEN_SLOTS_POWER)
+// Returns the cost of a request for later ones, by the share of slots in use including its own.
+// Where most slots are in use, later requests wait or preempt less urgent ones, whose prompts have
+// to be read again. `free_ms` is the time until a slot becomes free when all are in use.
+fn used_slots_ms(used_share: f64, free_ms: f64) -> f64 {
+    free_ms * used_share.min(1.0).powi(USED_SLOTS_EXPONENT)
 }
 
-// All endpoints, or some of them at random where many requests of others are not known yet: if all
-// gateways took the best one they know of, they would all take the same.
+// Returns the positions of all endpoints, or of a random sample if many requests of other gateways
+// are unreported. Otherwise all gateways would choose the same best endpoint.
 fn candidates(
-    unknown: f64,
-    usable: &Usable,
+    unreported: f64,
+    usable: &UsableEndpoints,
     home: Option<usize>,
     rng: &mut impl Rng,
 ) -> Vec<usize> {
     let group = usable.group();
-    let wanted = SAMPLE_FACTOR * group.len() as f64 / unknown.max(1.0);
-    let wanted = (wanted.ceil() as usize).max(LEAST_SAMPLE);
+    let wanted = SAMPLE_FACTOR * group.len() as f64 / unreported.max(1.0);
+    let wanted = (wanted.ceil() as usize).max(MIN_SAMPLE);
     if wanted >= group.len() {
         return usable.positions.clone();
     }
@@ -336,7 +352,7 @@
     candidates
 }
 
-// The last part belongs to the request itself.
+// The last part belongs to this request alone, so the shared prefix ends before it.
 fn shared_hash(hashes: &[u64]) -> u64 {
     match hashes.len() {
         0 | 1 => 0,
--- a/components/routing/src/placement/exclusion.rs
+++ b/components/routing/src/placement/exclusion.rs
@@ -1,32 +1,34 @@
-//! Endpoints that a request does not go to.
+//! Endpoints that a request must not go to.
 
 use std::time::Duration;
 
 use notices::{Notices, Standing};
 
 use crate::placement::balancer::Balancer;
-use crate::placement::service::ServiceSlots;
-use crate::placement::slot::Slot;
+use crate::placement::entry::EndpointEntry;
+use crate::placement::service::ServiceEndpoints;
 
-/// Endpoints that a request is not to go to, beside those that are not ready or leave.
+/// Endpoints that a request must not go to, in addition to those that are not ready or are leaving.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Exclusion<'a> {
-    /// Ids of those that it was tried at.
+    /// Ids of endpoints at which the request was already tried.
     pub tried: &'a [String],
-    /// Ids of those that want nothing from the gateway that sends it, if that is another one.
+    /// Ids of endpoints that accept nothing from the gateway that sends the request, if that is not
+    /// this one.
     pub closed: &'a [String],
-    /// Whether this gateway sends it, so that endpoints bind it by the pauses that they asked for.
+    /// Whether this gateway sends the request itself and therefore has to respect the pauses that
+    /// endpoints asked it for.
     pub sent_here: bool,
 }
 
 impl Exclusion<'_> {
-    /// Whether a request may go to an endpoint as far as it goes by this and by what endpoints said.
-    pub(crate) fn allows(&self, now: Duration, slot: &Slot, notices: &Notices) -> bool {
-        let id = &slot.spec.id;
+    /// Whether this exclusion and the endpoint's notices permit sending the request there.
+    pub(crate) fn allows(&self, now: Duration, entry: &EndpointEntry, notices: &Notices) -> bool {
+        let id = &entry.spec.id;
         if self.tried.contains(id) || self.closed.contains(id) {
             return false;
         }
-        match standing(now, slot, notices) {
+        match standing(now, entry, notices) {
             Standing::Open => true,
             Standing::Leaving | Standing::Spent(_) => false,
             Standing::Paused(_) => !self.sent_here,
@@ -34,31 +36,33 @@
     }
 }
 
-/// What an endpoint wants of this gateway.
-pub(crate) fn standing(now: Duration, slot: &Slot, notices: &Notices) -> Standing {
+/// Returns whether an endpoint accepts requests of this gateway, by the notices it sent.
+pub(crate) fn standing(now: Duration, entry: &EndpointEntry, notices: &Notices) -> Standing {
     match notices.is_empty() {
         true => Standing::Open,
-        false => notices.standing(now, slot.incarnation()),
+        false => notices.standing(now, entry.incarnation()),
     }
 }
 
 impl Balancer {
-    /// What endpoints said to this gateway. It outlives their records here.
+    /// Notices that endpoints sent to this gateway. They are kept when an endpoint's record is
+    /// dropped.
     pub fn notices(&self) -> &Notices {
         &self.notices
     }
 
-    /// The same, to take what one says.
+    /// Mutable access to the notices, to record new ones.
     pub fn notices_mut(&mut self) -> &mut Notices {
         &mut self.notices
     }
 
-    /// Time until an endpoint takes a request, as far as pauses and limits go: zero if one does now, `None` if none is there.
+    /// Returns the time until some ready endpoint of the service accepts a request, given pauses
+    /// and limits: zero if one does now, `None` if all of them are leaving or there is none.
     pub fn time_until_open(&self, now: Duration, service: &str) -> Option<Duration> {
-        let slots = self.services.get(service).into_iter();
-        let ready = slots.flat_map(ServiceSlots::iter);
-        let ready = ready.filter(|slot| slot.spec.is_ready());
-        let times = ready.filter_map(|slot| match standing(now, slot, &self.notices) {
+        let endpoints = self.services.get(service).into_iter();
+        let ready = endpoints.flat_map(ServiceEndpoints::iter);
+        let ready = ready.filter(|entry| entry.spec.is_ready());
+        let times = ready.filter_map(|entry| match standing(now, entry, &self.notices) {
             Standing::Open => Some(Duration::ZERO),
             Standing::Paused(left) | Standing::Spent(left) => Some(left),
             Standing::Leaving => None,
--- a/components/routing/src/placement/halls.rs
+++ b/components/routing/src/placement/halls.rs
@@ -1,46 +1,46 @@
-//! What the board knows of halls, regions and the links between these.
+//! Halls, regions and links of the balancer.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
 
 use crate::placement::balancer::Balancer;
-use crate::placement::departure::link_bytes;
 use crate::placement::network_cost::NetworkCosts;
+use crate::placement::region_link::link_bytes;
 use crate::placement::Work;
 
 impl Balancer {
-    /// Ways to other halls.
+    /// Network costs to other halls.
     pub fn network_costs(&self) -> &NetworkCosts {
         &self.network_costs
     }
 
-    /// Ways to other halls, to take what was measured.
+    /// Mutable access to the network costs, to record measurements.
     pub fn network_costs_mut(&mut self) -> &mut NetworkCosts {
         &mut self.network_costs
     }
 
-    /// Sets this gateway's part of the link to each other region, in bytes a second; a region that is not named is
-    /// not bounded.
-    pub fn set_link_parts(&mut self, now: Duration, parts: &BTreeMap<String, f64>) {
-        self.links.set_parts(now, parts);
+    /// Sets this gateway's share of the link to each other region, in bytes per second. Links to
+    /// regions that are not in the map are not limited.
+    pub fn set_link_rates(&mut self, now: Duration, rates: &BTreeMap<String, f64>) {
+        self.region_links.set_rates(now, rates);
     }
 
-    /// Time until the link has room for the request that was chosen for last and for which there was none; `None` if
-    /// it was not the link that held it back.
+    /// Returns the time until the link has room for the request of the last choice, if no endpoint
+    /// was chosen because of the link; `None` if the link was not the reason.
     pub fn link_wait(&mut self, now: Duration, work: &Work) -> Option<Duration> {
-        self.links.wait(now, link_bytes(work))
+        self.region_links.wait(now, link_bytes(work))
     }
 
-    /// Place of a hall on the board.
-    pub(super) fn place_of_hall(&mut self, hall: &str) -> usize {
-        if let Some(place) = self.halls.iter().position(|known| known == hall) {
-            return place;
+    /// Returns the index of a hall, which is added if it is new.
+    pub(super) fn hall_index(&mut self, hall: &str) -> usize {
+        if let Some(index) = self.halls.iter().position(|known| known == hall) {
+            return index;
         }
         self.halls.push(hall.to_string());
         self.halls.len() - 1
     }
 
-    /// What a request from a region must gain in each hall, by the hall's place.
+    /// Returns the network cost of a request from a region to each hall, by hall index.
     pub(super) fn hall_costs(&self, home_region: usize, bytes: u32) -> Vec<f64> {
         let halls = self.halls.iter();
         halls
--- a/components/routing/src/placement/network_cost.rs
+++ b/components/routing/src/placement/network_cost.rs
@@ -1,41 +1,44 @@
-//! What leaving a data hall or a region costs a request.
+//! Network cost of sending a request to another data hall or region.
 //!
-//! The time to each hall and back is learnt from what messages between gateways show. Until something was
-//! measured, it is a first guess by distance.
+//! Round-trip times are measured by the messages between gateways. Until a hall is measured, an
+//! initial value by distance is used.
 
 use std::collections::{BTreeMap, VecDeque};
 use std::time::Duration;
 
 use topology::{Distance, Topology};
 
-/// Place of the own region among all.
+/// Index of the own region in the topology.
 pub(crate) const OWN_REGION: usize = 0;
-/// Time to another hall of the region and back until it was measured, in milliseconds: several times the 0.4 to
-/// 1 ms between halls of one site, so that a request stays in its hall where nothing speaks against it.
+/// Round trip to another hall of the region before it is measured, in milliseconds. It is several
+/// times the 0.4 to 1 ms between halls of one site, so that a request stays in its hall unless that
+/// is worse by more.
 const INITIAL_OTHER_HALL_MS: f64 = 2.0;
-/// Time to another region and back until it was measured, in milliseconds: that over some 3,000 km of fibre.
+/// Round trip to another region before it is measured, in milliseconds: that over some 3,000 km of
+/// fibre.
 const INITIAL_OTHER_REGION_MS: f64 = 60.0;
-/// Newest measurements of a hall that are kept. Their median stands for the way: four of nine may be far off, as when
-/// a processor was late, without any change, and five in a row change it.
+/// Number of recent measurements kept per hall. Their median is used: four outliers of nine, such
+/// as from a delayed thread, do not change it, and five in a row do.
 const MAX_MEASUREMENTS: usize = 9;
-/// Bytes that a connection carries before it waits for the first acknowledgement: ten segments, as all current
-/// systems begin (RFC 6928); what is under way doubles with each time there and back.
+/// Bytes that a TCP connection sends before it waits for the first acknowledgement: ten segments,
+/// the initial window of all current systems (RFC 6928). The window doubles with each round trip.
 const INITIAL_WINDOW_BYTES: f64 = 14_600.0;
-/// A request leaves its region if it gains this many times the way. The wait at home is a guess as well, and one that
-/// leaves takes the other region's callers' room; a trial with 1.5 times 60 ms (docs/design/regions.md) was measured.
+/// A request leaves its region only if it gains more than the network cost times this factor. The
+/// expected wait at home is an estimate too, and the request takes capacity from the other region's
+/// callers. Chosen after a trial with 1.5 times 60 ms (docs/design/regions.md).
 const LEAVING_COST_FACTOR: f64 = 1.5;
 
-/// Ways from the own hall to all others.
+/// Network costs from the own hall to all halls.
 #[derive(Clone, Debug)]
 pub struct NetworkCosts {
     topology: Topology,
     round_trips_ms: BTreeMap<String, VecDeque<f64>>,
-    // Bytes that the link between two regions carries in a millisecond; `None` where that is not known.
+    // Bytes per millisecond that the link between two regions carries; `None` if unknown.
     link_bytes_per_ms: Option<f64>,
 }
 
 impl NetworkCosts {
-    /// Ways by distance, nothing measured yet.
+    /// Creates network costs by distance, without measurements.
     pub fn new(topology: Topology) -> Self {
         NetworkCosts {
             topology,
@@ -44,17 +47,18 @@
         }
     }
 
-    /// Takes what the link between two regions carries each way, in kilobits a second; 0 where that is not known.
+    /// Sets the rate of the link between two regions in each direction, in kilobits per second; 0
+    /// means unknown.
     pub fn set_link_rate(&mut self, kbit: u64) {
         self.link_bytes_per_ms = (kbit > 0).then_some(kbit as f64 / 8.0);
     }
 
-    /// The halls.
+    /// The topology of halls and regions.
     pub fn topology(&self) -> &Topology {
         &self.topology
     }
 
-    /// A message went to a hall and back in this time.
+    /// Records a measured round trip to a hall.
     pub fn record_round_trip(&mut self, hall: &str, round_trip: Duration) {
         let times = self.round_trips_ms.entry(hall.to_string()).or_default();
         times.push_back(round_trip.as_secs_f64() * 1000.0);
@@ -63,22 +67,24 @@
         }
     }
 
-    /// Time to a hall and back, in milliseconds.
+    /// Returns the round trip to a hall, in milliseconds.
     pub fn round_trip_ms(&self, hall: &str) -> f64 {
         let distance = self.topology.distance(hall);
         if distance == Distance::SameHall {
             return 0.0;
         }
-        // What messages within the own hall take is time of processors, which requests spend as well.
-        let own = self.median_ms(self.topology.hall()).unwrap_or(0.0);
+        // The measured time within the own hall is processing time, which requests also spend, so
+        // it is subtracted.
+        let own_ms = self.median_ms(self.topology.hall()).unwrap_or(0.0);
         match (self.median_ms(hall), distance) {
-            (Some(median), _) => (median - own).max(0.0),
+            (Some(median), _) => (median - own_ms).max(0.0),
             (None, Distance::OtherRegion) => INITIAL_OTHER_REGION_MS,
             (None, _) => INITIAL_OTHER_HALL_MS,
         }
     }
 
-    /// What a request of so many bytes must gain in a hall to be sent there, in milliseconds.
+    /// Returns the cost of sending a request of this size to a hall, in milliseconds. It goes there
+    /// only if it gains more than this.
     pub fn cost_ms(&self, hall: &str, bytes: u32) -> f64 {
         let round_trip_ms = self.round_trip_ms(hall);
         match self.topology.distance(hall) {
@@ -87,22 +93,22 @@
         }
     }
 
-    /// The same for a request of a gateway in the region at this place, which nobody there decided. Ways between two
-    /// other regions are not measured here.
+    /// Returns the same cost for a request from a gateway in the region with index `home`, when no
+    /// gateway there decided. Round trips between two other regions are not measured here.
     pub fn cost_from_region_ms(&self, home: usize, hall: &str, bytes: u32) -> f64 {
-        let place = self.topology.place_of(hall);
+        let region = self.topology.place_of(hall);
         match home {
             OWN_REGION => self.cost_ms(hall, bytes),
-            home if home == place => INITIAL_OTHER_HALL_MS,
-            home if place == OWN_REGION => {
+            home if home == region => INITIAL_OTHER_HALL_MS,
+            home if region == OWN_REGION => {
                 self.link_cost_ms(self.shortest_round_trip_ms(home), bytes)
             }
             _ => self.link_cost_ms(INITIAL_OTHER_REGION_MS, bytes),
         }
     }
 
-    /// Part of an answer's time that is the way to another region and back, in milliseconds: it says nothing of the
-    /// endpoint there.
+    /// Returns the round trip to the hall's region if that is another one, else 0, in milliseconds.
+    /// This part of an answer's time does not depend on the endpoint.
     pub fn region_round_trip_ms(&self, hall: &str) -> f64 {
         match self.topology.distance(hall) {
             Distance::OtherRegion => self.round_trip_ms(hall),
@@ -118,8 +124,8 @@
         (round_trip_ms * round_trip_count(bytes) + transfer_ms) * LEAVING_COST_FACTOR
     }
 
-    fn shortest_round_trip_ms(&self, place: usize) -> f64 {
-        let halls = self.topology.halls_of(self.topology.region_at(place));
+    fn shortest_round_trip_ms(&self, region: usize) -> f64 {
+        let halls = self.topology.halls_of(self.topology.region_at(region));
         let times = halls.into_iter().map(|hall| self.round_trip_ms(hall));
         times.fold(f64::INFINITY, f64::min)
     }
@@ -132,7 +138,8 @@
     }
 }
 
-// Times there and back until the last byte of a request has arrived and the answer begins to come.
+// Returns the number of round trips until the last byte of a request has arrived and the answer
+// begins.
 fn round_trip_count(bytes: f64) -> f64 {
     (bytes / INITIAL_WINDOW_BYTES + 1.0).log2().ceil().max(1.0)
 }
--- a/components/routing/src/placement/service.rs
+++ b/components/routing/src/placement/service.rs
@@ -1,43 +1,43 @@
-//! The endpoints of one service.
+//! Endpoints of one service.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
 
 use notices::Notices;
 
+use crate::placement::entry::EndpointEntry;
 use crate::placement::exclusion::Exclusion;
-use crate::placement::mix::Mix;
-use crate::placement::slot::Slot;
+use crate::placement::mix::PromptMix;
 use crate::placement::{Versions, Work};
 use crate::rendezvous::weight;
 
-/// Part of its slots that a group of engines may need before it gets more engines.
-const GROUP_UTILIZATION: f64 = 0.6;
-/// Seed of the order in which engines take light prompts, the same at all gateways.
+/// Share of its slots that a group of engines may use before it gets more engines.
+const MAX_GROUP_UTILIZATION: f64 = 0.6;
+/// Seed of the order in which engines are given light prompts, the same at all gateways.
 const GROUP_SEED: u64 = 0x6c69_6768;
 
-/// Slots in the order in which engines take light prompts, which all gateways agree on.
+/// Endpoints in the order in which they are given light prompts. All gateways use the same order.
 #[derive(Debug, Default)]
-pub(crate) struct ServiceSlots {
-    slots: Vec<Slot>,
+pub(crate) struct ServiceEndpoints {
+    entries: Vec<EndpointEntry>,
 }
 
-/// Endpoints of a service that take a request, by position, in the order of the service.
+/// Endpoints of a service that can take a request, as positions in the service's order.
 #[derive(Debug)]
-pub(crate) struct Usable {
-    /// Their positions.
+pub(crate) struct UsableEndpoints {
+    /// Positions of all of them.
     pub positions: Vec<usize>,
-    /// Part of `positions` that is meant for prompts of this weight.
+    /// Range of `positions` that is meant for prompts of this weight.
     pub group: std::ops::Range<usize>,
 }
 
-impl Usable {
-    /// Positions of the group.
+impl UsableEndpoints {
+    /// Returns the positions of the group.
     pub fn group(&self) -> &[usize] {
         &self.positions[self.group.clone()]
     }
 
-    /// Positions outside the group.
+    /// Returns the positions outside the group.
     pub fn outside(&self) -> &[usize] {
         match self.group.start {
             0 => &self.positions[self.group.end..],
@@ -45,67 +45,69 @@
         }
     }
 
-    /// Whether a position is one of the group.
+    /// Whether a position is in the group.
     pub fn is_in_group(&self, position: usize) -> bool {
         self.group().binary_search(&position).is_ok()
     }
 }
 
-impl ServiceSlots {
-    // Its position, or where it would stand.
+impl ServiceEndpoints {
+    // Returns the position of an endpoint, or the position at which to insert it.
     fn find(&self, id: &str) -> Result<usize, usize> {
         let wanted = (weight(GROUP_SEED, id), id);
-        let place = |slot: &Slot| (slot.order, slot.spec.id.as_str()).cmp(&wanted);
-        self.slots.binary_search_by(place)
+        let compare =
+            |entry: &EndpointEntry| (entry.group_order, entry.spec.id.as_str()).cmp(&wanted);
+        self.entries.binary_search_by(compare)
     }
 
-    /// The slot of an endpoint.
-    pub fn get(&self, id: &str) -> Option<&Slot> {
-        Some(&self.slots[self.find(id).ok()?])
+    /// Returns the entry of an endpoint.
+    pub fn get(&self, id: &str) -> Option<&EndpointEntry> {
+        Some(&self.entries[self.find(id).ok()?])
     }
 
-    /// The slot of an endpoint.
-    pub fn get_mut(&mut self, id: &str) -> Option<&mut Slot> {
+    /// Returns the entry of an endpoint for changes.
+    pub fn get_mut(&mut self, id: &str) -> Option<&mut EndpointEntry> {
         let position = self.find(id).ok()?;
-        Some(&mut self.slots[position])
+        Some(&mut self.entries[position])
     }
 
-    /// The slot at a position.
-    pub fn at(&self, position: usize) -> &Slot {
-        &self.slots[position]
+    /// Returns the entry at a position.
+    pub fn at(&self, position: usize) -> &EndpointEntry {
+        &self.entries[position]
     }
 
-    /// The slot at a position.
-    pub fn at_mut(&mut self, position: usize) -> &mut Slot {
-        &mut self.slots[position]
+    /// Returns the entry at a position for changes.
+    pub fn at_mut(&mut self, position: usize) -> &mut EndpointEntry {
+        &mut self.entries[position]
     }
 
-    /// All slots.
-    pub fn iter(&self) -> impl Iterator<Item = &Slot> {
-        self.slots.iter()
+    /// Iterates over all entries.
+    pub fn iter(&self) -> impl Iterator<Item = &EndpointEntry> {
+        self.entries.iter()
     }
 
-    /// All slots.
-    pub fn iter_mut(&mut self) -> impl Iterator<Item = &mut Slot> {
-        self.slots.iter_mut()
+    /// Iterates over all entries for changes.
+    pub fn iter_mut(&mut self) -> impl Iterator<Item = &mut EndpointEntry> {
+        self.entries.iter_mut()
     }
 
-    /// Adds an endpoint that is not among them.
-    pub fn insert(&mut self, mut slot: Slot) {
-        slot.order = weight(GROUP_SEED, &slot.spec.id);
-        if let Err(position) = self.find(&slot.spec.id) {
-            self.slots.insert(position, slot);
+    /// Adds an endpoint; one that is already present stays unchanged.
+    pub fn insert(&mut self, mut entry: EndpointEntry) {
+        entry.group_order = weight(GROUP_SEED, &entry.spec.id);
+        if let Err(position) = self.find(&entry.spec.id) {
+            self.entries.insert(position, entry);
         }
     }
 
-    /// Drops an endpoint.
+    /// Removes an endpoint.
     pub fn remove(&mut self, id: &str) {
         if let Ok(position) = self.find(id) {
-            self.slots.remove(position);
+            self.entries.remove(position);
         }
     }
 
-    /// The endpoints that take a request: those under suspicion only if there is no other in their region.
+    /// Returns the positions of the endpoints that can take a request. Suspected ones are included
+    /// only if their region has no other.
     pub fn usable(
         &self,
         now: Duration,
@@ -113,30 +115,33 @@
         versions: Versions,
         notices: &Notices,
     ) -> Vec<usize> {
-        let takes_work = |slot: &Slot| {
-            let spec = &slot.spec;
+        let is_permitted = |entry: &EndpointEntry| {
+            let spec = &entry.spec;
             spec.is_ready()
                 && versions.allows(&spec.version)
-                && exclusion.allows(now, slot, notices)
+                && exclusion.allows(now, entry, notices)
         };
-        let all = self.slots.iter().enumerate();
-        let mut ready: Vec<usize> = all.filter(|(_, s)| takes_work(s)).map(|(i, _)| i).collect();
-        let region = |position: &usize| self.slots[*position].region;
-        let is_trusted = |position: &usize| !self.slots[*position].is_suspected(now);
+        let all = self.entries.iter().enumerate();
+        let mut ready: Vec<usize> = all
+            .filter(|(_, s)| is_permitted(s))
+            .map(|(i, _)| i)
+            .collect();
+        let region = |position: &usize| self.entries[*position].region_index;
+        let is_trusted = |position: &usize| !self.entries[*position].is_suspected(now);
         let trusted = ready.iter().filter(|position| is_trusted(position));
         let trusted: BTreeSet<usize> = trusted.map(region).collect();
         ready.retain(|position| is_trusted(position) || !trusted.contains(&region(position)));
-        if let Versions::Few(_, most) = versions {
-            ready.truncate(most);
+        if let Versions::Few(_, max_count) = versions {
+            ready.truncate(max_count);
         }
         ready
     }
 
-    /// Endpoints by place of their region, the home first.
+    /// Groups positions by region index, the home region first.
     pub fn by_region(&self, positions: Vec<usize>, home: usize) -> Vec<(usize, Vec<usize>)> {
         let mut regions: BTreeMap<usize, Vec<usize>> = BTreeMap::new();
         for position in positions {
-            let region = self.slots[position].region;
+            let region = self.entries[position].region_index;
             regions.entry(region).or_default().push(position);
         }
         let mut list: Vec<_> = regions.into_iter().collect();
@@ -145,19 +150,19 @@
     }
 
     /// Splits endpoints into those meant for light prompts and those meant for heavy ones.
-    pub fn grouped(
+    pub fn split_by_weight(
         &mut self,
         now: Duration,
         positions: Vec<usize>,
         work: &Work,
-        mix: Mix,
+        mix: PromptMix,
         heavy: bool,
-    ) -> Usable {
+    ) -> UsableEndpoints {
         let count = positions.len();
         let group = match work.prompt_tokens == 0 || count < 2 || mix.tokens <= 0.0 {
             true => 0..count,
             false => {
-                let light = mix.light_engines(count, self.needed(now, &positions));
+                let light = mix.light_engines(count, self.engines_needed(now, &positions));
                 if heavy {
                     light..count
                 } else {
@@ -165,27 +170,28 @@
                 }
             }
         };
-        Usable { positions, group }
+        UsableEndpoints { positions, group }
     }
 
-    // Engines that would hold everything that runs now.
-    fn needed(&mut self, now: Duration, positions: &[usize]) -> f64 {
+    // Returns how many engines would hold everything that runs now.
+    fn engines_needed(&mut self, now: Duration, positions: &[usize]) -> f64 {
         let mut running = 0.0;
         let mut slots = 0.0;
         for position in positions {
-            let slot = &mut self.slots[*position];
-            running += f64::from(slot.load(now));
-            slots += f64::from(slot.spec.slots);
+            let entry = &mut self.entries[*position];
+            running += f64::from(entry.load(now));
+            slots += f64::from(entry.spec.slots);
         }
-        running / (slots / positions.len() as f64 * GROUP_UTILIZATION)
+        running / (slots / positions.len() as f64 * MAX_GROUP_UTILIZATION)
     }
 
-    /// Where all gateways expect a shared prompt that nobody is known to keep.
+    /// Returns the home endpoint of a shared prompt, where all gateways expect it to be cached when
+    /// no endpoint is known to cache it.
     pub fn home(&self, shared_prompt: u64, positions: &[usize]) -> Option<usize> {
         if shared_prompt == 0 {
             return None;
         }
-        let weight_at = |position: &usize| weight(shared_prompt, &self.slots[*position].spec.id);
+        let weight_at = |position: &usize| weight(shared_prompt, &self.entries[*position].spec.id);
         positions.iter().copied().max_by_key(weight_at)
     }
 }
--- a/components/routing/src/placement/sight.rs
+++ b/components/routing/src/placement/sight.rs
@@ -1,89 +1,108 @@
-//! What answers show of the endpoints that made them, told by whoever saw it to whoever places requests.
+//! Load and slowdown of endpoints as reported in their answers. Gateways that receive answers pass
+//! them on to the gateways that place requests.
 
 use std::time::Duration;
 
 use crate::placement::balancer::Balancer;
-use crate::placement::slowdown::{Memory, Slowdown, Told};
+use crate::placement::slowdown::{Slowdown, SlowdownHistory, SlowdownModel};
 
-/// Requests by which an endpoint's own count has to differ from what was expected there, to be told to others.
-const NOTABLE_REQUESTS: u32 = 2;
+/// Minimum difference between an endpoint's own request count and the expected one that is reported
+/// to other gateways.
+const MIN_NOTABLE_REQUESTS: u32 = 2;
 
-/// What one answer showed of its endpoint.
+/// Load and slowdown that an endpoint reported in one answer.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Sight {
     /// [`incarnation`](crate::placement::incarnation) of the endpoint.
     pub endpoint: u64,
-    /// When, on this gateway's clock.
+    /// Time of the answer, on this gateway's clock.
     pub at: Duration,
-    /// Requests that ran or waited there, if it said so.
+    /// Requests that ran or waited there, if reported.
     pub requests: Option<u32>,
-    /// How long work took there, if it said so.
+    /// Slowdown at the time, if reported.
     pub slowdown: Option<Slowdown>,
 }
 
 impl Balancer {
-    /// Takes what an answer showed. Says whether another gateway that places requests would choose otherwise by it.
+    /// Records what an answer reported. Returns whether it differs enough from what was expected to
+    /// change the choices of other gateways that place requests. Reports on another run of the
+    /// endpoint's process are ignored.
     pub fn observe(&mut self, sight: Sight) -> bool {
         let Some(id) = self.id_of(sight.endpoint) else {
             return false;
         };
-        let slot = self.slot_mut(&id);
-        if slot.is_none_or(|slot| slot.incarnation() != sight.endpoint) {
+        let entry = self.entry_mut(&id);
+        if entry.is_none_or(|entry| entry.incarnation() != sight.endpoint) {
             return false;
         }
         let slowdown = sight.slowdown;
-        let is_slower =
-            slowdown.is_some_and(|slowdown| self.hear_slowdown(&id, sight.at, slowdown));
+        let has_slowdown_changed =
+            slowdown.is_some_and(|slowdown| self.record_slowdown(&id, sight.at, slowdown));
         let requests = sight.requests;
-        let is_busier = requests.is_some_and(|count| self.hear_requests(&id, sight.at, count));
-        is_slower || is_busier
+        let has_count_changed =
+            requests.is_some_and(|count| self.record_request_count(&id, sight.at, count));
+        has_slowdown_changed || has_count_changed
     }
 
-    // Whether an endpoint has notably more or fewer requests than were expected there.
-    fn hear_requests(&mut self, id: &str, at: Duration, requests: u32) -> bool {
+    // Returns whether the reported number of requests differs notably from the expected one.
+    fn record_request_count(&mut self, id: &str, at: Duration, requests: u32) -> bool {
         let Some(service) = self.service_of.get(id) else {
             return false;
         };
-        let hold = Duration::from_secs_f64(self.pace(service).hold_ms / 1000.0);
-        let Some(slot) = self.slot_mut(id) else {
+        let hold = Duration::from_secs_f64(self.timings_of(service).hold_ms / 1000.0);
+        let Some(entry) = self.entry_mut(id) else {
             return false;
         };
-        slot.hear_requests(at, requests, hold) >= NOTABLE_REQUESTS
+        entry.record_request_count(at, requests, hold) >= MIN_NOTABLE_REQUESTS
     }
 
-    /// How long work is taken to need at an endpoint, in parts of the mean of its service.
-    pub(super) fn against_usual(&self, id: &str, now: Duration) -> f64 {
-        let (memory, told) = self.told_by(id);
-        memory.against_usual(now, told)
+    /// Returns the expected slowdown of an endpoint relative to the mean of its service.
+    pub(super) fn relative_slowdown(&self, id: &str, now: Duration) -> f64 {
+        let (model, history) = self.slowdown_state(id);
+        model.relative_slowdown(now, history)
     }
 
-    /// What an endpoint told, and what that is worth.
-    pub(super) fn told_by(&self, id: &str) -> (Memory, Option<Told>) {
+    /// Returns an endpoint's reported slowdowns and its service's model to predict from them.
+    pub(super) fn slowdown_state(&self, id: &str) -> (SlowdownModel, Option<SlowdownHistory>) {
         let Some(service) = self.service_of.get(id) else {
-            return (Memory::default(), None);
+            return (SlowdownModel::default(), None);
         };
-        let slot = self.services.get(service).and_then(|slots| slots.get(id));
-        (self.memory(service), slot.and_then(|slot| slot.told))
+        let entry = self
+            .services
+            .get(service)
+            .and_then(|endpoints| endpoints.get(id));
+        (
+            self.slowdown_model(service),
+            entry.and_then(|entry| entry.slowdown_history),
+        )
     }
 
-    // Whether that differs notably from what was expected. Later word of an endpoint is not undone by earlier one.
-    fn hear_slowdown(&mut self, id: &str, at: Duration, slowdown: Slowdown) -> bool {
+    // Returns whether the slowdown differs notably from the expected one. A report older than the
+    // latest one is ignored.
+    fn record_slowdown(&mut self, id: &str, at: Duration, slowdown: Slowdown) -> bool {
         let Some(service) = self.service_of.get(id) else {
             return false;
         };
-        let slots = self.services.get_mut(service);
-        let slot = slots.and_then(|slots| slots.get_mut(id));
-        let Some(slot) = slot.filter(|slot| slot.told.is_none_or(|told| told.at() < at)) else {
+        let endpoints = self.services.get_mut(service);
+        let entry = endpoints.and_then(|endpoints| endpoints.get_mut(id));
+        let Some(entry) = entry.filter(|entry| {
+            entry
+                .slowdown_history
+                .is_none_or(|history| history.at() < at)
+        }) else {
             return false;
         };
-        let memory = self.memories.entry(service.clone()).or_default();
-        let expected = memory.expected(at, slot.told);
-        slot.hear_slowdown(at, slowdown, memory);
+        let model = self.slowdown_models.entry(service.clone()).or_default();
+        let expected = model.expected(at, entry.slowdown_history);
+        entry.record_slowdown(at, slowdown, model);
         slowdown.differs_from(expected)
     }
 
-    /// What word of a service's endpoints is worth.
-    pub(super) fn memory(&self, service: &str) -> Memory {
-        self.memories.get(service).cloned().unwrap_or_default()
+    /// Returns the slowdown model of a service.
+    pub(super) fn slowdown_model(&self, service: &str) -> SlowdownModel {
+        self.slowdown_models
+            .get(service)
+            .cloned()
+            .unwrap_or_default()
     }
 }
--- a/components/routing/src/placement/slowdown.rs
+++ b/components/routing/src/placement/slowdown.rs
@@ -1,32 +1,38 @@
-//! How long work takes at an endpoint now, in parts of what is usual there, since its machine is shared with others.
+//! Slowdown of an endpoint: how long work takes there now, relative to the usual time, because its
+//! machine is shared with other workloads.
 //!
-//! What an answer says of it describes the moment of its head, and the next request comes later. So word of it is believed
-//! less the older it is, by what earlier word of the same service's endpoints was worth after such a time.
+//! An answer reports the slowdown at the time of its header, and the next request arrives later. So
+//! a report counts for less the older it is, by how well earlier reports of the same service's
+//! endpoints predicted later ones after the same time.
 
 use std::time::Duration;
 
-/// Figures that are believed, in parts of 100: work that takes a tenth of its usual time, or fifty times as long, is a
-/// fault of the figure.
-const PERCENTS: std::ops::RangeInclusive<u32> = 10..=5_000;
-/// Word that differs from what was expected by less than this part changes no choice.
-const NOTABLE_PART: f64 = 0.25;
-/// Ages up to which pairs of word are counted together: the first range, each further one twice as long.
-const FIRST_AGE: Duration = Duration::from_millis(25);
-/// Ranges of ages; with the last one, word of three seconds and more is worth nothing.
-const AGES: usize = 8;
-/// Half-life of word while nothing is known of it.
-const FIRST_HALF_LIFE: Duration = Duration::from_millis(200);
-/// Pairs that the first half-life weighs in each range, in squares of a notable difference.
-const FIRST_WEIGHT: f64 = 4.0;
-/// Weight of new word in the usual figure of a service.
-const USUAL_WEIGHT: f64 = 0.01;
-/// Words for which the service's mean counts beside those of an endpoint, and the most of these that count.
-const PRIOR_WORDS: u32 = 2;
-const MOST_WORDS: u32 = 100;
-/// Pairs count for half after so many more.
-const PAIRS_KEPT: f64 = 5_000.0;
-
-/// Time that work takes, in parts of the usual.
+/// Percentages that are accepted. Work that takes less than a tenth of its usual time or more than
+/// fifty times as long indicates an error in the report.
+const VALID_PERCENTS: std::ops::RangeInclusive<u32> = 10..=5_000;
+/// A report that differs from the expected slowdown by no more than this relative amount changes no
+/// choice.
+const MIN_NOTABLE_CHANGE: f64 = 0.25;
+/// Upper limit of the first lag bucket, in which pairs of reports are counted together. Each
+/// further bucket reaches twice as far.
+const FIRST_BUCKET_END: Duration = Duration::from_millis(25);
+/// Number of lag buckets. Reports older than the last bucket, about three seconds, are worth
+/// nothing.
+const LAG_BUCKETS: usize = 8;
+/// Assumed half-life of a report's worth before pairs of reports were seen.
+const PRIOR_HALF_LIFE: Duration = Duration::from_millis(200);
+/// Weight of that assumption in each bucket, in pairs with a notable difference.
+const PRIOR_PAIRS: f64 = 4.0;
+/// Weight of a new report in the mean slowdown of a service.
+const SERVICE_MEAN_WEIGHT: f64 = 0.01;
+/// The service's mean counts as this many reports beside those of an endpoint, of which at most
+/// `MAX_REPORTS` count.
+const PRIOR_REPORTS: u32 = 2;
+const MAX_REPORTS: u32 = 100;
+/// Time constant of the decay of pairs, in further pairs.
+const PAIRS_TIME_CONSTANT: f64 = 5_000.0;
+
+/// Time that work takes, as a multiple of the usual time.
 #[derive(Clone, Copy, Debug, PartialEq, PartialOrd)]
 pub struct Slowdown(f64);
 
@@ -34,159 +40,173 @@
     /// Work takes as long as usual.
     pub const NONE: Slowdown = Slowdown(1.0);
 
-    /// A figure in parts of 100, unless it cannot be one.
+    /// Creates a slowdown from a percentage; `None` if it is outside the accepted range.
     pub fn from_percent(percent: u32) -> Option<Self> {
-        let is_believed = PERCENTS.contains(&percent);
-        is_believed.then(|| Slowdown(f64::from(percent) / 100.0))
+        let is_valid = VALID_PERCENTS.contains(&percent);
+        is_valid.then(|| Slowdown(f64::from(percent) / 100.0))
     }
 
-    /// In parts of 100.
+    /// Returns the slowdown as a percentage, where 100 is the usual time.
     pub fn percent(self) -> u32 {
         (self.0 * 100.0).round() as u32
     }
 
-    /// Parts of the usual time.
+    /// Returns the slowdown as a multiple of the usual time.
     pub fn factor(self) -> f64 {
         self.0
     }
 
-    /// Whether a choice that was made by `expected` could have been another one with this.
+    /// Whether this slowdown differs from `expected` by enough to change a choice.
     pub fn differs_from(self, expected: Slowdown) -> bool {
-        (self.0 / expected.0 - 1.0).abs() > NOTABLE_PART
+        (self.0 / expected.0 - 1.0).abs() > MIN_NOTABLE_CHANGE
     }
 }
 
-// What an endpoint told at one moment.
+// A slowdown that an endpoint reported.
 #[derive(Clone, Copy, Debug)]
-struct Word {
+struct SlowdownReport {
     slowdown: f64,
     at: Duration,
 }
 
-/// What an endpoint told so far.
+/// Slowdowns that one endpoint reported so far.
 #[derive(Clone, Copy, Debug)]
-pub(crate) struct Told {
-    last: Word,
-    // By which it shows what word is worth after longer than between two answers.
-    earlier: Word,
-    // Mean of what it told: one that works slowly is slow for good.
-    usual: f64,
-    words: u32,
+pub(crate) struct SlowdownHistory {
+    last: SlowdownReport,
+    // An earlier report, paired with later ones to cover lags longer than the time between two
+    // answers.
+    earlier: SlowdownReport,
+    // Mean of its reports, since some endpoints are permanently slow.
+    mean: f64,
+    reports: u32,
 }
 
-impl Told {
-    /// When it told something last.
+impl SlowdownHistory {
+    /// Time of its latest report.
     pub fn at(&self) -> Duration {
         self.last.at
     }
 }
 
-/// What the endpoints of one service told, and what that is worth after a time.
+/// Statistics over the reports of one service's endpoints: their mean, and how much a report still
+/// says after a given time.
 #[derive(Clone, Debug)]
-pub(crate) struct Memory {
-    // Mean over what all of them told.
-    usual: f64,
-    ranges: [Range; AGES],
+pub(crate) struct SlowdownModel {
+    // Moving average over the reports of all endpoints.
+    mean: f64,
+    buckets: [LagBucket; LAG_BUCKETS],
 }
 
-// Pairs of word of one endpoint so long apart, as differences from its mean.
+// Sums over pairs of reports of one endpoint within a lag range, as deviations from its mean.
 #[derive(Clone, Copy, Debug)]
-struct Range {
-    squares: f64,
-    products: f64,
+struct LagBucket {
+    sum_of_squares: f64,
+    sum_of_products: f64,
 }
 
-impl Default for Memory {
+impl Default for SlowdownModel {
     fn default() -> Self {
-        let ranges = std::array::from_fn(|i| {
-            let age = FIRST_AGE.as_secs_f64() * f64::from(1 << i) * 0.75;
-            let kept = (-age / FIRST_HALF_LIFE.as_secs_f64()).exp2();
-            let squares = FIRST_WEIGHT * NOTABLE_PART * NOTABLE_PART;
-            Range {
-                squares,
-                products: squares * kept,
+        let buckets = std::array::from_fn(|i| {
+            let age = FIRST_BUCKET_END.as_secs_f64() * f64::from(1 << i) * 0.75;
+            let remaining = (-age / PRIOR_HALF_LIFE.as_secs_f64()).exp2();
+            let sum_of_squares = PRIOR_PAIRS * MIN_NOTABLE_CHANGE * MIN_NOTABLE_CHANGE;
+            LagBucket {
+                sum_of_squares,
+                sum_of_products: sum_of_squares * remaining,
             }
         });
-        Memory { usual: 1.0, ranges }
+        SlowdownModel { mean: 1.0, buckets }
     }
 }
 
-impl Memory {
-    /// Takes what an endpoint tells, after what it told before.
-    pub fn hear(&mut self, told: Option<Told>, at: Duration, slowdown: Slowdown) -> Told {
-        let word = Word {
+impl SlowdownModel {
+    /// Records a report of an endpoint and returns its updated history.
+    pub fn record(
+        &mut self,
+        history: Option<SlowdownHistory>,
+        at: Duration,
+        slowdown: Slowdown,
+    ) -> SlowdownHistory {
+        let report = SlowdownReport {
             slowdown: slowdown.0,
             at,
         };
-        let mut told = told.unwrap_or(Told {
-            last: word,
-            earlier: word,
-            usual: self.usual,
-            words: PRIOR_WORDS,
+        let mut history = history.unwrap_or(SlowdownHistory {
+            last: report,
+            earlier: report,
+            mean: self.mean,
+            reports: PRIOR_REPORTS,
         });
-        self.note_pair(told.usual, told.last, word);
-        match range_of(age(told.earlier, at)) {
-            Some(_) => self.note_pair(told.usual, told.earlier, word),
-            None => told.earlier = word,
+        self.record_pair(history.mean, history.last, report);
+        match bucket_of(age(history.earlier, at)) {
+            Some(_) => self.record_pair(history.mean, history.earlier, report),
+            None => history.earlier = report,
         }
-        told.last = word;
-        told.words = (told.words + 1).min(MOST_WORDS);
-        told.usual += (word.slowdown - told.usual) / f64::from(told.words);
-        self.usual += (word.slowdown - self.usual) * USUAL_WEIGHT;
-        told
+        history.last = report;
+        history.reports = (history.reports + 1).min(MAX_REPORTS);
+        history.mean += (report.slowdown - history.mean) / f64::from(history.reports);
+        self.mean += (report.slowdown - self.mean) * SERVICE_MEAN_WEIGHT;
+        history
     }
 
-    /// How long work is taken to need now at an endpoint that told this.
-    pub fn expected(&self, now: Duration, told: Option<Told>) -> Slowdown {
-        let Some(told) = told else {
-            return Slowdown(self.usual);
+    /// Returns the expected slowdown now of an endpoint with this history.
+    pub fn expected(&self, now: Duration, history: Option<SlowdownHistory>) -> Slowdown {
+        let Some(history) = history else {
+            return Slowdown(self.mean);
         };
-        let worth = range_of(age(told.last, now)).map_or(0.0, |range| self.worth(range));
-        Slowdown(told.usual + (told.last.slowdown - told.usual) * worth)
+        let remaining_share =
+            bucket_of(age(history.last, now)).map_or(0.0, |bucket| self.remaining_share(bucket));
+        Slowdown(history.mean + (history.last.slowdown - history.mean) * remaining_share)
     }
 
-    /// The same in parts of the mean of the service's endpoints, which is what is learnt of them otherwise: whoever plans
-    /// with that counts on slow moments too.
-    pub fn against_usual(&self, now: Duration, told: Option<Told>) -> f64 {
-        self.expected(now, told).0 / self.usual
+    /// Returns the expected slowdown relative to the mean of the service's endpoints. Measured
+    /// rates and times are relative to this mean, so plans based on them already include slow
+    /// periods.
+    pub fn relative_slowdown(&self, now: Duration, history: Option<SlowdownHistory>) -> f64 {
+        self.expected(now, history).0 / self.mean
     }
 
-    /// How long work takes on the whole at an endpoint that told this, in the same parts.
-    pub fn on_the_whole(&self, told: Option<Told>) -> f64 {
-        told.map_or(1.0, |told| told.usual / self.usual)
+    /// Returns the long-term slowdown of an endpoint relative to the mean of the service's
+    /// endpoints.
+    pub fn long_term_slowdown(&self, history: Option<SlowdownHistory>) -> f64 {
+        history.map_or(1.0, |history| history.mean / self.mean)
     }
 
-    fn note_pair(&mut self, usual: f64, earlier: Word, later: Word) {
-        let Some(range) = range_of(age(earlier, later.at)).filter(|_| earlier.at < later.at) else {
+    fn record_pair(&mut self, mean: f64, earlier: SlowdownReport, later: SlowdownReport) {
+        let Some(bucket) = bucket_of(age(earlier, later.at)).filter(|_| earlier.at < later.at)
+        else {
             return;
         };
-        let first = earlier.slowdown / usual - 1.0;
-        let second = later.slowdown / usual - 1.0;
-        let range = &mut self.ranges[range];
-        range.squares += first * first - range.squares / PAIRS_KEPT;
-        range.products += first * second - range.products / PAIRS_KEPT;
+        let first = earlier.slowdown / mean - 1.0;
+        let second = later.slowdown / mean - 1.0;
+        let bucket = &mut self.buckets[bucket];
+        bucket.sum_of_squares += first * first - bucket.sum_of_squares / PAIRS_TIME_CONSTANT;
+        bucket.sum_of_products += first * second - bucket.sum_of_products / PAIRS_TIME_CONSTANT;
     }
 
-    // Part of a difference that is left after so long.
-    fn worth(&self, range: usize) -> f64 {
-        let Range { squares, products } = self.ranges[range];
-        match squares > 0.0 {
-            true => (products / squares).clamp(0.0, 1.0),
+    // Returns the share of a deviation from the mean that is expected to remain after this lag.
+    fn remaining_share(&self, bucket: usize) -> f64 {
+        let LagBucket {
+            sum_of_squares,
+            sum_of_products,
+        } = self.buckets[bucket];
+        match sum_of_squares > 0.0 {
+            true => (sum_of_products / sum_of_squares).clamp(0.0, 1.0),
             false => 0.0,
         }
     }
 }
 
-fn age(word: Word, now: Duration) -> Duration {
-    now.saturating_sub(word.at)
+fn age(report: SlowdownReport, now: Duration) -> Duration {
+    now.saturating_sub(report.at)
 }
 
-// `None` beyond the last one.
-fn range_of(age: Duration) -> Option<usize> {
-    let mut end = FIRST_AGE;
-    for range in 0..AGES {
+// Returns the bucket of a lag; `None` beyond the last one.
+fn bucket_of(age: Duration) -> Option<usize> {
+    let mut end = FIRST_BUCKET_END;
+    for bucket in 0..LAG_BUCKETS {
         if age < end {
-            return Some(range);
+            return Some(bucket);
         }
         end *= 2;
     }
--- a/components/routing/src/placement/speed.rs
+++ b/components/routing/src/placement/speed.rs
@@ -1,39 +1,40 @@
-//! How fast one endpoint reads prompts beside the others of its service.
+//! Prompt reading speed of one endpoint relative to its service.
 
-use crate::placement::pace::{with_rate_sample, Pace};
+use crate::placement::timings::{with_rate_sample, ServiceTimings};
 
-/// The service's rate counts as many samples as this beside the endpoint's own: one of these may be far off, since a
-/// prompt that is not known here may have been read beside it.
+/// Number of samples that the service's rate counts for beside the endpoint's own. A single own
+/// sample may be far off, since the endpoint may have read an unknown prompt at the same time.
 const SERVICE_SAMPLES: f64 = 4.0;
-/// Own samples count up to this many, nine tenths of the whole.
-const MOST_SAMPLES: u32 = 36;
+/// Maximum number of own samples that count, nine tenths of the total weight.
+const MAX_SAMPLES: u32 = 36;
 
-/// What was measured of one endpoint.
+/// Measured prompt reading rate of one endpoint.
 #[derive(Clone, Copy, Debug, Default)]
-pub(crate) struct Speed {
-    // Running mean of tokens a millisecond.
-    own: f64,
+pub(crate) struct ReadingSpeed {
+    // Running mean in tokens per millisecond.
+    own_rate: f64,
     samples: u32,
 }
 
-impl Speed {
-    /// It read a prompt at so many tokens a millisecond.
-    pub fn note(&mut self, rate: f64) {
-        self.own = match self.samples {
+impl ReadingSpeed {
+    /// Records that it read a prompt at `rate` tokens per millisecond.
+    pub fn record(&mut self, rate: f64) {
+        self.own_rate = match self.samples {
             0 => rate,
-            _ => with_rate_sample(self.own, rate),
+            _ => with_rate_sample(self.own_rate, rate),
         };
-        self.samples = (self.samples + 1).min(MOST_SAMPLES);
+        self.samples = (self.samples + 1).min(MAX_SAMPLES);
     }
 
-    /// Time that work takes there, in parts of what it takes at the service's endpoints on the whole.
-    pub fn slowness(&self, pace: Pace) -> f64 {
-        pace.rate / self.rate(pace)
+    /// Returns the time a prompt takes there, relative to the mean of the service's endpoints.
+    pub fn relative_duration(&self, timings: ServiceTimings) -> f64 {
+        timings.rate / self.rate(timings)
     }
 
-    /// Tokens that it reads in a millisecond, as far as is known: its service's rate until it was measured itself.
-    pub fn rate(&self, pace: Pace) -> f64 {
+    /// Returns the tokens it reads per millisecond: the service's rate, increasingly replaced by
+    /// its own measurements.
+    pub fn rate(&self, timings: ServiceTimings) -> f64 {
         let samples = f64::from(self.samples);
-        (pace.rate * SERVICE_SAMPLES + self.own * samples) / (SERVICE_SAMPLES + samples)
+        (timings.rate * SERVICE_SAMPLES + self.own_rate * samples) / (SERVICE_SAMPLES + samples)
     }
 }
--- a/components/routing/src/prefix_index.rs
+++ b/components/routing/src/prefix_index.rs
@@ -1,33 +1,34 @@
-//! Which endpoint is believed to have which prefix cached.
+//! Index of the prompt prefixes that endpoints are believed to have cached.
 //!
-//! What this node sent is believed at once; the engines' cache events, late, doubled and with
-//! gaps, only correct it. A gap drops all that was believed of the endpoint.
+//! A prompt that this node sent is indexed at once. Cache events of the engines may arrive late,
+//! twice or with gaps, and only correct the index. A gap in the events drops all entries of the
+//! endpoint.
 
 use std::collections::HashMap;
 use std::num::NonZeroUsize;
 
 use lru::LruCache;
 
-/// Blocks kept over all endpoints; about 4 MB.
+/// Maximum number of blocks over all endpoints; about 4 MB.
 const MAX_BLOCKS: usize = 32_768;
-/// Endpoints remembered for one block.
+/// Maximum number of endpoints per block.
 const MAX_HOLDERS: usize = 8;
 
-/// A change of an endpoint's cache.
+/// A change of an endpoint's cache, with block hashes.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum CacheUpdate {
     /// Blocks were stored.
     Stored(Vec<u64>),
     /// Blocks were evicted.
     Evicted(Vec<u64>),
-    /// Everything was dropped.
+    /// The whole cache was dropped.
     Cleared,
 }
 
 /// A numbered cache event of one endpoint.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct CacheEvent {
-    /// Counter of the endpoint, without holes at the source.
+    /// Sequence number given by the endpoint, which counts its events without gaps.
     pub sequence: u64,
     /// What changed.
     pub update: CacheUpdate,
@@ -45,7 +46,7 @@
     next_sequence: Option<u64>,
 }
 
-/// Beliefs about all endpoints of a node, bounded in size.
+/// Cached blocks of all endpoints of a node, bounded in size.
 #[derive(Debug)]
 pub struct PrefixIndex {
     blocks: LruCache<u64, Vec<Holder>>,
@@ -63,7 +64,7 @@
 }
 
 impl PrefixIndex {
-    /// Believes that the endpoint has these blocks.
+    /// Adds an endpoint as a holder of these blocks.
     pub fn store(&mut self, endpoint: u32, blocks: &[u64]) {
         let generation = self.generation(endpoint);
         let holder = Holder {
@@ -80,12 +81,12 @@
         }
     }
 
-    /// Drops all that is believed of the endpoint.
+    /// Drops all entries of an endpoint.
     pub fn forget(&mut self, endpoint: u32) {
         self.progress.entry(endpoint).or_default().generation += 1;
     }
 
-    /// Takes one cache event; old and doubled ones change nothing.
+    /// Applies one cache event. Old and duplicate events change nothing.
     pub fn take_event(&mut self, endpoint: u32, event: &CacheEvent) {
         let expected = self.progress.entry(endpoint).or_default().next_sequence;
         if expected.is_some_and(|next| event.sequence < next) {
@@ -102,7 +103,8 @@
         }
     }
 
-    /// Calls `found(endpoint, blocks)` with the number of leading blocks each endpoint holds.
+    /// Calls `found(endpoint, count)` for each endpoint that holds leading blocks, with rising
+    /// counts.
     pub fn holders(&self, blocks: &[u64], mut found: impl FnMut(u32, usize)) {
         let mut holding: Vec<u32> = Vec::new();
         for (depth, block) in blocks.iter().enumerate() {
@@ -111,7 +113,7 @@
             };
             let current = holders.iter().filter(|h| self.is_current(h));
             let mut holding_next: Vec<u32> = current.map(|h| h.endpoint).collect();
-            // A prefix is of use only without holes.
+            // An engine can reuse a prefix only up to the first missing block.
             holding_next.retain(|e| depth == 0 || holding.contains(e));
             if holding_next.is_empty() {
                 return;
@@ -121,12 +123,12 @@
         }
     }
 
-    /// Number of blocks kept.
+    /// Returns the number of blocks in the index.
     pub fn len(&self) -> usize {
         self.blocks.len()
     }
 
-    /// Whether nothing is believed.
+    /// Whether the index is empty.
     pub fn is_empty(&self) -> bool {
         self.blocks.is_empty()
     }
@@ -167,7 +169,7 @@
     }
 
     #[test]
-    fn can_find_the_longest_prefix_without_holes() {
+    fn finds_the_longest_prefix_without_missing_blocks() {
         let mut index = PrefixIndex::default();
         index.store(1, &[10, 20, 30]);
         index.store(2, &[10, 30]);
@@ -176,7 +178,7 @@
     }
 
     #[test]
-    fn a_gap_drops_what_was_believed() {
+    fn a_gap_in_the_events_drops_all_entries_of_the_endpoint() {
         let mut index = PrefixIndex::default();
         index.take_event(1, &event(5, CacheUpdate::Stored(vec![10])));
         index.take_event(1, &event(7, CacheUpdate::Stored(vec![11])));
@@ -185,7 +187,7 @@
     }
 
     #[test]
-    fn late_and_doubled_events_change_nothing() {
+    fn late_and_duplicate_events_change_nothing() {
         let mut index = PrefixIndex::default();
         index.take_event(1, &event(5, CacheUpdate::Stored(vec![10])));
         index.take_event(1, &event(6, CacheUpdate::Evicted(vec![10])));
@@ -194,7 +196,7 @@
     }
 
     #[test]
-    fn stays_within_its_bound() {
+    fn the_index_stays_within_its_bound() {
         let mut index = PrefixIndex::default();
         let blocks: Vec<u64> = (0..MAX_BLOCKS as u64 * 2).collect();
         index.store(1, &blocks);
--- a/components/routing/src/prompt.rs
+++ b/components/routing/src/prompt.rs
@@ -1,10 +1,10 @@
-//! The shape of a prompt: what of it an endpoint may have cached.
+//! Block hashes and length of a prompt, by which cached prefixes are found.
 
 use xxhash_rust::xxh3::xxh3_64_with_seed;
 
-/// Bytes of a prompt that are hashed together; an engine caches whole blocks.
+/// Bytes of a prompt that are hashed together as one block. Engines cache whole blocks only.
 pub const BLOCK_BYTES: usize = 256;
-/// Bytes that stand for one token wherever the engine has not counted them.
+/// Assumed bytes per token where the engine has not counted the tokens.
 pub const BYTES_PER_TOKEN: usize = 4;
 
 /// Hashes of a prompt's blocks and the key of its home endpoint.
@@ -14,18 +14,18 @@
     pub blocks: Vec<u64>,
     /// Length in tokens.
     pub tokens: u32,
-    /// Key that all turns of one conversation share.
+    /// Key of the home endpoint in rendezvous hashing; all turns of one conversation share it.
     pub home: u64,
-    /// Tokens that an earlier turn of the conversation may have left cached at the home.
+    /// Tokens that earlier turns of the conversation may have left cached at the home endpoint.
     pub earlier_tokens: u32,
 }
 
 impl Prompt {
-    /// The shape of a conversation given as its messages, the oldest first.
+    /// Computes the hashes and lengths of a conversation from its messages, oldest first.
     pub fn of_messages(messages: &[String]) -> Self {
         let text = messages.concat();
         let opening = messages.iter().take(2).map(String::len).sum::<usize>();
-        // The last message is new; what stands before it was sent in an earlier turn.
+        // Only the last message is new; an earlier turn sent the others.
         let last = messages.last().map_or(0, String::len);
         let earlier = if messages.len() > 2 {
             text.len() - last
@@ -40,7 +40,7 @@
         }
     }
 
-    /// The shape of a call that has no prompt.
+    /// Creates a value for a call without a prompt; `key` selects its home endpoint.
     pub fn none(key: &str) -> Self {
         Prompt {
             home: xxh3_64_with_seed(key.as_bytes(), 0),
--- a/components/routing/src/rendezvous.rs
+++ b/components/routing/src/rendezvous.rs
@@ -1,13 +1,14 @@
-//! Rendezvous hashing: every node ranks the same names alike without a message.
+//! Rendezvous hashing: every node ranks the same names in the same order without exchanging
+//! messages.
 
 use xxhash_rust::xxh3::xxh3_64_with_seed;
 
-/// Weight of `name` for `key`; the highest weight wins.
+/// Returns the weight of `name` for `key`; the highest weight wins.
 pub fn weight(key: u64, name: &str) -> u64 {
     xxh3_64_with_seed(name.as_bytes(), key)
 }
 
-/// The `count` names with the highest weights for `key`, best first.
+/// Returns the `count` names with the highest weights for `key`, best first.
 pub fn rank<'a>(key: u64, names: impl Iterator<Item = &'a str>, count: usize) -> Vec<&'a str> {
     let mut weighted: Vec<(u64, &str)> = names.map(|name| (weight(key, name), name)).collect();
     weighted.sort_unstable_by(|a, b| b.cmp(a));
--- a/components/routing/src/router.rs
+++ b/components/routing/src/router.rs
@@ -1,4 +1,4 @@
-//! The router of one node.
+//! Chooses an endpoint for each request of one node.
 
 use std::collections::{BTreeMap, HashMap};
 use std::time::Duration;
@@ -12,25 +12,26 @@
 use crate::prefix_index::{CacheEvent, PrefixIndex};
 use crate::prompt::{BLOCK_BYTES, BYTES_PER_TOKEN};
 use crate::rendezvous::weight;
-use crate::score::{estimate, Estimate, PoolView, Rates};
+use crate::score::{estimate, Estimate, PoolSummary, Rates};
 
-/// Choices this close in score are distinguished at random, so that nodes with the same stale
-/// reading do not all send to one endpoint.
+/// Endpoints whose scores differ by at most this are chosen between at random, so that nodes with
+/// the same stale reading do not all send to one endpoint.
 const TIE_MS: f64 = 4.0;
-/// Share of an earlier turn's tokens expected at the home when this node did not send that turn.
+/// Share of the earlier turns' tokens that is expected to be cached at the home endpoint when this
+/// node did not send those turns itself.
 const HOME_SHARE: f64 = 0.8;
-/// First time an endpoint is passed over after failures; it doubles with each one.
+/// Time an endpoint is skipped after its first failure. It doubles with each further failure.
 const FIRST_SUSPICION: Duration = Duration::from_millis(250);
-/// Longest time an endpoint is passed over.
+/// Upper limit of the time an endpoint is skipped after failures.
 const MAX_SUSPICION: Duration = Duration::from_secs(8);
-/// Weight of a new sample in the running means, one part in this many.
-const MEAN_SAMPLES: f64 = 16.0;
+/// A new sample enters a running mean with a weight of one in this many.
+const MEAN_WINDOW: f64 = 16.0;
 
-/// All endpoints a node may send to and what it knows of them.
+/// All endpoints a node may send to, with their state.
 #[derive(Debug, Default)]
 pub struct Router {
     states: Vec<EndpointState>,
-    index: HashMap<String, u32>,
+    position_by_name: HashMap<String, u32>,
     pools: BTreeMap<String, Vec<u32>>,
     rates: BTreeMap<String, Rates>,
     prefix_index: PrefixIndex,
@@ -38,7 +39,8 @@
 }
 
 impl Router {
-    /// A router that chooses by `policy`; only measurements use another than the default.
+    /// Creates a router that chooses by `policy`. Only benchmarks use a policy other than the
+    /// default.
     pub fn with_policy(policy: Policy) -> Self {
         Router {
             policy,
@@ -46,13 +48,14 @@
         }
     }
 
-    /// Takes the endpoints of a new configuration; what is known of those that stay is kept.
+    /// Applies the endpoints of a new configuration. The state of an endpoint whose name and
+    /// address are unchanged is kept.
     pub fn configure(&mut self, endpoints: &[Endpoint]) {
         let mut known: HashMap<String, EndpointState> = std::mem::take(&mut self.states)
             .into_iter()
             .map(|state| (state.spec.name.clone(), state))
             .collect();
-        let old_index = std::mem::take(&mut self.index);
+        let old_position_by_name = std::mem::take(&mut self.position_by_name);
         self.pools.clear();
         for (position, spec) in endpoints.iter().enumerate() {
             let state = match known.remove(&spec.name) {
@@ -63,21 +66,22 @@
                 _ => EndpointState::new(spec.clone()),
             };
             self.states.push(state);
-            self.index.insert(spec.name.clone(), position as u32);
+            self.position_by_name
+                .insert(spec.name.clone(), position as u32);
             self.pools
                 .entry(spec.pool.clone())
                 .or_default()
                 .push(position as u32);
         }
-        if old_index
+        if old_position_by_name
             .iter()
-            .any(|(name, i)| self.index.get(name) != Some(i))
+            .any(|(name, i)| self.position_by_name.get(name) != Some(i))
         {
             self.prefix_index = PrefixIndex::default();
         }
     }
 
-    /// The endpoint for a request, or `None` if no endpoint of the pool is usable.
+    /// Returns the endpoint for a request, or `None` if no endpoint of the pool is usable.
     pub fn choose(
         &self,
         now: Duration,
@@ -88,7 +92,7 @@
         let usable: Vec<u32> = members
             .iter()
             .copied()
-            .filter(|i| self.usable(*i, now, request))
+            .filter(|i| self.is_usable(*i, now, request))
             .collect();
         let passed_over = (members.len() - usable.len()) as u32;
         if self.policy != Policy::Scored {
@@ -100,8 +104,8 @@
                 (usable.len() as u32, passed_over),
             ));
         }
-        let weighed = self.weigh(now, request, &usable);
-        let (first, second) = best_two(&weighed, rng)?;
+        let estimates = self.estimates(now, request, &usable);
+        let (first, second) = best_two(&estimates, rng)?;
         let runner_up = second.map(|(i, e)| self.candidate(i, e));
         Some(self.decision(
             first.0,
@@ -111,27 +115,27 @@
         ))
     }
 
-    /// Notes that a request was sent.
+    /// Records that a request was sent to an endpoint.
     pub fn sent(&mut self, endpoint: &str, request: &RoutingRequest<'_>) {
-        let Some(&i) = self.index.get(endpoint) else {
+        let Some(&i) = self.position_by_name.get(endpoint) else {
             return;
         };
         self.states[i as usize].own += 1;
         self.prefix_index.store(i, &request.prompt.blocks);
     }
 
-    /// Notes that a request ended; `held` is how long it had a slot.
+    /// Records that a request ended after it held its slot for `held`.
     pub fn ended(&mut self, endpoint: &str, held: Duration) {
-        let Some(&i) = self.index.get(endpoint) else {
+        let Some(&i) = self.position_by_name.get(endpoint) else {
             return;
         };
         let state = &mut self.states[i as usize];
         state.own = state.own.saturating_sub(1);
         let rates = self.rates.entry(state.spec.pool.clone()).or_default();
-        rates.hold_ms += (held.as_secs_f64() * 1000.0 - rates.hold_ms) / MEAN_SAMPLES;
+        rates.hold_ms += (held.as_secs_f64() * 1000.0 - rates.hold_ms) / MEAN_WINDOW;
     }
 
-    /// Notes that an endpoint answered.
+    /// Records that an endpoint answered, which ends its suspicion.
     pub fn answered(&mut self, endpoint: &str) {
         if let Some(state) = self.state_mut(endpoint) {
             state.failures = 0;
@@ -139,26 +143,28 @@
         }
     }
 
-    /// Notes a failure: the endpoint is passed over for a while.
+    /// Records a failure. The endpoint is skipped for a backoff time, and its cached prefixes count
+    /// as lost.
     pub fn failed(&mut self, now: Duration, endpoint: &str) {
-        let Some(&i) = self.index.get(endpoint) else {
+        let Some(&i) = self.position_by_name.get(endpoint) else {
             return;
         };
         let state = &mut self.states[i as usize];
-        let pause = FIRST_SUSPICION * (1 << state.failures.min(5));
+        let backoff = FIRST_SUSPICION * (1 << state.failures.min(5));
         state.failures += 1;
-        state.suspected_until = now + pause.min(MAX_SUSPICION);
+        state.suspected_until = now + backoff.min(MAX_SUSPICION);
         self.prefix_index.forget(i);
     }
 
-    /// Takes a reading of an endpoint's load.
+    /// Records a load reading of an endpoint, unless a newer one is known.
     pub fn record_reading(&mut self, endpoint: &str, reading: Reading) {
         if let Some(state) = self.state_mut(endpoint) {
             state.take_reading(reading);
         }
     }
 
-    /// Notes that an endpoint leaves; no later message takes this back.
+    /// Records that an endpoint's VM goes away at `at`. Of several times the earliest counts; only
+    /// [`Router::replaced`] takes it back.
     pub fn leave(&mut self, endpoint: &str, at: Duration) {
         if let Some(state) = self.state_mut(endpoint) {
             let known = state.leaving_at.unwrap_or(at);
@@ -166,28 +172,29 @@
         }
     }
 
-    /// Takes back a leave, when the endpoint's VM was replaced by a new one.
+    /// Makes an endpoint usable again after its VM was replaced by a new one.
     pub fn replaced(&mut self, endpoint: &str) {
-        let Some(&i) = self.index.get(endpoint) else {
+        let Some(&i) = self.position_by_name.get(endpoint) else {
             return;
         };
         self.states[i as usize].leaving_at = None;
         self.prefix_index.forget(i);
     }
 
-    /// Takes one cache event of an endpoint.
+    /// Applies one cache event of an endpoint.
     pub fn apply_cache_event(&mut self, endpoint: &str, event: &CacheEvent) {
-        if let Some(&i) = self.index.get(endpoint) {
+        if let Some(&i) = self.position_by_name.get(endpoint) {
             self.prefix_index.take_event(i, event);
         }
     }
 
-    /// Sets the speeds of a pool.
+    /// Sets the measured rates of a pool.
     pub fn set_rates(&mut self, pool: &str, rates: Rates) {
         self.rates.insert(pool.to_string(), rates);
     }
 
-    /// Share of a pool's usable slots in use, in thousandths; above 1000 requests wait.
+    /// Returns the load of a pool's usable endpoints in thousandths of their slots; above 1000
+    /// requests wait, and `u64::MAX` means that no endpoint is usable.
     pub fn utilization_milli(&self, now: Duration, pool: &str) -> u64 {
         let members = self.pools.get(pool).map(Vec::as_slice).unwrap_or_default();
         let usable = members.iter().map(|i| &self.states[*i as usize]);
@@ -204,59 +211,64 @@
         }
     }
 
-    /// Blocks of prompts that some endpoint is believed to have cached.
+    /// Returns the number of prompt blocks that some endpoint is believed to have cached.
     pub fn cached_blocks(&self) -> usize {
         self.prefix_index.len()
     }
 
-    /// What is known of an endpoint.
+    /// Returns the state of an endpoint.
     pub fn state(&self, endpoint: &str) -> Option<&EndpointState> {
-        self.index.get(endpoint).map(|i| &self.states[*i as usize])
+        self.position_by_name
+            .get(endpoint)
+            .map(|i| &self.states[*i as usize])
     }
 
-    /// All endpoints in the order of the configuration.
+    /// Returns the states of all endpoints in configuration order.
     pub fn states(&self) -> &[EndpointState] {
         &self.states
     }
 
     fn state_mut(&mut self, endpoint: &str) -> Option<&mut EndpointState> {
-        let i = *self.index.get(endpoint)?;
+        let i = *self.position_by_name.get(endpoint)?;
         Some(&mut self.states[i as usize])
     }
 
-    fn usable(&self, i: u32, now: Duration, request: &RoutingRequest<'_>) -> bool {
+    fn is_usable(&self, i: u32, now: Duration, request: &RoutingRequest<'_>) -> bool {
         let state = &self.states[i as usize];
         state.is_usable(now) && !request.exclude.contains(&state.spec.name)
     }
 
-    fn weigh(
+    fn estimates(
         &self,
         now: Duration,
         request: &RoutingRequest<'_>,
         usable: &[u32],
     ) -> Vec<(u32, Estimate)> {
         let cached = self.cached_tokens(request, usable);
-        let view = self.view(usable);
+        let pool_summary = self.pool_summary(usable);
         let rates = self.rates.get(request.pool).copied().unwrap_or_default();
-        let weigh = |(i, cached): (&u32, u32)| {
+        let estimate_at = |(i, cached): (&u32, u32)| {
             let state = &self.states[*i as usize];
-            (*i, estimate(now, request, state, cached, view, rates))
+            (
+                *i,
+                estimate(now, request, state, cached, pool_summary, rates),
+            )
         };
-        usable.iter().zip(cached).map(weigh).collect()
+        usable.iter().zip(cached).map(estimate_at).collect()
     }
 
-    fn view(&self, usable: &[u32]) -> PoolView {
+    fn pool_summary(&self, usable: &[u32]) -> PoolSummary {
         let states = usable.iter().map(|i| &self.states[*i as usize]);
-        let mut view = PoolView {
+        let mut pool_summary = PoolSummary {
             mean_load: 0.0,
-            least_price: f64::MAX,
+            min_price: f64::MAX,
         };
         for state in states {
             let per_slot = state.spec.price_milli as f64 / f64::from(state.spec.slots.max(1));
-            view.mean_load += f64::from(state.load()) / usable.len() as f64;
-            view.least_price = view.least_price.min(per_slot);
+            pool_summary.mean_load += f64::from(state.load()) / usable.len() as f64;
+            pool_summary.min_price = pool_summary.min_price.min(per_slot);
         }
-        view
+        pool_summary
     }
 
     fn cached_tokens(&self, request: &RoutingRequest<'_>, usable: &[u32]) -> Vec<u32> {
@@ -306,23 +318,27 @@
     }
 }
 
-type Weighed = (u32, Estimate);
+type EndpointEstimate = (u32, Estimate);
 
-// The best, chosen from its near equals at random, and the next best.
-fn best_two(weighed: &[Weighed], rng: &mut impl Rng) -> Option<(Weighed, Option<Weighed>)> {
-    let least = weighed
+// Returns the best endpoint, chosen at random among those within `TIE_MS` of the lowest score, and
+// the best of the others.
+fn best_two(
+    estimates: &[EndpointEstimate],
+    rng: &mut impl Rng,
+) -> Option<(EndpointEstimate, Option<EndpointEstimate>)> {
+    let lowest_score = estimates
         .iter()
         .map(|(_, e)| e.score)
         .fold(f64::MAX, f64::min);
-    let near: Vec<&Weighed> = weighed
+    let tied: Vec<&EndpointEstimate> = estimates
         .iter()
-        .filter(|(_, e)| e.score <= least + TIE_MS)
+        .filter(|(_, e)| e.score <= lowest_score + TIE_MS)
         .collect();
-    if near.is_empty() {
+    if tied.is_empty() {
         return None;
     }
-    let chosen = *near[rng.random_range(0..near.len())];
-    let others = weighed.iter().filter(|(i, _)| *i != chosen.0);
+    let chosen = *tied[rng.random_range(0..tied.len())];
+    let others = estimates.iter().filter(|(i, _)| *i != chosen.0);
     let second = others.min_by(|a, b| a.1.score.total_cmp(&b.1.score));
     Some((chosen, second.copied()))
 }
--- a/components/routing/tests/waves.rs
+++ b/components/routing/tests/alternating_load.rs
@@ -1,4 +1,5 @@
-//! Two regions whose busy times alternate, each with a coordinator that hears of the other's requests late.
+//! Two regions that are busy in turn, each with a coordinator that receives reports of the other's
+//! requests with a delay.
 
 mod common;
 
@@ -11,24 +12,26 @@
 use routing::placement::{endpoint_hash, Balancer, PeerDispatch, PromptPart, Versions, Work};
 use topology::Topology;
 
-/// Age of what one region hears of the other's requests: the way and a pause between messages.
-const AGE: Duration = Duration::from_millis(130);
-/// Time after which the other region is the busy one.
-const WAVE_MS: u64 = 4000;
-/// Tokens of each prompt; at the first guess of the rate an endpoint reads 10 a second.
+/// Delay after which one region receives reports of the other's requests: the network time and the
+/// interval between messages.
+const REPORT_DELAY: Duration = Duration::from_millis(130);
+/// Time after which the other region becomes the busy one.
+const PHASE_MS: u64 = 4000;
+/// Tokens of each prompt. At the initial reading rate an endpoint reads 10 such prompts per second.
 const TOKENS: u32 = 3000;
 const ENDPOINTS: usize = 6;
-/// Milliseconds between two requests of a region: 90 a second for its 6 endpoints, or 15.
-const BUSY_PAUSE_MS: u64 = 11;
-const QUIET_PAUSE_MS: u64 = 66;
+/// Interval between two requests of a region, in milliseconds: 90 per second for the 6 endpoints of
+/// a busy region, or 15 for a quiet one.
+const BUSY_INTERVAL_MS: u64 = 11;
+const QUIET_INTERVAL_MS: u64 = 66;
 
 struct Region {
     name: &'static str,
     balancer: Balancer,
-    // What the other one sent and this one has not heard yet.
-    unheard: Vec<PeerDispatch>,
-    left: usize,
-    asked: usize,
+    // Requests of the other region that were not reported to this one yet.
+    unreported: Vec<PeerDispatch>,
+    sent_away: usize,
+    requests: usize,
 }
 
 impl Region {
@@ -55,26 +58,26 @@
         Region {
             name,
             balancer,
-            unheard: Vec::new(),
-            left: 0,
-            asked: 0,
+            unreported: Vec::new(),
+            sent_away: 0,
+            requests: 0,
         }
     }
 
-    fn hear(&mut self, now: Duration) {
-        let (heard, unheard) = self
-            .unheard
+    fn take_reports(&mut self, now: Duration) {
+        let (reported, unreported) = self
+            .unreported
             .drain(..)
-            .partition(|dispatch| now >= dispatch.sent_at + AGE);
-        self.unheard = unheard;
-        let heard: Vec<PeerDispatch> = heard;
-        for dispatch in heard {
+            .partition(|dispatch| now >= dispatch.sent_at + REPORT_DELAY);
+        self.unreported = unreported;
+        let reported: Vec<PeerDispatch> = reported;
+        for dispatch in reported {
             self.balancer.peer_sent(now, dispatch);
         }
     }
 
     fn place(&mut self, now: Duration, rng: &mut ChaCha8Rng) -> PeerDispatch {
-        self.asked += 1;
+        self.requests += 1;
         let own = now.as_micros() as u64 + u64::from(self.name.as_bytes()[0]);
         let work = Work {
             service: "s".into(),
@@ -89,7 +92,7 @@
         let placed = self.balancer.choose(now, &work, &[], Versions::Any, rng);
         let placed = placed.expect("all endpoints take work");
         self.balancer.placed_for_peer(now, &work, &placed);
-        self.left += usize::from(!placed.endpoint.starts_with(self.name));
+        self.sent_away += usize::from(!placed.endpoint.starts_with(self.name));
         PeerDispatch {
             endpoint: endpoint_hash(&placed.endpoint),
             unread_tokens: placed.unread_tokens,
@@ -101,41 +104,41 @@
 }
 
 #[test]
-fn a_busy_region_borrows_from_a_quiet_one_and_nothing_comes_back() {
+fn a_busy_region_sends_requests_to_a_quiet_one_and_gets_none_back() {
     let mut rng = ChaCha8Rng::seed_from_u64(11);
     let mut regions = [Region::new("a"), Region::new("b")];
-    // Asked and left, by wave and by whether the region was the busy one.
+    // Requests and those sent away, by phase and by whether the region was the busy one.
     let mut counts = Vec::new();
-    for wave in 0..6u64 {
-        let busy = (wave % 2) as usize;
-        for at in 0..WAVE_MS {
-            let now = Duration::from_millis(wave * WAVE_MS + at);
+    for phase in 0..6u64 {
+        let busy = (phase % 2) as usize;
+        for at in 0..PHASE_MS {
+            let now = Duration::from_millis(phase * PHASE_MS + at);
             for i in 0..2 {
-                let pause = if i == busy {
-                    BUSY_PAUSE_MS
+                let interval_ms = if i == busy {
+                    BUSY_INTERVAL_MS
                 } else {
-                    QUIET_PAUSE_MS
+                    QUIET_INTERVAL_MS
                 };
-                regions[i].hear(now);
-                if at % pause == 0 {
+                regions[i].take_reports(now);
+                if at % interval_ms == 0 {
                     let sent = regions[i].place(now, &mut rng);
-                    regions[1 - i].unheard.push(sent);
+                    regions[1 - i].unreported.push(sent);
                 }
             }
         }
         let count = |region: &mut Region| {
-            let count = (region.asked, region.left);
-            (region.asked, region.left) = (0, 0);
+            let count = (region.requests, region.sent_away);
+            (region.requests, region.sent_away) = (0, 0);
             count
         };
         let quiet = count(&mut regions[1 - busy]);
         counts.push((count(&mut regions[busy]), quiet));
     }
-    for (wave, (busy, quiet)) in counts.iter().enumerate() {
-        // A third of what a busy region is asked is beyond what its endpoints read.
-        assert!(busy.1 * 4 > busy.0, "wave {wave}: {counts:?}");
-        assert!(busy.1 * 3 < busy.0 * 2, "wave {wave}: {counts:?}");
-        // What was queued at the end of its own busy time may still leave.
-        assert!(quiet.1 * 10 <= quiet.0, "wave {wave}: {counts:?}");
+    for (phase, (busy, quiet)) in counts.iter().enumerate() {
+        // A third of a busy region's requests exceeds what its endpoints can read.
+        assert!(busy.1 * 4 > busy.0, "phase {phase}: {counts:?}");
+        assert!(busy.1 * 3 < busy.0 * 2, "phase {phase}: {counts:?}");
+        // Prompts queued at the end of its own busy phase may still cause requests to leave.
+        assert!(quiet.1 * 10 <= quiet.0, "phase {phase}: {counts:?}");
     }
 }
--- a/components/routing/tests/common/mod.rs
+++ b/components/routing/tests/common/mod.rs
@@ -1,9 +1,10 @@
-//! What the tests of placement share.
+//! Helpers shared by the placement tests.
 
 use directory::{Configuration, Engine, Service};
 use routing::placement::Balancer;
 
-/// Configures a service `s` of engines with so many slots, 100,000 tokens of memory and one token an event.
+/// Configures a service `s` of engines with this many slots, a cache of 100,000 tokens and one
+/// token per event.
 pub fn configure(balancer: &mut Balancer, slots: u32) {
     let engine = Engine {
         slots,
--- a/components/routing/tests/counts.rs
+++ b/components/routing/tests/counts.rs
@@ -1,7 +1,8 @@
-//! Requests that endpoints count themselves, beside what is expected there.
+//! Request counts reported by endpoints, against the counts that the balancer expects.
 //!
-//! Guesses of how long answers go are off by half and more, and gateways that ask report no ends: without the endpoints' own
-//! counts full engines were taken for free ones, and free ones for full.
+//! Estimated answer lengths are off by half and more, and gateways that ask others for decisions
+//! report no ends. Without the endpoints' own counts, full engines were taken for free ones and
+//! free ones for full ones.
 
 mod common;
 
@@ -45,7 +46,7 @@
     }
 }
 
-fn count(balancer: &mut Balancer, at: Duration, requests: u32) -> bool {
+fn report_count(balancer: &mut Balancer, at: Duration, requests: u32) -> bool {
     balancer.observe(Sight {
         endpoint: endpoint_hash("e1"),
         at,
@@ -59,67 +60,67 @@
 }
 
 #[test]
-fn answers_that_were_shorter_than_guessed_leave_their_slots_free() {
+fn a_lower_count_frees_the_slots_of_answers_shorter_than_estimated() {
     let mut balancer = balancer("s");
     for _ in 0..10 {
         balancer.peer_sent(ms(0), dispatch(ms(0), ms(10_000)));
     }
     assert_eq!(expected(&mut balancer, "s", ms(500)), 10);
-    assert!(count(&mut balancer, ms(500), 3));
+    assert!(report_count(&mut balancer, ms(500), 3));
     assert_eq!(expected(&mut balancer, "s", ms(500)), 3);
 }
 
 #[test]
-fn answers_that_go_on_for_longer_than_guessed_keep_their_slots() {
+fn a_higher_count_keeps_the_slots_of_answers_longer_than_estimated() {
     let mut balancer = balancer("s");
     for _ in 0..10 {
         balancer.peer_sent(ms(0), dispatch(ms(0), ms(100)));
     }
-    assert!(count(&mut balancer, ms(500), 10));
+    assert!(report_count(&mut balancer, ms(500), 10));
     assert_eq!(expected(&mut balancer, "s", ms(501)), 10);
-    // Nothing is said of them again: they end some time.
+    // Without further reports they are assumed to end.
     assert_eq!(expected(&mut balancer, "s", ms(10_000)), 0);
 }
 
 #[test]
-fn requests_that_had_not_reached_the_endpoint_are_not_taken_to_have_ended() {
+fn requests_in_transit_are_not_taken_as_ended() {
     let mut balancer = balancer("s");
     balancer.peer_sent(ms(0), dispatch(ms(0), ms(1_000)));
     balancer.peer_sent(ms(500), dispatch(ms(498), ms(1_000)));
-    assert!(!count(&mut balancer, ms(500), 1));
+    assert!(!report_count(&mut balancer, ms(500), 1));
     assert_eq!(expected(&mut balancer, "s", ms(501)), 2);
 }
 
 #[test]
-fn a_count_as_expected_is_no_news_to_others() {
+fn a_count_close_to_the_expected_one_is_not_passed_on() {
     let mut balancer = balancer("s");
     for _ in 0..10 {
         balancer.peer_sent(ms(0), dispatch(ms(0), ms(10_000)));
     }
-    assert!(!count(&mut balancer, ms(500), 9));
-    assert!(!count(&mut balancer, ms(510), 10));
+    assert!(!report_count(&mut balancer, ms(500), 9));
+    assert!(!report_count(&mut balancer, ms(510), 10));
 }
 
 #[test]
-fn what_was_sent_to_a_plain_endpoint_since_its_count_comes_on_top() {
+fn requests_sent_to_a_plain_endpoint_after_its_count_are_added() {
     let mut balancer = balancer("plain");
     balancer.peer_sent(ms(0), dispatch(ms(0), ms(1_000)));
     balancer.peer_sent(ms(120), dispatch(ms(120), ms(1_000)));
-    // Told late: the second one was sent after it.
-    count(&mut balancer, ms(100), 4);
+    // This count arrives late: the second request was sent after it.
+    report_count(&mut balancer, ms(100), 4);
     assert_eq!(expected(&mut balancer, "plain", ms(130)), 5);
-    // Older word changes nothing.
-    count(&mut balancer, ms(90), 9);
+    // An older count changes nothing.
+    report_count(&mut balancer, ms(90), 9);
     assert_eq!(expected(&mut balancer, "plain", ms(130)), 5);
 }
 
 #[test]
-fn a_count_that_no_endpoint_can_have_is_cut_to_what_one_may() {
+fn an_impossible_count_is_capped() {
     let mut balancer = balancer("s");
-    count(&mut balancer, ms(100), u32::MAX);
+    report_count(&mut balancer, ms(100), u32::MAX);
     let engine = expected(&mut balancer, "s", ms(101));
     let mut balancer = self::balancer("plain");
-    count(&mut balancer, ms(100), u32::MAX);
+    report_count(&mut balancer, ms(100), u32::MAX);
     let plain = expected(&mut balancer, "plain", ms(101));
     assert!(
         engine <= 8 * SLOTS && plain <= 8 * SLOTS,
--- a/components/routing/tests/limits.rs
+++ b/components/routing/tests/limits.rs
@@ -1,4 +1,5 @@
-//! Endpoints that name a rate for all gateways together, as they are placed on and planned with.
+//! Endpoints with a rate limit for all gateways together: how requests are placed there and how
+//! much of their capacity counts.
 
 mod common;
 
@@ -11,7 +12,7 @@
 use rand_chacha::ChaCha8Rng;
 use routing::placement::{endpoint_hash, Balancer, Versions, Work};
 
-const S: &str = "s";
+const SERVICE: &str = "s";
 
 fn ms(ms: u64) -> Duration {
     Duration::from_millis(ms)
@@ -26,7 +27,7 @@
             Endpoint {
                 born_ms: None,
                 id: id.into(),
-                service: S.into(),
+                service: SERVICE.into(),
                 address: "127.0.0.1:1".parse().unwrap(),
                 zone: "z".into(),
                 slots: 8,
@@ -43,7 +44,7 @@
 fn limit(balancer: &mut Balancer, id: &str, per_s: f64) {
     balancer.notices_mut().note_limit(&LimitNotice {
         start: endpoint_hash(id),
-        service: S.into(),
+        service: SERVICE.into(),
         rate: SendRate::from_per_s(per_s),
         asked_at: ms(1),
     });
@@ -51,7 +52,7 @@
 
 fn choose(balancer: &mut Balancer, at: Duration, seed: u64) -> Option<String> {
     let work = Work {
-        service: S.into(),
+        service: SERVICE.into(),
         ..Work::default()
     };
     let mut rng = ChaCha8Rng::seed_from_u64(seed);
@@ -59,9 +60,10 @@
     placed.map(|placement| placement.endpoint)
 }
 
-// Guards against scarce sends that go to requests which another endpoint serves as well.
+// Guards against spending the few permitted requests of a limited endpoint on requests that another
+// endpoint can serve as well.
 #[test]
-fn an_endpoint_with_a_limit_is_left_to_what_no_other_takes() {
+fn an_endpoint_with_a_limit_is_used_only_if_no_other_is_usable() {
     let mut balancer = balancer();
     limit(&mut balancer, "e1", 4.0);
     for seed in 0..50 {
@@ -72,7 +74,7 @@
 }
 
 #[test]
-fn an_endpoint_whose_limit_is_used_up_is_passed_over_until_a_send_is_free() {
+fn an_endpoint_with_an_exhausted_limit_is_skipped_until_it_permits_a_request() {
     let mut balancer = balancer();
     balancer.remove("e2");
     limit(&mut balancer, "e1", 4.0);
@@ -80,16 +82,16 @@
         .notices_mut()
         .note_spent(ms(10), endpoint_hash("e1"), ms(250));
     assert_eq!(choose(&mut balancer, ms(100), 0), None);
-    assert_eq!(balancer.time_until_open(ms(100), S), Some(ms(160)));
+    assert_eq!(balancer.time_until_open(ms(100), SERVICE), Some(ms(160)));
     assert_eq!(choose(&mut balancer, ms(260), 0).as_deref(), Some("e1"));
 }
 
 #[test]
-fn the_planner_hears_what_limits_take_away_of_endpoints() {
+fn occupancy_includes_the_capacity_lost_to_limits() {
     let mut balancer = balancer();
-    assert_eq!(balancer.occupancy(ms(10), S)["z"].limited_milli, 0);
+    assert_eq!(balancer.occupancy(ms(10), SERVICE)["z"].limited_milli, 0);
     limit(&mut balancer, "e1", 0.0);
-    assert_eq!(balancer.occupancy(ms(10), S)["z"].limited_milli, 1000);
+    assert_eq!(balancer.occupancy(ms(10), SERVICE)["z"].limited_milli, 1000);
     limit(&mut balancer, "e2", 1e9);
-    assert_eq!(balancer.occupancy(ms(10), S)["z"].limited_milli, 1000);
+    assert_eq!(balancer.occupancy(ms(10), SERVICE)["z"].limited_milli, 1000);
 }
--- a/components/routing/tests/placement.rs
+++ b/components/routing/tests/placement.rs
@@ -1,4 +1,4 @@
-//! Where requests go, given what several gateways know.
+//! Placement of requests by a gateway that also receives the reports of other gateways.
 
 use std::time::Duration;
 
@@ -74,7 +74,7 @@
 }
 
 #[test]
-fn a_prompt_goes_back_to_where_its_beginning_is_kept() {
+fn a_prompt_goes_to_the_endpoint_that_caches_its_prefix() {
     let mut balancer = balancer(true, &["a", "b", "c"]);
     let mut rng = rng();
     let first = balancer
@@ -93,7 +93,7 @@
 }
 
 #[test]
-fn prompts_that_others_sent_are_waited_for() {
+fn prompts_of_other_gateways_count_as_queued() {
     let mut balancer = balancer(true, &["a", "b"]);
     balancer.peer_sent(
         ms(0),
@@ -113,7 +113,7 @@
 }
 
 #[test]
-fn an_endpoint_that_was_silent_is_passed_over_unless_it_is_the_only_one() {
+fn an_unresponsive_endpoint_is_skipped_unless_it_is_the_only_one() {
     let mut balancer = balancer(false, &["a", "b"]);
     let mut rng = rng();
     let first = balancer
@@ -139,7 +139,7 @@
 }
 
 #[test]
-fn an_endpoint_that_drains_is_never_chosen() {
+fn a_draining_endpoint_is_never_chosen() {
     let mut balancer = balancer(false, &["a"]);
     let mut draining = endpoint("a", "z");
     draining.state = EndpointState::Draining { leaves_in: None };
@@ -150,7 +150,7 @@
 }
 
 #[test]
-fn a_caller_that_leaves_just_before_its_time_is_over_speaks_of_a_silent_endpoint() {
+fn a_caller_that_gives_up_just_before_its_time_limit_shows_an_unresponsive_endpoint() {
     let signal =
         |waited, expected, given| signal_without_answer(ms(waited), ms(expected), ms(given));
     assert_eq!(signal(2990, 50, 3000), HealthSignal::Unresponsive);
@@ -165,7 +165,7 @@
 }
 
 #[test]
-fn light_requests_that_are_not_known_yet_do_not_narrow_the_choice_for_a_heavy_prompt() {
+fn unreported_light_requests_do_not_narrow_the_choice_for_a_heavy_prompt() {
     let ids: Vec<String> = (0..24).map(|i| format!("e{i}")).collect();
     let ids: Vec<&str> = ids.iter().map(String::as_str).collect();
     let mut balancer = balancer(true, &ids);
@@ -194,8 +194,8 @@
 }
 
 #[test]
-fn the_rate_of_engines_is_distinguished_from_the_time_before_they_read() {
-    const START_MS: u64 = 30;
+fn reading_rate_and_overhead_are_measured_separately() {
+    const OVERHEAD_MS: u64 = 30;
     const RATE: u64 = 150;
     let mut balancer = balancer(true, &["a"]);
     let mut rng = rng();
@@ -206,7 +206,7 @@
             .choose(at, &work, &[], Versions::Any, &mut rng)
             .unwrap();
         let mut ticket = balancer.sent(at, &work, &placement);
-        let took = START_MS + u64::from(placement.unread_tokens) / RATE;
+        let took = OVERHEAD_MS + u64::from(placement.unread_tokens) / RATE;
         balancer.first_token(at + ms(took), &mut ticket);
         balancer.ended(at + ms(900), &ticket, HealthSignal::Healthy);
         let known = balancer.known_rate("s");
@@ -216,17 +216,18 @@
     assert!((140.0..=160.0).contains(&rate), "{rate}");
 }
 
-/// One gateway sends streams in waves to engines that follow a law; each stream's events come at the law's pace.
+/// One gateway sends groups of streams to engines that follow a law. The events of each stream come
+/// at the times given by the law.
 #[test]
-fn the_law_of_engines_is_learnt_from_streams() {
+fn the_engine_law_is_learnt_from_streams() {
     const BASE_MS: f64 = 3.0;
     const PER_RUNNING_MS: f64 = 0.1;
     let mut balancer = balancer(true, &["a"]);
     let mut rng = rng();
     let mut now = Duration::ZERO;
-    for wave in 0..200_u64 {
-        let running = 1 + (wave * 7) % 24;
-        let work = |own| prompt(1, 1000 * wave + own + 2, 400);
+    for round in 0..200_u64 {
+        let running = 1 + (round * 7) % 24;
+        let work = |own| prompt(1, 1000 * round + own + 2, 400);
         let mut tickets: Vec<_> = (0..running)
             .map(|own| {
                 let work = work(own);
@@ -256,7 +257,7 @@
 }
 
 #[test]
-fn a_request_goes_only_to_endpoints_of_a_version_that_may_run_it() {
+fn a_request_goes_only_to_endpoints_of_an_allowed_version() {
     let mut balancer = balancer(true, &[]);
     for i in 0..8 {
         let spec = endpoint(&format!("e{i}"), "z");
@@ -291,7 +292,7 @@
 }
 
 #[test]
-fn a_stream_whose_endpoint_was_listed_anew_says_nothing_of_the_engine() {
+fn a_stream_whose_endpoint_was_removed_and_added_again_gives_no_sample() {
     let mut balancer = balancer(true, &["a"]);
     let mut rng = rng();
     let work = prompt(1, 2, 40_000);
--- a/components/routing/tests/promises.rs
+++ b/components/routing/tests/promises.rs
@@ -1,4 +1,4 @@
-//! What routing must never do, over random gossip and requests.
+//! Properties of routing that hold under random readings and requests.
 
 use std::time::Duration;
 
@@ -53,12 +53,12 @@
 }
 
 #[test]
-fn a_leaving_endpoint_gets_nothing_whatever_is_heard_later() {
+fn a_leaving_endpoint_is_never_chosen_whatever_is_recorded_later() {
     fn property(seed: u64) -> bool {
         let mut rng = ChaCha8Rng::seed_from_u64(seed);
         let mut router = router();
-        let gone = format!("w{}", rng.random_range(0..ENDPOINTS));
-        router.leave(&gone, Duration::from_secs(30));
+        let leaving = format!("w{}", rng.random_range(0..ENDPOINTS));
+        router.leave(&leaving, Duration::from_secs(30));
         (0..60).all(|step| {
             let now = Duration::from_millis(step * 100);
             let reading = Reading {
@@ -66,9 +66,9 @@
                 queued: 0,
                 at: now,
             };
-            router.record_reading(&gone, reading);
-            router.answered(&gone);
-            router.leave(&gone, Duration::from_secs(90));
+            router.record_reading(&leaving, reading);
+            router.answered(&leaving);
+            router.leave(&leaving, Duration::from_secs(90));
             let prompt = conversation(rng.random_range(0..9));
             let request = request(&prompt, &[]);
             let chosen = router
@@ -77,7 +77,7 @@
                 .chosen
                 .endpoint;
             router.sent(&chosen, &request);
-            chosen != gone
+            chosen != leaving
         })
     }
     check(property as fn(u64) -> bool);
@@ -99,7 +99,7 @@
 }
 
 #[test]
-fn no_endpoint_is_named_when_all_leave() {
+fn no_endpoint_is_chosen_when_all_are_leaving() {
     let mut router = router();
     (0..ENDPOINTS).for_each(|n| router.leave(&format!("w{n}"), Duration::ZERO));
     let mut rng = ChaCha8Rng::seed_from_u64(1);
@@ -110,7 +110,7 @@
 }
 
 #[test]
-fn turns_of_a_conversation_meet_at_one_endpoint_from_different_nodes() {
+fn different_nodes_send_a_conversation_to_the_same_endpoint() {
     let mut rng = ChaCha8Rng::seed_from_u64(1);
     let (first, second) = (router(), router());
     let mut same = 0;
@@ -131,7 +131,7 @@
 }
 
 #[test]
-fn a_full_home_does_not_hold_a_conversation() {
+fn a_conversation_leaves_an_overloaded_home_endpoint() {
     let mut rng = ChaCha8Rng::seed_from_u64(1);
     let mut router = router();
     let prompt = conversation(7);
@@ -174,7 +174,7 @@
 }
 
 #[test]
-fn an_endpoint_that_fails_is_passed_over_and_tried_again() {
+fn a_failed_endpoint_is_skipped_and_tried_again() {
     let mut rng = ChaCha8Rng::seed_from_u64(1);
     let mut router = Router::default();
     router.configure(&[endpoint(0, 1000)]);
--- a/components/routing/tests/regions.rs
+++ b/components/routing/tests/regions.rs
@@ -1,4 +1,4 @@
-//! Where requests go among several regions.
+//! Placement of requests among several regions.
 
 mod common;
 
@@ -39,7 +39,7 @@
     }
 }
 
-/// A board of a gateway in hall a1 with endpoints named by their halls.
+/// A balancer of a gateway in hall a1, with endpoints given as (id, hall).
 fn balancer(endpoints: &[(&str, &str)]) -> Balancer {
     let mut balancer = Balancer::with_topology(topology());
     common::configure(&mut balancer, 16);
@@ -60,8 +60,9 @@
     }
 }
 
-/// Makes prompts of others wait at an endpoint for about so long, at the first guess of the rate.
-fn make_wait(balancer: &mut Balancer, id: &str, wait_ms: u32) {
+/// Queues prompts of other gateways at an endpoint for about `wait_ms`, at the initial reading
+/// rate.
+fn queue_prompts(balancer: &mut Balancer, id: &str, wait_ms: u32) {
     let dispatch = PeerDispatch {
         endpoint: endpoint_hash(id),
         unread_tokens: wait_ms * 30,
@@ -77,8 +78,8 @@
     balancer.choose(now, work, &[], Versions::Any, &mut rng)
 }
 
-/// Parts of the link that carry so many bytes a second to region b.
-fn parts(rate: f64) -> BTreeMap<String, f64> {
+/// A rate in bytes per second for the link to region b.
+fn link_rates(rate: f64) -> BTreeMap<String, f64> {
     BTreeMap::from([("b".to_string(), rate)])
 }
 
@@ -93,10 +94,10 @@
 }
 
 #[test]
-fn a_request_leaves_its_region_when_the_wait_there_is_longer_than_the_way() {
+fn a_request_leaves_its_region_when_the_wait_there_exceeds_the_network_cost() {
     for (wait, expected) in [(70, "a"), (200, "b")] {
         let mut balancer = balancer(&[("a", "a2"), ("b", "b1")]);
-        make_wait(&mut balancer, "a", wait);
+        queue_prompts(&mut balancer, "a", wait);
         let placed = choose(&mut balancer, ms(0), &prompt(2, 300, 1_000)).unwrap();
         assert_eq!(placed.endpoint, expected, "{wait} ms");
         assert_eq!(placed.home_ms.is_some(), expected == "b");
@@ -105,23 +106,23 @@
 }
 
 #[test]
-fn a_busy_endpoint_elsewhere_does_not_draw_requests() {
+fn a_busy_endpoint_in_another_region_gets_no_requests() {
     let mut balancer = balancer(&[("a", "a2"), ("b", "b1")]);
-    make_wait(&mut balancer, "a", 200);
-    make_wait(&mut balancer, "b", 200);
+    queue_prompts(&mut balancer, "a", 200);
+    queue_prompts(&mut balancer, "b", 200);
     let placed = choose(&mut balancer, ms(0), &prompt(2, 300, 1_000)).unwrap();
     assert_eq!(placed.endpoint, "a");
 }
 
 #[test]
-fn requests_of_many_bytes_leave_last() {
-    let leaves = |bytes, taken_of_link: usize| {
+fn large_requests_are_the_last_to_leave_their_region() {
+    let leaves = |bytes, requests_on_link: usize| {
         let mut balancer = balancer(&[("a", "a2"), ("b", "b1")]);
         balancer.network_costs_mut().set_link_rate(60_000);
-        balancer.set_link_parts(ms(0), &parts(150_000.0));
-        make_wait(&mut balancer, "a", 1700);
+        balancer.set_link_rates(ms(0), &link_rates(150_000.0));
+        queue_prompts(&mut balancer, "a", 1700);
         let now = ms(1000);
-        for own in 0..taken_of_link {
+        for own in 0..requests_on_link {
             let small = prompt(100 + own as u64, 300, 10_000);
             choose(&mut balancer, now, &small).unwrap();
         }
@@ -134,10 +135,10 @@
 }
 
 #[test]
-fn with_a_full_link_a_request_is_served_at_home_however_long_the_wait() {
+fn with_a_full_link_a_request_stays_in_its_region_whatever_the_wait() {
     let mut balancer = balancer(&[("a", "a2"), ("b", "b1")]);
-    balancer.set_link_parts(ms(0), &parts(10.0));
-    make_wait(&mut balancer, "a", 4000);
+    balancer.set_link_rates(ms(0), &link_rates(10.0));
+    queue_prompts(&mut balancer, "a", 4000);
     let work = prompt(2, 300, 1_000);
     let placed = choose(&mut balancer, ms(0), &work).unwrap();
     assert!(placed.endpoint == "a" && placed.is_link_limited);
@@ -145,9 +146,9 @@
 }
 
 #[test]
-fn a_region_without_endpoints_is_served_by_the_other_within_its_part_of_the_link() {
+fn a_region_without_endpoints_is_served_by_the_other_within_its_share_of_the_link() {
     let mut balancer = balancer(&[("b", "b1")]);
-    balancer.set_link_parts(ms(0), &parts(100_000.0));
+    balancer.set_link_rates(ms(0), &link_rates(100_000.0));
     let mut bytes = 0;
     for at in 1..=10_000 {
         let work = prompt(at, 300, 5_000);
@@ -166,20 +167,20 @@
                 if at == 5_000 {
                     assert!(
                         choose(&mut balancer, later, &work).is_some(),
-                        "{wait:?} was true"
+                        "room after {wait:?}"
                     );
                     return assert!((400_000..=600_000).contains(&bytes), "{bytes}");
                 }
             }
         }
     }
-    panic!("the link never bound");
+    panic!("the link never refused a request");
 }
 
 #[test]
-fn without_any_endpoint_the_link_is_not_blamed() {
+fn without_any_endpoint_there_is_no_link_wait() {
     let mut balancer = balancer(&[]);
-    balancer.set_link_parts(ms(0), &parts(10.0));
+    balancer.set_link_rates(ms(0), &link_rates(10.0));
     let work = prompt(2, 300, 1_000);
     assert_eq!(choose(&mut balancer, ms(0), &work), None);
     assert_eq!(balancer.link_wait(ms(0), &work), None);
@@ -201,7 +202,7 @@
 }
 
 #[test]
-fn the_way_follows_what_is_measured_and_no_single_measurement() {
+fn the_round_trip_follows_measurements_but_no_single_outlier() {
     let mut costs = NetworkCosts::new(topology());
     assert_eq!(costs.round_trip_ms("a1"), 0.0);
     assert_eq!(costs.round_trip_ms("a2"), 2.0);
@@ -220,7 +221,7 @@
 }
 
 #[test]
-fn time_of_processors_is_no_way() {
+fn processing_time_is_not_counted_as_network_time() {
     let mut costs = NetworkCosts::new(topology());
     costs.record_round_trip("a1", ms(8));
     costs.record_round_trip("a2", ms(9));
@@ -230,18 +231,18 @@
 }
 
 #[test]
-fn a_region_that_is_near_is_used_sooner() {
+fn a_nearby_region_is_used_after_a_shorter_wait() {
     let mut balancer = balancer(&[("a", "a2"), ("b", "b1")]);
     for _ in 0..9 {
         balancer.network_costs_mut().record_round_trip("b1", ms(4));
     }
-    make_wait(&mut balancer, "a", 70);
+    queue_prompts(&mut balancer, "a", 70);
     let placed = choose(&mut balancer, ms(0), &prompt(2, 300, 1_000)).unwrap();
     assert_eq!(placed.endpoint, "b");
 }
 
 #[test]
-fn bytes_make_the_way_longer() {
+fn the_network_cost_grows_with_the_size_of_the_request() {
     let mut costs = NetworkCosts::new(topology());
     let (small, large) = (costs.cost_ms("b1", 1_000), costs.cost_ms("b1", 72_000));
     assert_eq!((small, large), (90.0, 270.0));
@@ -251,7 +252,7 @@
 }
 
 #[test]
-fn the_way_to_an_endpoint_is_not_taken_for_its_slowness() {
+fn the_round_trip_to_an_endpoint_does_not_lower_its_measured_rate() {
     const RATE: u64 = 150;
     let mut balancer = balancer(&[("b", "b1")]);
     for own in 0..200 {
@@ -269,9 +270,9 @@
 }
 
 #[test]
-fn a_request_of_a_gateway_elsewhere_is_placed_in_that_gateways_region() {
+fn a_request_of_a_gateway_in_another_region_is_placed_in_that_region() {
     let mut balancer = balancer(&[("a", "a1"), ("b", "b1")]);
-    balancer.set_link_parts(ms(0), &parts(100_000.0));
+    balancer.set_link_rates(ms(0), &link_rates(100_000.0));
     let region_b = topology().place_of("b2");
     let work = prompt(2, 300, 1_000);
     let mut rng = ChaCha8Rng::seed_from_u64(7);
@@ -289,14 +290,14 @@
     };
     let there = placed(&mut balancer);
     assert_eq!((there.endpoint.as_str(), there.link_bytes), ("b", 0));
-    make_wait(&mut balancer, "b", 2000);
+    queue_prompts(&mut balancer, "b", 2000);
     let here = placed(&mut balancer);
     assert_eq!(here.endpoint, "a");
-    assert!(here.link_bytes > 0, "it crosses the link all the same");
+    assert!(here.link_bytes > 0, "it still crosses the link");
 }
 
 #[test]
-fn silent_endpoints_at_home_are_used_only_when_the_link_has_no_room() {
+fn unresponsive_endpoints_at_home_are_used_only_when_the_link_has_no_room() {
     let mut balancer = balancer(&[("a", "a1"), ("b", "b1")]);
     let work = prompt(2, 300, 1_000);
     let first = choose(&mut balancer, ms(0), &work).unwrap();
@@ -304,7 +305,7 @@
     let ticket = balancer.sent(ms(0), &work, &first);
     balancer.ended(ms(10), &ticket, HealthSignal::Unresponsive);
     assert_eq!(choose(&mut balancer, ms(20), &work).unwrap().endpoint, "b");
-    balancer.set_link_parts(ms(20), &parts(10.0));
+    balancer.set_link_rates(ms(20), &link_rates(10.0));
     let placed = choose(&mut balancer, ms(20), &work).unwrap();
     assert!(placed.endpoint == "a" && placed.is_link_limited);
 }
--- a/components/routing/tests/restarts.rs
+++ b/components/routing/tests/restarts.rs
@@ -1,4 +1,5 @@
-//! An endpoint that starts again under its id is another process: it runs, keeps and owes nothing of the one before.
+//! An endpoint that restarts under the same id is a new process: requests, cache and health of the
+//! old process must not be attributed to it.
 
 mod common;
 
@@ -56,39 +57,39 @@
 }
 
 #[test]
-fn what_ran_and_was_kept_ends_with_the_process() {
+fn requests_and_cache_are_dropped_when_the_process_restarts() {
     let mut balancer = balancer();
     let first = choose(&mut balancer);
     balancer.sent(NOW, &prompt(), &first);
-    assert_eq!(choose(&mut balancer).unread_tokens, 0, "kept");
-    let waits_ms = choose(&mut balancer).expected_ms;
+    assert_eq!(choose(&mut balancer).unread_tokens, 0, "cached");
+    let queued_ms = choose(&mut balancer).expected_ms;
     balancer.insert(NOW, endpoint("a", Some(2)));
-    let again = choose(&mut balancer);
-    assert_eq!(again.unread_tokens, TOKENS);
-    assert!(again.expected_ms > 0.0 && waits_ms > 0.0);
+    let restarted = choose(&mut balancer);
+    assert_eq!(restarted.unread_tokens, TOKENS);
+    assert!(restarted.expected_ms > 0.0 && queued_ms > 0.0);
     assert_eq!(balancer.occupancy(NOW, "s")["z"].requests, 0);
 }
 
 #[test]
-fn the_end_of_an_old_run_takes_nothing_from_the_new_process() {
+fn the_end_of_a_request_at_the_old_process_does_not_change_the_new_one() {
     let mut balancer = balancer();
     let first = choose(&mut balancer);
-    let mut old = balancer.sent(NOW, &prompt(), &first);
+    let mut old_ticket = balancer.sent(NOW, &prompt(), &first);
     balancer.insert(NOW, endpoint("a", Some(2)));
     let second = choose(&mut balancer);
     balancer.sent(NOW, &prompt(), &second);
-    balancer.first_token(NOW, &mut old);
-    balancer.ended(NOW, &old, HealthSignal::Unresponsive);
+    balancer.first_token(NOW, &mut old_ticket);
+    balancer.ended(NOW, &old_ticket, HealthSignal::Unresponsive);
     assert_eq!(balancer.occupancy(NOW, "s")["z"].requests, 1);
-    // A silent end of the old run would have the endpoint passed over.
+    // If the end of the old request counted, the endpoint would be suspected.
     assert_eq!(choose(&mut balancer).endpoint, "a");
 }
 
 #[test]
-fn what_others_sent_to_the_process_before_is_not_counted() {
+fn requests_of_other_gateways_to_the_old_process_are_not_counted() {
     let mut balancer = balancer();
     balancer.insert(NOW, endpoint("a", Some(2)));
-    let mut hear = |born| {
+    let mut report_dispatch = |born| {
         balancer.peer_sent(
             NOW,
             PeerDispatch {
@@ -101,12 +102,12 @@
         );
         balancer.occupancy(NOW, "s")["z"].requests
     };
-    assert_eq!(hear(1), 0);
-    assert_eq!(hear(2), 1);
+    assert_eq!(report_dispatch(1), 0);
+    assert_eq!(report_dispatch(2), 1);
 }
 
 #[test]
-fn a_birth_that_goes_back_or_is_missing_tells_starts_apart_as_well() {
+fn a_start_time_that_goes_back_or_is_missing_still_marks_a_restart() {
     for (before, after) in [(Some(5), Some(4)), (Some(5), None), (None, Some(5))] {
         let mut balancer = balancer();
         balancer.insert(NOW, endpoint("a", before));
@@ -121,7 +122,7 @@
 }
 
 #[test]
-fn a_record_of_the_same_start_keeps_what_is_known() {
+fn a_new_record_of_the_same_process_keeps_its_state() {
     let mut balancer = balancer();
     let placed = choose(&mut balancer);
     balancer.sent(NOW, &prompt(), &placed);
@@ -137,7 +138,7 @@
 }
 
 #[test]
-fn a_load_that_the_old_process_reported_is_not_the_new_ones() {
+fn a_load_reported_by_the_old_process_is_ignored() {
     let mut balancer = Balancer::new("z");
     balancer.insert(NOW, endpoint("a", Some(1)));
     let plain = Work {
--- a/components/routing/tests/speeds.rs
+++ b/components/routing/tests/speeds.rs
@@ -1,4 +1,4 @@
-//! Endpoints of one service that work at different speeds.
+//! Endpoints of one service that read prompts at different speeds.
 
 mod common;
 
@@ -44,16 +44,16 @@
     }
 }
 
-fn choose(balancer: &mut Balancer, at: Duration, work: &Work, not: &[String]) -> Placement {
+fn choose(balancer: &mut Balancer, at: Duration, work: &Work, exclude: &[String]) -> Placement {
     let mut rng = ChaCha8Rng::seed_from_u64(at.as_millis() as u64);
-    let placed = balancer.choose(at, work, not, Versions::Any, &mut rng);
+    let placed = balancer.choose(at, work, exclude, Versions::Any, &mut rng);
     placed.expect("an endpoint is ready")
 }
 
-/// Sends a prompt to an endpoint that reads so many tokens a millisecond, where nothing else runs.
-fn read_at(balancer: &mut Balancer, at: Duration, tokens: u32, rate: u32, not: &str) {
+/// Sends a prompt to an idle endpoint that reads `rate` tokens per millisecond.
+fn run_prompt(balancer: &mut Balancer, at: Duration, tokens: u32, rate: u32, exclude: &str) {
     let work = prompt(1_000_000 + at.as_millis() as u64, tokens);
-    let placed = choose(balancer, at, &work, &[not.to_string()]);
+    let placed = choose(balancer, at, &work, &[exclude.to_string()]);
     let mut ticket = balancer.sent(at, &work, &placed);
     let first = at + ms(5 + u64::from(tokens / rate));
     balancer.first_token(first, &mut ticket);
@@ -65,8 +65,8 @@
     let mut balancer = balancer(&["slow", "fast"]);
     for round in 0..60 {
         let at = ms(round * 2000);
-        read_at(&mut balancer, at, 6_000, 100, "fast");
-        read_at(&mut balancer, at + ms(1000), 6_000, 130, "slow");
+        run_prompt(&mut balancer, at, 6_000, 100, "fast");
+        run_prompt(&mut balancer, at + ms(1000), 6_000, 130, "slow");
     }
     let mut fast = 0;
     for i in 0..100 {
@@ -78,14 +78,19 @@
 }
 
 #[test]
-fn an_endpoint_measured_once_while_the_rate_was_a_guess_is_not_held_slow_for_good() {
+fn an_endpoint_measured_once_at_the_initial_rate_does_not_stay_slow() {
     let mut balancer = balancer(&["once", "often"]);
-    read_at(&mut balancer, ms(0), 6_000, 100, "often");
+    run_prompt(&mut balancer, ms(0), 6_000, 100, "often");
     for round in 1..60 {
-        read_at(&mut balancer, ms(round * 1000), 6_000, 100, "once");
+        run_prompt(&mut balancer, ms(round * 1000), 6_000, 100, "once");
     }
-    let mut expected_ms = |not: &str| {
-        let placed = choose(&mut balancer, ms(100_000), &prompt(1, 6_000), &[not.into()]);
+    let mut expected_ms = |exclude: &str| {
+        let placed = choose(
+            &mut balancer,
+            ms(100_000),
+            &prompt(1, 6_000),
+            &[exclude.into()],
+        );
         placed.expected_ms
     };
     let (once, often) = (expected_ms("often"), expected_ms("once"));
