--- a/components/routing/src/placement/network_cost.rs
+++ b/components/routing/src/placement/network_cost.rs
@@ -25,7 +25,7 @@
 const INITIAL_WINDOW_BYTES: f64 = 14_600.0;
 /// A request leaves its region only if it gains more than the network cost times this factor. The
 /// expected wait at home is an estimate too, and the request takes capacity from the other region's
-/// callers. Chosen after a trial with 1.5 times 60 ms (docs/design/regions.md).
+/// callers. Measured in a trial with 1.5 times 60 ms (docs/design/regions.md).
 const LEAVING_COST_FACTOR: f64 = 1.5;
 
 /// Network costs from the own hall to all halls.
--- a/components/routing/src/score.rs
+++ b/components/routing/src/score.rs
@@ -5,8 +5,8 @@
 use crate::decision::RoutingRequest;
 use crate::endpoint::EndpointState;
 
-/// Cost of a price per slot, in milliseconds per multiple by which it exceeds the lowest of the
-/// pool.
+/// Cost of a price per slot of twice the pool's lowest, in milliseconds. The cost is proportional to
+/// the excess over the lowest price.
 const PRICE_RATIO_MS: f64 = 60.0;
 /// Weight of each millisecond past the target.
 const LATE_WEIGHT: f64 = 3.0;
