--- a/components/gateway/src/decisions.rs
+++ b/components/gateway/src/decisions.rs
@@ -243,7 +243,7 @@
     // Only where there are several regions.
     fn hall_to_tell(&self) -> Option<String> {
         let state = self.state.borrow();
-        let topology = state.board.ways().topology();
+        let topology = state.board.network_costs().topology();
         let hall = topology.hall().to_string();
         topology.has_regions().then_some(hall)
     }
@@ -315,7 +315,7 @@
             reply.retry_ms = Some(wait.as_millis().min(i64::MAX as u128) as i64);
             return Some(reply);
         }
-        let topology = state.board.ways().topology();
+        let topology = state.board.network_costs().topology();
         let asked = Asked {
             route: query.route.unwrap_or_default() as u64,
             is_lost_when_cut: query.is_lost_when_cut.unwrap_or_default(),
@@ -415,13 +415,13 @@
         expected_ms: f64::from(placed.expected_ms),
         hold: Duration::from_millis(placed.hold_ms.max(0) as u64),
         weighed: placed.weighed.max(0) as usize,
-        counted: true,
+        is_placed_by_peer: true,
         version: placed.version.clone(),
         is_cold: false,
         hall: placed.hall.clone().unwrap_or_default(),
         home_ms: placed.home_ms.map(f64::from),
-        bytes_across: 0,
-        kept_for_link: false,
+        link_bytes: 0,
+        is_link_limited: false,
         slowdown: slowdown_of(placed.slowdown_percent).unwrap_or(Slowdown::NONE),
     }))
 }
--- a/components/gateway/src/state.rs
+++ b/components/gateway/src/state.rs
@@ -11,7 +11,7 @@
 use quarantine::Quarantine;
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
-use routing::placement::{Board, Exclusion, Placement, Work};
+use routing::placement::{Balancer, Exclusion, Placement, Work};
 use schema::settings::GatewaySettings;
 use topology::Topology;
 
@@ -25,7 +25,7 @@
 /// Everything the traffic thread decides from.
 #[derive(Debug)]
 pub(crate) struct State {
-    pub board: Board,
+    pub board: Balancer,
     // Whether the board holds all endpoints.
     pub endpoints_known: bool,
     pub directory: Option<Rc<Directory>>,
@@ -93,7 +93,7 @@
             sent_here: false,
         };
         let mut placement = self.choose(now, work, exclusion, asked)?;
-        self.board.sent_for_other(now, work, &placement);
+        self.board.placed_for_peer(now, work, &placement);
         self.tally.sent.push(sent_of(now, &placement));
         if self.gates.under_way(&work.service).is_none() {
             placement.version = None;
@@ -184,19 +184,19 @@
     pub fn set_settings(&mut self, now: Duration, settings: Arc<GatewaySettings>) {
         self.settings = settings;
         let kbit = self.settings.region_link_kbit.max(0) as u64;
-        self.board.ways_mut().set_link(kbit);
+        self.board.network_costs_mut().set_link_rate(kbit);
         self.set_link_parts(now);
     }
 
     fn set_link_parts(&mut self, now: Duration) {
         let kbit = self.settings.region_link_kbit.max(0) as u64;
         let parts = link_parts(
-            self.board.ways().topology(),
+            self.board.network_costs().topology(),
             kbit,
             self.fleet.decides,
             self.most_gateways,
         );
-        self.board.set_link_parts(now, &parts);
+        self.board.set_link_rates(now, &parts);
     }
 
     /// What repeats are allowed.
@@ -228,11 +228,11 @@
     }
 }
 
-fn board_of(settings: &GatewaySettings) -> Board {
+fn board_of(settings: &GatewaySettings) -> Balancer {
     let topology = Topology::new(&settings.zone, &settings.region, &settings.halls);
-    let mut board = Board::in_topology(topology);
+    let mut board = Balancer::with_topology(topology);
     let kbit = settings.region_link_kbit.max(0) as u64;
-    board.ways_mut().set_link(kbit);
+    board.network_costs_mut().set_link_rate(kbit);
     board
 }
 
--- a/components/node/src/control.rs
+++ b/components/node/src/control.rs
@@ -12,7 +12,7 @@
 use provider::{body_hash, Notice};
 use rand::SeedableRng;
 use rand_chacha::ChaCha8Rng;
-use routing::{CacheEvent, CacheGossip, Reading};
+use routing::{CacheEvent, CacheUpdate, Reading};
 use schema::messages::{Packet, Summary};
 use schema::settings::{Configuration, PoolKind};
 use slog::{error, info, warn};
@@ -207,13 +207,13 @@
         let mut traffic = self.shared.traffic();
         for change in changes {
             let sequence = change.sequence;
-            let gossip = match change {
-                c if c.cleared => CacheGossip::Cleared,
-                c if c.evicted.is_empty() => CacheGossip::Stored(c.stored),
-                c => CacheGossip::Evicted(c.evicted),
+            let update = match change {
+                c if c.cleared => CacheUpdate::Cleared,
+                c if c.evicted.is_empty() => CacheUpdate::Stored(c.stored),
+                c => CacheUpdate::Evicted(c.evicted),
             };
-            let event = CacheEvent { sequence, gossip };
-            traffic.router.cache_event(endpoint, &event);
+            let event = CacheEvent { sequence, update };
+            traffic.router.apply_cache_event(endpoint, &event);
         }
     }
 
@@ -288,7 +288,7 @@
                     queued: load.queued,
                     at,
                 };
-                self.shared.traffic().router.read(&name, reading);
+                self.shared.traffic().router.record_reading(&name, reading);
             }
             Action::UseSummary(summary) => self.use_summary(now, &summary),
             Action::Leave(..) => {}
@@ -358,7 +358,7 @@
         let queued = (summary.queued / summary.endpoints).max(0) as u32;
         for (name, slots) in of_cell {
             let running = slots.saturating_sub(free);
-            traffic.router.read(
+            traffic.router.record_reading(
                 &name,
                 Reading {
                     running,
--- a/components/routing/src/lib.rs
+++ b/components/routing/src/lib.rs
@@ -1,22 +1,22 @@
-//! Where a request runs: prefix affinity, load, price and reclaim risk, as a pure library.
+//! Chooses the endpoint that runs a request, by prefix affinity, load, price and reclaim risk.
 //!
-//! Time and randomness come in as values. Baselines stand beside the router so that every
-//! measurement shows both.
+//! The library does no I/O: time and randomness are passed in as values. Baseline policies stand
+//! beside the router so that benchmarks can compare against them.
 
 mod baseline;
-mod belief;
 mod decision;
 mod endpoint;
 pub mod placement;
+mod prefix_index;
 mod prompt;
 mod rendezvous;
 mod router;
 mod score;
 
 pub use baseline::Policy;
-pub use belief::{Belief, CacheEvent, CacheGossip};
-pub use decision::{Ask, Candidate, Decision};
+pub use decision::{Candidate, Decision, RoutingRequest};
 pub use endpoint::{EndpointState, Reading};
+pub use prefix_index::{CacheEvent, CacheUpdate, PrefixIndex};
 pub use prompt::{Prompt, BLOCK_BYTES, BYTES_PER_TOKEN};
 pub use rendezvous::{rank, weight};
 pub use router::Router;
--- a/components/routing/src/belief.rs
+++ b/components/routing/src/prefix_index.rs
@@ -1,36 +1,37 @@
-//! Which endpoint is believed to have which prefix cached.
+//! Index of the prompt prefixes that endpoints are believed to have cached.
 //!
-//! What this node sent is believed at once; the engines' cache events, late, doubled and with
-//! gaps, only correct it. A gap drops all that was believed of the endpoint.
+//! A prompt that this node sent is indexed at once. Cache events of the engines may arrive late,
+//! twice or with gaps, and only correct the index. A gap in the events drops all entries of the
+//! endpoint.
 
 use std::collections::HashMap;
 use std::num::NonZeroUsize;
 
 use lru::LruCache;
 
-/// Blocks kept over all endpoints; about 4 MB.
+/// Maximum number of blocks over all endpoints; about 4 MB.
 const MAX_BLOCKS: usize = 32_768;
-/// Endpoints remembered for one block.
+/// Maximum number of endpoints per block.
 const MAX_HOLDERS: usize = 8;
 
-/// A change of an endpoint's cache.
+/// A change of an endpoint's cache, with block hashes.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum CacheGossip {
+pub enum CacheUpdate {
     /// Blocks were stored.
     Stored(Vec<u64>),
     /// Blocks were evicted.
     Evicted(Vec<u64>),
-    /// Everything was dropped.
+    /// The whole cache was dropped.
     Cleared,
 }
 
 /// A numbered cache event of one endpoint.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct CacheEvent {
-    /// Counter of the endpoint, without holes at the source.
+    /// Sequence number given by the endpoint, which counts its events without gaps.
     pub sequence: u64,
     /// What changed.
-    pub gossip: CacheGossip,
+    pub update: CacheUpdate,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -45,25 +46,25 @@
     next_sequence: Option<u64>,
 }
 
-/// Beliefs about all endpoints of a node, bounded in size.
+/// Cached blocks of all endpoints of a node, bounded in size.
 #[derive(Debug)]
-pub struct Belief {
+pub struct PrefixIndex {
     blocks: LruCache<u64, Vec<Holder>>,
     progress: HashMap<u32, Progress>,
 }
 
-impl Default for Belief {
+impl Default for PrefixIndex {
     fn default() -> Self {
         let capacity = NonZeroUsize::new(MAX_BLOCKS).unwrap_or(NonZeroUsize::MIN);
-        Belief {
+        PrefixIndex {
             blocks: LruCache::new(capacity),
             progress: HashMap::new(),
         }
     }
 }
 
-impl Belief {
-    /// Believes that the endpoint has these blocks.
+impl PrefixIndex {
+    /// Adds an endpoint as a holder of these blocks.
     pub fn store(&mut self, endpoint: u32, blocks: &[u64]) {
         let generation = self.generation(endpoint);
         let holder = Holder {
@@ -80,12 +81,12 @@
         }
     }
 
-    /// Drops all that is believed of the endpoint.
+    /// Drops all entries of an endpoint.
     pub fn forget(&mut self, endpoint: u32) {
         self.progress.entry(endpoint).or_default().generation += 1;
     }
 
-    /// Takes one cache event; old and doubled ones change nothing.
+    /// Applies one cache event. Old and duplicate events change nothing.
     pub fn take_event(&mut self, endpoint: u32, event: &CacheEvent) {
         let expected = self.progress.entry(endpoint).or_default().next_sequence;
         if expected.is_some_and(|next| event.sequence < next) {
@@ -95,38 +96,39 @@
             self.forget(endpoint);
         }
         self.progress.entry(endpoint).or_default().next_sequence = Some(event.sequence + 1);
-        match &event.gossip {
-            CacheGossip::Stored(blocks) => self.store(endpoint, blocks),
-            CacheGossip::Evicted(blocks) => self.evict(endpoint, blocks),
-            CacheGossip::Cleared => self.forget(endpoint),
+        match &event.update {
+            CacheUpdate::Stored(blocks) => self.store(endpoint, blocks),
+            CacheUpdate::Evicted(blocks) => self.evict(endpoint, blocks),
+            CacheUpdate::Cleared => self.forget(endpoint),
         }
     }
 
-    /// Calls `found(endpoint, blocks)` with the number of leading blocks each endpoint holds.
+    /// Calls `found(endpoint, count)` for each endpoint that holds leading blocks, with rising
+    /// counts.
     pub fn holders(&self, blocks: &[u64], mut found: impl FnMut(u32, usize)) {
-        let mut level: Vec<u32> = Vec::new();
+        let mut holding: Vec<u32> = Vec::new();
         for (depth, block) in blocks.iter().enumerate() {
             let Some(holders) = self.blocks.peek(block) else {
                 return;
             };
-            let known = holders.iter().filter(|h| self.is_current(h));
-            let mut here: Vec<u32> = known.map(|h| h.endpoint).collect();
-            // A prefix is of use only without holes.
-            here.retain(|e| depth == 0 || level.contains(e));
-            if here.is_empty() {
+            let current = holders.iter().filter(|h| self.is_current(h));
+            let mut holding_next: Vec<u32> = current.map(|h| h.endpoint).collect();
+            // An engine can reuse a prefix only up to the first missing block.
+            holding_next.retain(|e| depth == 0 || holding.contains(e));
+            if holding_next.is_empty() {
                 return;
             }
-            here.iter().for_each(|e| found(*e, depth + 1));
-            level = here;
+            holding_next.iter().for_each(|e| found(*e, depth + 1));
+            holding = holding_next;
         }
     }
 
-    /// Number of blocks kept.
+    /// Returns the number of blocks in the index.
     pub fn len(&self) -> usize {
         self.blocks.len()
     }
 
-    /// Whether nothing is believed.
+    /// Whether the index is empty.
     pub fn is_empty(&self) -> bool {
         self.blocks.is_empty()
     }
@@ -152,9 +154,9 @@
 mod tests {
     use super::*;
 
-    fn depth(belief: &Belief, endpoint: u32, blocks: &[u64]) -> usize {
+    fn depth(index: &PrefixIndex, endpoint: u32, blocks: &[u64]) -> usize {
         let mut best = 0;
-        belief.holders(blocks, |e, depth| {
+        index.holders(blocks, |e, depth| {
             if e == endpoint {
                 best = depth;
             }
@@ -162,42 +164,42 @@
         best
     }
 
-    fn event(sequence: u64, gossip: CacheGossip) -> CacheEvent {
-        CacheEvent { sequence, gossip }
+    fn event(sequence: u64, update: CacheUpdate) -> CacheEvent {
+        CacheEvent { sequence, update }
     }
 
     #[test]
-    fn can_find_the_longest_prefix_without_holes() {
-        let mut belief = Belief::default();
-        belief.store(1, &[10, 20, 30]);
-        belief.store(2, &[10, 30]);
-        assert_eq!(depth(&belief, 1, &[10, 20, 30, 40]), 3);
-        assert_eq!(depth(&belief, 2, &[10, 20, 30]), 1);
+    fn finds_the_longest_prefix_without_missing_blocks() {
+        let mut index = PrefixIndex::default();
+        index.store(1, &[10, 20, 30]);
+        index.store(2, &[10, 30]);
+        assert_eq!(depth(&index, 1, &[10, 20, 30, 40]), 3);
+        assert_eq!(depth(&index, 2, &[10, 20, 30]), 1);
     }
 
     #[test]
-    fn a_gap_drops_what_was_believed() {
-        let mut belief = Belief::default();
-        belief.take_event(1, &event(5, CacheGossip::Stored(vec![10])));
-        belief.take_event(1, &event(7, CacheGossip::Stored(vec![11])));
-        assert_eq!(depth(&belief, 1, &[10]), 0);
-        assert_eq!(depth(&belief, 1, &[11]), 1);
+    fn a_gap_in_the_events_drops_all_entries_of_the_endpoint() {
+        let mut index = PrefixIndex::default();
+        index.take_event(1, &event(5, CacheUpdate::Stored(vec![10])));
+        index.take_event(1, &event(7, CacheUpdate::Stored(vec![11])));
+        assert_eq!(depth(&index, 1, &[10]), 0);
+        assert_eq!(depth(&index, 1, &[11]), 1);
     }
 
     #[test]
-    fn late_and_doubled_events_change_nothing() {
-        let mut belief = Belief::default();
-        belief.take_event(1, &event(5, CacheGossip::Stored(vec![10])));
-        belief.take_event(1, &event(6, CacheGossip::Evicted(vec![10])));
-        belief.take_event(1, &event(5, CacheGossip::Stored(vec![10])));
-        assert_eq!(depth(&belief, 1, &[10]), 0);
+    fn late_and_duplicate_events_change_nothing() {
+        let mut index = PrefixIndex::default();
+        index.take_event(1, &event(5, CacheUpdate::Stored(vec![10])));
+        index.take_event(1, &event(6, CacheUpdate::Evicted(vec![10])));
+        index.take_event(1, &event(5, CacheUpdate::Stored(vec![10])));
+        assert_eq!(depth(&index, 1, &[10]), 0);
     }
 
     #[test]
-    fn stays_within_its_bound() {
-        let mut belief = Belief::default();
+    fn the_index_stays_within_its_bound() {
+        let mut index = PrefixIndex::default();
         let blocks: Vec<u64> = (0..MAX_BLOCKS as u64 * 2).collect();
-        belief.store(1, &blocks);
-        assert_eq!(belief.len(), MAX_BLOCKS);
+        index.store(1, &blocks);
+        assert_eq!(index.len(), MAX_BLOCKS);
     }
 }
--- a/components/routing/tests/common/mod.rs
+++ b/components/routing/tests/common/mod.rs
@@ -1,10 +1,11 @@
-//! What the tests of placement share.
+//! Helpers shared by the placement tests.
 
 use directory::{Configuration, Engine, Service};
-use routing::placement::Board;
+use routing::placement::Balancer;
 
-/// Configures a service `s` of engines with so many slots, 100,000 tokens of memory and one token an event.
-pub fn configure(board: &mut Board, slots: u32) {
+/// Configures a service `s` of engines with this many slots, a cache of 100,000 tokens and one
+/// token per event.
+pub fn configure(balancer: &mut Balancer, slots: u32) {
     let engine = Engine {
         slots,
         cache_tokens: 100_000,
@@ -15,7 +16,7 @@
         engine: Some(engine),
         scaling: None,
     };
-    board.configure(&Configuration {
+    balancer.configure(&Configuration {
         services: [("s".to_string(), service)].into(),
         ..Configuration::default()
     });
--- a/components/routing/tests/promises.rs
+++ b/components/routing/tests/promises.rs
@@ -1,11 +1,11 @@
-//! What routing must never do, over random gossip and requests.
+//! Properties of routing that hold under random readings and requests.
 
 use std::time::Duration;
 
 use quickcheck::{Gen, QuickCheck, Testable};
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
-use routing::{Ask, Prompt, Reading, Router};
+use routing::{Prompt, Reading, Router, RoutingRequest};
 use schema::settings::{Endpoint, PriceClass, Priority};
 
 const SEED: u64 = 20261202;
@@ -37,8 +37,8 @@
     router
 }
 
-fn ask<'a>(prompt: &'a Prompt, exclude: &'a [String]) -> Ask<'a> {
-    Ask {
+fn request<'a>(prompt: &'a Prompt, exclude: &'a [String]) -> RoutingRequest<'a> {
+    RoutingRequest {
         pool: "chat",
         prompt,
         priority: Priority::STANDARD,
@@ -53,12 +53,12 @@
 }
 
 #[test]
-fn a_leaving_endpoint_gets_nothing_whatever_is_heard_later() {
+fn a_leaving_endpoint_is_never_chosen_whatever_is_recorded_later() {
     fn property(seed: u64) -> bool {
         let mut rng = ChaCha8Rng::seed_from_u64(seed);
         let mut router = router();
-        let gone = format!("w{}", rng.random_range(0..ENDPOINTS));
-        router.leave(&gone, Duration::from_secs(30));
+        let leaving = format!("w{}", rng.random_range(0..ENDPOINTS));
+        router.leave(&leaving, Duration::from_secs(30));
         (0..60).all(|step| {
             let now = Duration::from_millis(step * 100);
             let reading = Reading {
@@ -66,14 +66,18 @@
                 queued: 0,
                 at: now,
             };
-            router.read(&gone, reading);
-            router.answered(&gone);
-            router.leave(&gone, Duration::from_secs(90));
+            router.record_reading(&leaving, reading);
+            router.answered(&leaving);
+            router.leave(&leaving, Duration::from_secs(90));
             let prompt = conversation(rng.random_range(0..9));
-            let ask = ask(&prompt, &[]);
-            let chosen = router.choose(now, &ask, &mut rng).unwrap().chosen.endpoint;
-            router.sent(&chosen, &ask);
-            chosen != gone
+            let request = request(&prompt, &[]);
+            let chosen = router
+                .choose(now, &request, &mut rng)
+                .unwrap()
+                .chosen
+                .endpoint;
+            router.sent(&chosen, &request);
+            chosen != leaving
         })
     }
     check(property as fn(u64) -> bool);
@@ -87,7 +91,7 @@
         let exclude: Vec<String> = (0..ENDPOINTS - 1).map(|n| format!("w{n}")).collect();
         let prompt = conversation(seed);
         let decision = router
-            .choose(Duration::ZERO, &ask(&prompt, &exclude), &mut rng)
+            .choose(Duration::ZERO, &request(&prompt, &exclude), &mut rng)
             .unwrap();
         decision.chosen.endpoint == "w5" && decision.passed_over == ENDPOINTS - 1
     }
@@ -95,18 +99,18 @@
 }
 
 #[test]
-fn no_endpoint_is_named_when_all_leave() {
+fn no_endpoint_is_chosen_when_all_are_leaving() {
     let mut router = router();
     (0..ENDPOINTS).for_each(|n| router.leave(&format!("w{n}"), Duration::ZERO));
     let mut rng = ChaCha8Rng::seed_from_u64(1);
     assert_eq!(
-        router.choose(Duration::ZERO, &ask(&conversation(1), &[]), &mut rng),
+        router.choose(Duration::ZERO, &request(&conversation(1), &[]), &mut rng),
         None
     );
 }
 
 #[test]
-fn turns_of_a_conversation_meet_at_one_endpoint_from_different_nodes() {
+fn different_nodes_send_a_conversation_to_the_same_endpoint() {
     let mut rng = ChaCha8Rng::seed_from_u64(1);
     let (first, second) = (router(), router());
     let mut same = 0;
@@ -116,10 +120,10 @@
         later.extend(["answer ".repeat(100), "and then ".repeat(9)]);
         let later = Prompt::of_messages(&later);
         let a = first
-            .choose(Duration::ZERO, &ask(&later, &[]), &mut rng)
+            .choose(Duration::ZERO, &request(&later, &[]), &mut rng)
             .unwrap();
         let b = second
-            .choose(Duration::ZERO, &ask(&later, &[]), &mut rng)
+            .choose(Duration::ZERO, &request(&later, &[]), &mut rng)
             .unwrap();
         same += usize::from(a.chosen.endpoint == b.chosen.endpoint);
     }
@@ -127,17 +131,17 @@
 }
 
 #[test]
-fn a_full_home_does_not_hold_a_conversation() {
+fn a_conversation_leaves_an_overloaded_home_endpoint() {
     let mut rng = ChaCha8Rng::seed_from_u64(1);
     let mut router = router();
     let prompt = conversation(7);
     let home = router
-        .choose(Duration::ZERO, &ask(&prompt, &[]), &mut rng)
+        .choose(Duration::ZERO, &request(&prompt, &[]), &mut rng)
         .unwrap()
         .chosen
         .endpoint;
-    router.sent(&home, &ask(&prompt, &[]));
-    router.read(
+    router.sent(&home, &request(&prompt, &[]));
+    router.record_reading(
         &home,
         Reading {
             running: 4,
@@ -146,7 +150,7 @@
         },
     );
     let next = router
-        .choose(Duration::ZERO, &ask(&prompt, &[]), &mut rng)
+        .choose(Duration::ZERO, &request(&prompt, &[]), &mut rng)
         .unwrap();
     assert_ne!(next.chosen.endpoint, home);
 }
@@ -157,9 +161,9 @@
     let mut router = Router::default();
     router.configure(&[endpoint(0, 3000), endpoint(1, 1000)]);
     let prompt = conversation(3);
-    let cheap = Ask {
+    let cheap = RoutingRequest {
         latency_weight: 0,
-        ..ask(&prompt, &[])
+        ..request(&prompt, &[])
     };
     let chosen = router
         .choose(Duration::ZERO, &cheap, &mut rng)
@@ -170,16 +174,16 @@
 }
 
 #[test]
-fn an_endpoint_that_fails_is_passed_over_and_tried_again() {
+fn a_failed_endpoint_is_skipped_and_tried_again() {
     let mut rng = ChaCha8Rng::seed_from_u64(1);
     let mut router = Router::default();
     router.configure(&[endpoint(0, 1000)]);
     let prompt = conversation(3);
     router.failed(Duration::ZERO, "w0");
     assert!(router
-        .choose(Duration::from_millis(100), &ask(&prompt, &[]), &mut rng)
+        .choose(Duration::from_millis(100), &request(&prompt, &[]), &mut rng)
         .is_none());
     assert!(router
-        .choose(Duration::from_millis(300), &ask(&prompt, &[]), &mut rng)
+        .choose(Duration::from_millis(300), &request(&prompt, &[]), &mut rng)
         .is_some());
 }
