--- a/components/gateway/src/control/follow.rs
+++ b/components/gateway/src/control/follow.rs
@@ -6,7 +6,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use replica::{Change, Digest, Follower, Revision, Source as AskFirst, Step, Table};
+use replica::{Change, Digest, Follower, PreferredSource, Revision, Step, Table};
 use slog::{info, warn};
 use telemetry::Counter;
 use tokio::sync::Notify;
@@ -94,12 +94,12 @@
                 continue;
             }
             match self.next_step(topic) {
-                Step::Rest(time) => {
+                Step::Wait(time) => {
                     let _ = tokio::time::timeout(time, wake.notified()).await;
                 }
-                Step::Pull => self.pull(topic).await,
+                Step::PullFromPeer => self.pull(topic).await,
                 Step::List => self.list(topic).await,
-                Step::Changes { hold } => self.ask_for_changes(topic, hold).await,
+                Step::PollChanges { hold } => self.ask_for_changes(topic, hold).await,
             }
         }
     }
@@ -123,10 +123,10 @@
         let followed = known.followed_mut(topic);
         match is_far {
             true => {
-                followed.follower.leave_reading(now, self.spread);
-                followed.follower.others_begin(others_begin);
+                followed.follower.delegate_store_reads(now, self.spread);
+                followed.follower.set_readers_start(others_begin);
             }
-            false => followed.follower.read_itself(),
+            false => followed.follower.read_store_directly(),
         }
         let newest_era = self.store.era().newest;
         if followed.is_older_than_era(newest_era) && followed.listed_for_era < newest_era {
@@ -146,7 +146,7 @@
     ) -> Result<T, StoreError> {
         let wake = Arc::clone(&self.known.borrow().followed[&topic].wake);
         tokio::pin!(call);
-        while !self.known.borrow().followed[&topic].follower.may_pull() {
+        while !self.known.borrow().followed[&topic].follower.can_pull() {
             tokio::select! {
                 result = &mut call => return result,
                 () = wake.notified() => {}
@@ -170,7 +170,7 @@
             let known = self.known.borrow();
             let followed = &known.followed[&topic];
             let after = followed.table.known_to().unwrap_or_default();
-            (after, followed.follower.patience())
+            (after, followed.follower.response_timeout())
         };
         let sent = self.clock.now();
         let call = self.store.changes(topic, after, hold, patience);
@@ -256,7 +256,7 @@
             let known_to = followed.table.known_to().unwrap_or_default();
             followed.follower.caught_up(known_to);
             if let Some(bytes) = largest(&gossip) {
-                followed.follower.set_first(first_asked(bytes));
+                followed.follower.set_preferred_source(first_asked(bytes));
             }
             (gossip, is_first, is_restored)
         };
@@ -302,10 +302,10 @@
         let mut known = self.known.borrow_mut();
         let followed = known.followed_mut(topic);
         if !followed.table.covers(reported.changed_at) {
-            if is_far && !followed.follower.may_take_from_afar(now) {
+            if is_far && !followed.follower.can_pull_from_other_region(now) {
                 return;
             }
-            followed.follower.pull_again(now);
+            followed.follower.allow_pull_retry(now);
             followed.newer = Some((from, reported));
             followed.follower.newer_reported(reported.changed_at);
             followed.wake.notify_one();
@@ -363,10 +363,10 @@
 
 // Large rows would fill the links between gateways; the next change is taken to be as large as the last one, and to shrink as
 // rows do that name the same fields over and over. Where it doesn't, the gateway that is asked refuses, and the store is.
-fn first_asked(bytes: usize) -> AskFirst {
+fn first_asked(bytes: usize) -> PreferredSource {
     match bytes <= MOST_PASSED_ON * SHRINKS_BY {
-        true => AskFirst::Peer,
-        false => AskFirst::Store,
+        true => PreferredSource::Peer,
+        false => PreferredSource::Store,
     }
 }
 
--- a/components/gateway/src/control/known.rs
+++ b/components/gateway/src/control/known.rs
@@ -8,7 +8,7 @@
 use directory::{Configuration, Endpoint, StoreClock};
 use fleet::Scaler;
 use quarantine::Quarantine;
-use replica::{Follower, Source as AskFirst};
+use replica::{Follower, PreferredSource};
 use routing::placement::Sight;
 use schema::settings::GatewaySettings;
 use state::{Lease, LeaseTerms};
@@ -202,8 +202,8 @@
 // Until its size is known, a configuration is taken to be large.
 fn follow(topic: Topic, settings: &GatewaySettings) -> Followed {
     let first = match topic {
-        Topic::Configuration => AskFirst::Store,
-        _ => AskFirst::Peer,
+        Topic::Configuration => PreferredSource::Store,
+        _ => PreferredSource::Peer,
     };
     Followed::new(Follower::new(first, change_due(settings)))
 }
--- a/components/gateway/src/control/need.rs
+++ b/components/gateway/src/control/need.rs
@@ -58,7 +58,7 @@
         let followed = known.followed_mut(Topic::Endpoints);
         if followed.table.known_to().is_none() {
             // Whoever needs them later waits for others from then on.
-            followed.follower.read_itself();
+            followed.follower.read_store_directly();
             return;
         }
         known.endpoints.clear();
--- a/components/replica/src/follower.rs
+++ b/components/replica/src/follower.rs
@@ -44,19 +44,19 @@
     /// Ask the store for all rows.
     List,
     /// Ask the store for changes; the call may be held so long.
-    Changes {
+    PollChanges {
         /// Time for which the call is held.
         hold: Duration,
     },
     /// Take the changes from the gateway that reported newer ones.
-    Pull,
+    PullFromPeer,
     /// Nothing until others report changes, or this time has passed.
-    Rest(Duration),
+    Wait(Duration),
 }
 
 /// Who is asked first for a change that another gateway reported.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Source {
+pub enum PreferredSource {
     /// The store: for large rows, which would fill the links between gateways.
     Store,
     /// The gateway that reported it.
@@ -73,7 +73,7 @@
 /// How one topic is followed.
 #[derive(Debug)]
 pub struct Follower {
-    first: Source,
+    first: PreferredSource,
     hold: Duration,
     stale: Duration,
     spread_time: Duration,
@@ -92,7 +92,7 @@
 
 impl Follower {
     /// A follower that puts changes in force within `change_due`.
-    pub fn new(first: Source, change_due: Duration) -> Self {
+    pub fn new(first: PreferredSource, change_due: Duration) -> Self {
         let mut follower = Follower {
             first,
             hold: Duration::ZERO,
@@ -120,38 +120,38 @@
     }
 
     /// Sets who is asked first for a change that another gateway reported.
-    pub fn set_first(&mut self, first: Source) {
+    pub fn set_preferred_source(&mut self, first: PreferredSource) {
         self.first = first;
     }
 
     /// From now on a few gateways read the store for all of a region: this one takes rows from others, also when it
     /// knows none, and asks the store itself only once nothing was confirmed for too long. `spread` of 0 to 1 differs
     /// from gateway to gateway.
-    pub fn leave_reading(&mut self, now: Duration, spread: f64) {
+    pub fn delegate_store_reads(&mut self, now: Duration, spread: f64) {
         self.waits.get_or_insert(Waits { since: now, spread });
     }
 
     /// Where others read for this one, they cannot have begun before this time.
-    pub fn others_begin(&mut self, at: Duration) {
+    pub fn set_readers_start(&mut self, at: Duration) {
         if let Some(waits) = &mut self.waits {
             waits.since = waits.since.max(at);
         }
     }
 
     /// From now on this gateway asks the store like all others.
-    pub fn read_itself(&mut self) {
+    pub fn read_store_directly(&mut self) {
         self.waits = None;
     }
 
     /// Longest time of an answer past the time for which its call is held.
-    pub fn patience(&self) -> Duration {
+    pub fn response_timeout(&self) -> Duration {
         let doubled = FIRST_PATIENCE * (1 << self.store_failures.min(4));
         doubled.min(LONGEST_PATIENCE)
     }
 
     /// Whether rows may be taken from another region: from there only by those that the store does not answer, and
     /// where others read, once nothing was confirmed here for too long.
-    pub fn may_take_from_afar(&self, now: Duration) -> bool {
+    pub fn can_pull_from_other_region(&self, now: Duration) -> bool {
         let overdue = |waits| now >= self.overdue_at(waits);
         !self.reaches_store() || self.waits.is_some_and(overdue)
     }
@@ -160,15 +160,15 @@
     /// store, `known` whether any rows were taken yet.
     pub fn step(&self, now: Duration, watches: bool, known: bool) -> Step {
         // A whole table comes from the store, whose link is wider than a gateway's, unless others read for this one.
-        let asks_peer = (self.first == Source::Peer && known)
+        let asks_peer = (self.first == PreferredSource::Peer && known)
             || self.store_failures > 0
             || self.waits.is_some();
-        if asks_peer && self.may_pull() {
-            return Step::Pull;
+        if asks_peer && self.can_pull() {
+            return Step::PullFromPeer;
         }
         let due = self.store_due(now, watches, known);
         if now < due {
-            return Step::Rest(due - now);
+            return Step::Wait(due - now);
         }
         if !known {
             return Step::List;
@@ -179,7 +179,7 @@
             true => self.hold,
             false => Duration::ZERO,
         };
-        Step::Changes { hold }
+        Step::PollChanges { hold }
     }
 
     /// All changes up to `at` on the own clock are known.
@@ -201,7 +201,7 @@
     }
 
     /// A change that was not passed on when it was asked for may be asked for again, of whoever reports it next.
-    pub fn pull_again(&mut self, now: Duration) {
+    pub fn allow_pull_retry(&mut self, now: Duration) {
         if self.waits.is_some() && now >= self.pull_next_at {
             self.pull_failed = false;
         }
@@ -216,7 +216,7 @@
     }
 
     /// Whether a change that is not known here can be had of another gateway.
-    pub fn may_pull(&self) -> bool {
+    pub fn can_pull(&self) -> bool {
         self.newer_reported.is_some() && !self.pull_failed
     }
 
--- a/components/replica/src/lib.rs
+++ b/components/replica/src/lib.rs
@@ -8,6 +8,6 @@
 mod revision;
 mod table;
 
-pub use follower::{Digest, Follower, Source, Step};
+pub use follower::{Digest, Follower, PreferredSource, Step};
 pub use revision::Revision;
 pub use table::{Change, Table, TablePage};
--- a/components/replica/tests/eras.rs
+++ b/components/replica/tests/eras.rs
@@ -3,7 +3,7 @@
 use std::collections::BTreeMap;
 
 use quickcheck::{Arbitrary, Gen, QuickCheck};
-use replica::{Change, Digest, Follower, Revision, Source, Step, Table};
+use replica::{Change, Digest, Follower, PreferredSource, Revision, Step, Table};
 use std::time::Duration;
 
 const SEED: u64 = 20261203;
@@ -291,12 +291,12 @@
 #[test]
 fn calls_back_off_while_the_history_of_the_store_is_gone() {
     let due = Duration::from_secs(2);
-    let mut follower = Follower::new(Source::Peer, due);
+    let mut follower = Follower::new(PreferredSource::Peer, due);
     let mut now = Duration::ZERO;
     let mut calls = 0;
     while now < Duration::from_secs(10) {
         match follower.step(now, true, true) {
-            Step::Rest(time) => now += time,
+            Step::Wait(time) => now += time,
             _ => {
                 calls += 1;
                 follower.history_gone(now);
