--- a/components/gateway/src/control/follow.rs
+++ b/components/gateway/src/control/follow.rs
@@ -70,7 +70,7 @@
 
     /// Whether the rows are of the era of a revision and include all changes up to it.
     fn is_current_at(&self, revision: Revision) -> bool {
-        self.table.is_same_era(revision) && self.table.covers(revision)
+        self.table.is_same_era(revision) && self.table.has_changes_up_to(revision)
     }
 
     /// What is reported to other gateways, once anything is known.
@@ -132,10 +132,10 @@
         if followed.is_older_than_era(newest_era) && followed.listed_for_era < newest_era {
             // The known revision may denote a different change in the new era.
             followed.listed_for_era = newest_era;
-            followed.table.restart();
+            followed.table.require_list();
         }
-        let can_go_on = followed.table.can_go_on();
-        followed.follower.step(now, watches, can_go_on)
+        let can_poll_changes = followed.table.can_poll_changes();
+        followed.follower.step(now, watches, can_poll_changes)
     }
 
     // A store that says nothing must not keep a change from here that others know.
@@ -250,8 +250,8 @@
                 followed.confirmed = Duration::ZERO;
             }
             let gossip = match whole {
-                true => followed.table.take_all(changes, known_to),
-                false => followed.table.take(changes, known_to),
+                true => followed.table.apply_list(changes, known_to),
+                false => followed.table.apply_changes(changes, known_to),
             };
             let known_to = followed.table.known_to().unwrap_or_default();
             followed.follower.caught_up(known_to);
@@ -301,7 +301,7 @@
         let now = self.clock.now();
         let mut known = self.known.borrow_mut();
         let followed = known.followed_mut(topic);
-        if !followed.table.covers(reported.changed_at) {
+        if !followed.table.has_changes_up_to(reported.changed_at) {
             if is_far && !followed.follower.can_pull_from_other_region(now) {
                 return;
             }
@@ -344,7 +344,7 @@
             info!(self.log, "history of the store is gone"; "topic" => ?topic,
                 "known_to" => followed.table.known_to().map(|known_to| known_to.number),
                 "era" => self.store.era().newest);
-            followed.table.restart();
+            followed.table.require_list();
             followed.follower.history_gone(now);
             return;
         }
--- a/components/gateway/src/control/passing.rs
+++ b/components/gateway/src/control/passing.rs
@@ -97,7 +97,9 @@
         self.confirm_digest(topic, reported);
         let covers = {
             let known = self.known.borrow();
-            known.followed[&topic].table.covers(reported.changed_at)
+            known.followed[&topic]
+                .table
+                .has_changes_up_to(reported.changed_at)
         };
         if !covers {
             self.note_pull_failure(topic, Some(from));
--- a/components/replica/src/table.rs
+++ b/components/replica/src/table.rs
@@ -62,14 +62,14 @@
     }
 
     /// Whether all changes up to a revision are known.
-    pub fn covers(&self, revision: Revision) -> bool {
+    pub fn has_changes_up_to(&self, revision: Revision) -> bool {
         self.known_to.is_some_and(|known_to| known_to >= revision)
     }
 
     /// Whether a digest confirms that the known rows are current. A digest of another era does not, even if its
     /// revision numbers are higher.
     pub fn is_confirmed_by(&self, reported: &Digest) -> bool {
-        self.covers(reported.changed_at) && self.is_same_era(reported.known_to)
+        self.has_changes_up_to(reported.changed_at) && self.is_same_era(reported.known_to)
     }
 
     /// Whether the known rows are of the era of a revision.
@@ -87,9 +87,9 @@
 
     /// Takes changes up to a revision and returns those that were not known. Changes of another era are
     /// ignored; those of a later era require a list first.
-    pub fn take(&mut self, changes: Vec<Change>, known_to: Revision) -> Vec<Change> {
+    pub fn apply_changes(&mut self, changes: Vec<Change>, known_to: Revision) -> Vec<Change> {
         if self.known_to.is_some() && !self.is_same_era(known_to) {
-            self.restarted |= !self.covers(known_to);
+            self.restarted |= !self.has_changes_up_to(known_to);
             return Vec::new();
         }
         let gossip: Vec<Change> = changes
@@ -106,7 +106,7 @@
 
     /// Takes all rows as they stood at a revision and returns what changed; rows that are not
     /// among them and are older have been dropped. Rows of an earlier era are ignored.
-    pub fn take_all(&mut self, rows: Vec<Change>, known_to: Revision) -> Vec<Change> {
+    pub fn apply_list(&mut self, rows: Vec<Change>, known_to: Revision) -> Vec<Change> {
         let is_of_later_era = |known: Revision| known.era > known_to.era;
         if self.known_to.is_some_and(is_of_later_era) {
             return Vec::new();
@@ -131,14 +131,14 @@
         self.known_to = self.known_to.max(Some(known_to));
         self.restarted = false;
         let mut gossip = dropped;
-        gossip.extend(self.take(rows, known_to));
+        gossip.extend(self.apply_changes(rows, known_to));
         // Gateways send one era for all rows, so tombstones of earlier eras must not remain.
         self.rows.retain(|_, row| row.revision.era == known_to.era);
         gossip
     }
 
     /// The changes after a revision, or `None` if not all of them are known.
-    pub fn since(&self, after: Revision) -> Option<Vec<Change>> {
+    pub fn changes_since(&self, after: Revision) -> Option<Vec<Change>> {
         if after < self.base {
             return None;
         }
@@ -180,23 +180,23 @@
     }
 
     /// All rows that stand.
-    pub fn standing(&self) -> Vec<Change> {
+    pub fn live_rows(&self) -> Vec<Change> {
         let standing = self.rows.values().filter(|row| row.value.is_some());
         standing.cloned().collect()
     }
 
     /// All rows, with those dropped that are remembered: a reader gets as far as this copy.
-    pub fn all(&self) -> Vec<Change> {
+    pub fn rows_with_tombstones(&self) -> Vec<Change> {
         self.rows.values().cloned().collect()
     }
 
     /// The store's history is gone. What is known stays, also for others.
-    pub fn restart(&mut self) {
+    pub fn require_list(&mut self) {
         self.restarted = true;
     }
 
     /// Whether the store can be asked for changes, and not only for all rows.
-    pub fn can_go_on(&self) -> bool {
+    pub fn can_poll_changes(&self) -> bool {
         self.known_to.is_some() && !self.restarted
     }
 
--- a/components/replica/tests/eras.rs
+++ b/components/replica/tests/eras.rs
@@ -87,9 +87,9 @@
 
 fn apply_answer(table: &mut Table, answer: Answer) {
     match answer {
-        Answer::List(rows, revision) => drop(table.take_all(rows, revision)),
-        Answer::Changes(rows, revision) => drop(table.take(rows, revision)),
-        Answer::HistoryGone => table.restart(),
+        Answer::List(rows, revision) => drop(table.apply_list(rows, revision)),
+        Answer::Changes(rows, revision) => drop(table.apply_changes(rows, revision)),
+        Answer::HistoryGone => table.require_list(),
     }
 }
 
@@ -112,8 +112,8 @@
         ..row
     });
     match page.whole {
-        true => reader.take_all(rows.collect(), known_to),
-        false => reader.take(rows.collect(), known_to),
+        true => reader.apply_list(rows.collect(), known_to),
+        false => reader.apply_changes(rows.collect(), known_to),
     };
 }
 
@@ -166,7 +166,7 @@
 
     fn call(&self, reader: usize) -> Answer {
         let table = &self.tables[reader];
-        match table.known_to().filter(|_| table.can_go_on()) {
+        match table.known_to().filter(|_| table.can_poll_changes()) {
             Some(known_to) => self.store.feed(known_to),
             None => self.store.list(),
         }
@@ -205,7 +205,7 @@
         let Some(reported) = digest(&self.tables[from]) else {
             return;
         };
-        if !self.tables[to].covers(reported.changed_at) && !self.has_call_in_flight(to) {
+        if !self.tables[to].has_changes_up_to(reported.changed_at) && !self.has_call_in_flight(to) {
             let source = std::mem::take(&mut self.tables[from]);
             pull(&mut self.tables[to], &source);
             self.tables[from] = source;
@@ -221,7 +221,7 @@
             let Some(known_to) = table.known_to() else {
                 return true;
             };
-            let rows = table.standing().into_iter();
+            let rows = table.live_rows().into_iter();
             let rows = rows.map(|row| (row.key, row.value.map(|value| value[0])));
             let history = self.store.history[&known_to].iter();
             rows.eq(history.map(|(key, row)| (key.clone(), row.0)))
@@ -273,18 +273,18 @@
 #[test]
 fn a_digest_of_another_era_confirms_nothing() {
     let mut restored = Table::default();
-    restored.take_all(Vec::new(), Revision::new(0, 250));
+    restored.apply_list(Vec::new(), Revision::new(0, 250));
     let earlier = digest(&restored).unwrap();
-    restored.take_all(Vec::new(), Revision::new(1, 200));
+    restored.apply_list(Vec::new(), Revision::new(1, 200));
     assert!(
-        restored.covers(earlier.changed_at),
+        restored.has_changes_up_to(earlier.changed_at),
         "the earlier era must not trigger a pull"
     );
     assert!(!restored.is_confirmed_by(&earlier));
     let mut stale = Table::default();
-    stale.take_all(Vec::new(), Revision::new(0, 250));
+    stale.apply_list(Vec::new(), Revision::new(0, 250));
     let later = digest(&restored).unwrap();
-    assert!(!stale.covers(later.changed_at));
+    assert!(!stale.has_changes_up_to(later.changed_at));
     assert!(!stale.is_confirmed_by(&later));
 }
 
--- a/components/replica/tests/tables.rs
+++ b/components/replica/tests/tables.rs
@@ -39,81 +39,88 @@
 #[test]
 fn an_older_change_never_undoes_a_newer_one() {
     let mut table = Table::default();
-    table.take(vec![change(1, Some(2), 9)], rev(9));
-    assert!(table.take(vec![change(1, Some(1), 5)], rev(5)).is_empty());
-    assert!(table.take(vec![change(1, None, 8)], rev(8)).is_empty());
-    assert_eq!(table.standing(), [change(1, Some(2), 9)]);
+    table.apply_changes(vec![change(1, Some(2), 9)], rev(9));
+    assert!(table
+        .apply_changes(vec![change(1, Some(1), 5)], rev(5))
+        .is_empty());
+    assert!(table
+        .apply_changes(vec![change(1, None, 8)], rev(8))
+        .is_empty());
+    assert_eq!(table.live_rows(), [change(1, Some(2), 9)]);
     assert_eq!(table.known_to(), Some(rev(9)));
 }
 
 #[test]
 fn a_row_that_is_not_listed_any_more_was_dropped_unless_it_is_newer_than_the_list() {
     let mut table = Table::default();
-    table.take(vec![change(1, Some(1), 3), change(2, Some(1), 12)], rev(12));
-    let gossip = table.take_all(vec![change(3, Some(1), 7)], rev(10));
+    table.apply_changes(vec![change(1, Some(1), 3), change(2, Some(1), 12)], rev(12));
+    let gossip = table.apply_list(vec![change(3, Some(1), 7)], rev(10));
     assert_eq!(gossip, [change(1, None, 10), change(3, Some(1), 7)]);
-    let standing = table.standing();
+    let standing = table.live_rows();
     assert_eq!(standing, [change(2, Some(1), 12), change(3, Some(1), 7)]);
 }
 
 #[test]
 fn a_reader_from_before_the_copy_began_gets_all_rows() {
     let mut table = Table::default();
-    table.take_all(vec![change(1, Some(1), 3)], rev(10));
-    assert_eq!(table.since(rev(9)), None);
-    table.take(vec![change(2, None, 11)], rev(11));
-    assert_eq!(table.since(rev(10)), Some(vec![change(2, None, 11)]));
+    table.apply_list(vec![change(1, Some(1), 3)], rev(10));
+    assert_eq!(table.changes_since(rev(9)), None);
+    table.apply_changes(vec![change(2, None, 11)], rev(11));
+    assert_eq!(
+        table.changes_since(rev(10)),
+        Some(vec![change(2, None, 11)])
+    );
 }
 
 #[test]
 fn a_row_that_was_dropped_before_all_that_saw_it_were_replaced_is_dropped_everywhere() {
     let mut stale = Table::default();
-    stale.take_all(
+    stale.apply_list(
         vec![change(1, Some(1), 40), change(2, Some(1), 140)],
         rev(155),
     );
     // Row 1 was dropped at 160; this copy began after that.
     let mut fresh = Table::default();
-    fresh.take_all(vec![change(2, Some(1), 140)], rev(170));
-    assert!(!stale.covers(fresh.changed_at()));
+    fresh.apply_list(vec![change(2, Some(1), 140)], rev(170));
+    assert!(!stale.has_changes_up_to(fresh.changed_at()));
     pull(&mut stale, &fresh);
-    assert_eq!(stale.standing(), [change(2, Some(1), 140)]);
-    assert!(stale.covers(fresh.changed_at()));
+    assert_eq!(stale.live_rows(), [change(2, Some(1), 140)]);
+    assert!(stale.has_changes_up_to(fresh.changed_at()));
 }
 
 // Guards against counting a dropped row of the source as listed, which kept the reader's newer row.
 #[test]
 fn a_row_is_dropped_when_all_rows_of_another_copy_hold_only_an_older_drop_of_it() {
     let mut source = Table::default();
-    source.take(vec![change(1, None, 1)], rev(1));
+    source.apply_changes(vec![change(1, None, 1)], rev(1));
     let mut reader = Table::default();
-    reader.take_all(vec![change(1, Some(2), 2)], rev(2));
+    reader.apply_list(vec![change(1, Some(2), 2)], rev(2));
     // The list omits the row that was dropped again at 3, so the source keeps only the drop at 1.
-    source.take_all(Vec::new(), rev(3));
+    source.apply_list(Vec::new(), rev(3));
     pull(&mut reader, &source);
-    assert!(reader.standing().is_empty());
+    assert!(reader.live_rows().is_empty());
 }
 
 #[test]
 fn a_copy_that_began_with_a_list_is_covered_by_whoever_knows_the_changes_up_to_it() {
     let mut older = Table::default();
-    older.take_all(vec![change(1, Some(1), 40)], rev(100));
+    older.apply_list(vec![change(1, Some(1), 40)], rev(100));
     older.advance(rev(200));
     let mut fresh = Table::default();
-    fresh.take_all(vec![change(1, Some(1), 40)], rev(170));
-    assert!(older.covers(fresh.changed_at()));
+    fresh.apply_list(vec![change(1, Some(1), 40)], rev(170));
+    assert!(older.has_changes_up_to(fresh.changed_at()));
 }
 
 #[test]
 fn a_copy_whose_store_forgot_its_history_still_serves_others() {
     let mut table = Table::default();
-    table.take_all(vec![change(1, Some(1), 3)], rev(10));
-    table.restart();
-    assert!(!table.can_go_on());
+    table.apply_list(vec![change(1, Some(1), 3)], rev(10));
+    table.require_list();
+    assert!(!table.can_poll_changes());
     assert_eq!(table.known_to(), Some(rev(10)));
-    assert_eq!(table.since(rev(10)), Some(Vec::new()));
-    table.take_all(vec![change(1, Some(1), 3)], rev(12));
-    assert!(table.can_go_on());
+    assert_eq!(table.changes_since(rev(10)), Some(Vec::new()));
+    table.apply_list(vec![change(1, Some(1), 3)], rev(12));
+    assert!(table.can_poll_changes());
 }
 
 #[test]
@@ -125,10 +132,10 @@
             value: None,
             revision: rev(revision),
         };
-        table.take(vec![dropped], rev(revision));
+        table.apply_changes(vec![dropped], rev(revision));
     }
-    assert_eq!(table.since(rev(0)), None);
-    let kept = table.since(rev(4990)).map(|rows| rows.len());
+    assert_eq!(table.changes_since(rev(0)), None);
+    let kept = table.changes_since(rev(4990)).map(|rows| rows.len());
     assert_eq!(kept, Some(10));
 }
 
@@ -146,21 +153,21 @@
         let middle = usize::from(listed_after) % writes.len();
         let mut first = Table::default();
         let mut second = Table::default();
-        first.take_all(standing(&written(&writes[..middle])), rev(middle as u64));
+        first.apply_list(standing(&written(&writes[..middle])), rev(middle as u64));
         for count in middle..writes.len() {
             let rows = written(&writes[..=count]);
             let newest = rows
                 .into_iter()
                 .filter(|row| row.revision > rev(count as u64));
-            first.take(newest.collect(), rev(count as u64 + 1));
+            first.apply_changes(newest.collect(), rev(count as u64 + 1));
             let is_last = count + 1 == writes.len();
             if is_last || pulled_after.contains(&(count as u8)) {
                 pull(&mut second, &first);
             }
         }
         let expected = standing(&written(&writes));
-        let agree = first.standing() == expected && second.standing() == expected;
-        TestResult::from_bool(agree && second.covers(first.changed_at()))
+        let agree = first.live_rows() == expected && second.live_rows() == expected;
+        TestResult::from_bool(agree && second.has_changes_up_to(first.changed_at()))
     }
     QuickCheck::new()
         .rng(Gen::from_size_and_seed(100, SEED))
@@ -170,9 +177,9 @@
 
 fn pull(reader: &mut Table, source: &Table) {
     let known_to = source.known_to().unwrap_or_default();
-    match source.since(reader.known_to().unwrap_or_default()) {
-        Some(changes) => reader.take(changes, known_to),
-        None => reader.take_all(source.all(), known_to),
+    match source.changes_since(reader.known_to().unwrap_or_default()) {
+        Some(changes) => reader.apply_changes(changes, known_to),
+        None => reader.apply_list(source.rows_with_tombstones(), known_to),
     };
 }
 
@@ -180,7 +187,7 @@
 fn pages_of_any_size_hold_what_the_whole_table_holds() {
     fn same(writes: Vec<(u8, Option<u8>)>, most: u8, after: u8) -> TestResult {
         let mut table = Table::default();
-        table.take(written(&writes), rev(writes.len() as u64));
+        table.apply_changes(written(&writes), rev(writes.len() as u64));
         let (after, most) = (rev(u64::from(after) % 20), usize::from(most % 9));
         let mut rows: Vec<Change> = Vec::new();
         loop {
@@ -191,7 +198,7 @@
                 break;
             }
         }
-        TestResult::from_bool(table.since(after) == Some(rows))
+        TestResult::from_bool(table.changes_since(after) == Some(rows))
     }
     QuickCheck::new()
         .tests(CASES)
@@ -202,7 +209,7 @@
 #[test]
 fn a_page_for_a_reader_behind_the_list_that_a_copy_began_with_is_one_of_all_rows() {
     let mut table = Table::default();
-    table.take_all(vec![change(1, Some(1), 3), change(2, Some(2), 4)], rev(5));
+    table.apply_list(vec![change(1, Some(1), 3), change(2, Some(2), 4)], rev(5));
     let page = table.page(rev(4), None, 1);
     assert!(page.whole && page.more);
     assert_eq!(page.rows, [change(1, Some(1), 3)]);
