--- a/components/replica/src/follower.rs
+++ b/components/replica/src/follower.rs
@@ -1,198 +1,202 @@
-//! Whether a gateway asks the store, asks another gateway, or waits.
+//! Decides whether a gateway reads a topic from the store, pulls it from another gateway, or delegation.
 
 use std::time::Duration;
 
 use crate::revision::Revision;
 
-/// A call of the store is held so long, in parts of the time within which a change is to be in force.
-const HOLD_PART: f64 = 0.3;
-/// Past this age of the last confirmation a gateway asks the store itself, in the same parts. A
-/// change has to be in force in time also if all that hold calls have died: what is left is for the
-/// call and a lost packet.
-const STALE_PART: f64 = 0.65;
-/// Pause after a failed call; it doubles with each one in a row.
-const FIRST_PAUSE: Duration = Duration::from_millis(150);
-/// Longest such pause.
-const LONGEST_PAUSE: Duration = Duration::from_millis(600);
-/// Longest such pause of a gateway that others read for.
-const LONGEST_PAUSE_OF_TAKERS: Duration = Duration::from_millis(1200);
-/// A gateway that others read for asks the store itself after the same age and this part more, each at its own
-/// point of it: all at once they would fill the link that kept the confirmation from them.
-const SPREAD_PART: f64 = 0.2;
-/// Pause before rows that were not passed on are asked for again; it doubles with each time.
-const PULL_PAUSE: Duration = Duration::from_millis(100);
-/// Longest time of an answer past the time for which its call is held; it doubles after a failed call, since one that
-/// is asked for again over a full link fills it the more.
-const FIRST_PATIENCE: Duration = Duration::from_millis(1000);
-/// The most that it doubles to: a call that is lost while the store says nothing ends within it.
-const LONGEST_PATIENCE: Duration = Duration::from_millis(2000);
+/// Longest time for which the store holds a long poll, as a fraction of the time within which a change has to be in force.
+const HOLD_FRACTION: f64 = 0.3;
+/// Age of the last confirmation, as a fraction of the same time, after which a gateway asks the store itself. A change
+/// has to be in force in time even if all gateways with long polls have died; the remaining time covers the call and a
+/// lost packet.
+const STALENESS_FRACTION: f64 = 0.65;
+/// Backoff after the first failed call of the store; it doubles with each consecutive failure.
+const INITIAL_BACKOFF: Duration = Duration::from_millis(150);
+/// Upper limit of the backoff.
+const MAX_BACKOFF: Duration = Duration::from_millis(600);
+/// Upper limit of the backoff of a gateway that delegates its store reads, before it is scaled by the spread.
+const MAX_DELEGATED_BACKOFF: Duration = Duration::from_millis(1200);
+/// Range, as a fraction of the same time, over which gateways that delegate their store reads stagger their own calls
+/// after that age. Calls made all at once would fill the link whose load delayed the confirmation.
+const SPREAD_FRACTION: f64 = 0.2;
+/// Backoff after the first failed pull from another gateway; it doubles with each consecutive failure.
+const INITIAL_PULL_BACKOFF: Duration = Duration::from_millis(100);
+/// Timeout of a store call, in addition to its hold time. It doubles with each failed call, since a repeated call adds
+/// to the load of a full link.
+const INITIAL_RESPONSE_TIMEOUT: Duration = Duration::from_millis(1000);
+/// Upper limit of the timeout, within which a lost call to a silent store ends.
+const MAX_RESPONSE_TIMEOUT: Duration = Duration::from_millis(2000);
 
-/// What another gateway reports a topic.
+/// What a gateway reports to others about its copy of a topic.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Digest {
-    /// Revision after which nothing changed, as far as it knows.
+    /// Revision after which the gateway knows of no change.
     pub changed_at: Revision,
-    /// Revision up to which it knows all changes, of the same era.
+    /// Revision of the same era up to which the gateway knows all changes.
     pub known_to: Revision,
-    /// The store's steady time at which that was confirmed.
+    /// Time of the store's monotonic clock at which `known_to` was confirmed to be the newest revision.
     pub confirmed: Duration,
 }
 
-/// What to do next.
+/// The next action of a follower.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Step {
-    /// Ask the store for all rows.
+    /// List all rows of the store.
     List,
-    /// Ask the store for changes; the call may be held so long.
+    /// Ask the store for changes, with a long poll if `hold` is not zero.
     PollChanges {
-        /// Time for which the call is held.
+        /// Longest time for which the store holds the call.
         hold: Duration,
     },
-    /// Take the changes from the gateway that reported newer ones.
+    /// Pull the changes from the gateway that reported newer ones.
     PullFromPeer,
-    /// Nothing until others report changes, or this time has passed.
+    /// Wait until another gateway reports changes, at most for this time.
     Wait(Duration),
 }
 
-/// Who is asked first for a change that another gateway reported.
+/// Where a change that another gateway reported is read from first.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum PreferredSource {
-    /// The store: for large rows, which would fill the links between gateways.
+    /// The store, for large rows that would fill the links between gateways.
     Store,
     /// The gateway that reported it.
     Peer,
 }
 
-// Others read for this gateway: since when it follows, and its point of the spread, 0 to 1.
+// Other gateways read the store for this one.
 #[derive(Clone, Copy, Debug)]
-struct Waits {
+struct Delegation {
+    // Time from which the readers are expected to confirm rows.
     since: Duration,
+    // Fraction, 0 to 1, of the spread window by which this gateway delays its own calls of the store.
     spread: f64,
 }
 
-/// How one topic is followed.
+/// Schedules the reads that keep the copy of one topic up to date. Times are of the own monotonic clock.
 #[derive(Debug)]
 pub struct Follower {
-    first: PreferredSource,
+    preferred_source: PreferredSource,
     hold: Duration,
-    stale: Duration,
-    spread_time: Duration,
+    max_staleness: Duration,
+    spread_window: Duration,
     confirmed_at: Option<Duration>,
     newer_reported: Option<Revision>,
-    // The store cannot be asked, or the last gateway that was asked gave nothing.
+    // Consecutive calls that the store did not answer.
     store_failures: u32,
-    // Consecutive calls for changes that failed because the store's history was gone.
+    // Consecutive calls for changes that failed because the store no longer had the history.
     history_failures: u32,
+    // The last pull failed, and no gateway may be asked again yet.
     pull_failed: bool,
     pull_failures: u32,
-    pull_next_at: Duration,
-    store_next_at: Duration,
-    waits: Option<Waits>,
+    next_pull_at: Duration,
+    next_store_call_at: Duration,
+    delegation: Option<Delegation>,
 }
 
 impl Follower {
-    /// A follower that puts changes in force within `change_due`.
-    pub fn new(first: PreferredSource, change_due: Duration) -> Self {
+    /// Creates a follower that reads often enough for changes to be in force within `change_due`.
+    pub fn new(preferred_source: PreferredSource, change_due: Duration) -> Self {
         let mut follower = Follower {
-            first,
+            preferred_source,
             hold: Duration::ZERO,
-            stale: Duration::ZERO,
-            spread_time: Duration::ZERO,
+            max_staleness: Duration::ZERO,
+            spread_window: Duration::ZERO,
             confirmed_at: None,
             newer_reported: None,
             store_failures: 0,
             history_failures: 0,
             pull_failed: false,
             pull_failures: 0,
-            pull_next_at: Duration::ZERO,
-            store_next_at: Duration::ZERO,
-            waits: None,
+            next_pull_at: Duration::ZERO,
+            next_store_call_at: Duration::ZERO,
+            delegation: None,
         };
         follower.set_change_due(change_due);
         follower
     }
 
-    /// Sets the time within which a change is to be in force.
+    /// Sets the time within which a change has to be in force.
     pub fn set_change_due(&mut self, change_due: Duration) {
-        self.hold = change_due.mul_f64(HOLD_PART);
-        self.stale = change_due.mul_f64(STALE_PART);
-        self.spread_time = change_due.mul_f64(SPREAD_PART);
+        self.hold = change_due.mul_f64(HOLD_FRACTION);
+        self.max_staleness = change_due.mul_f64(STALENESS_FRACTION);
+        self.spread_window = change_due.mul_f64(SPREAD_FRACTION);
     }
 
-    /// Sets who is asked first for a change that another gateway reported.
-    pub fn set_preferred_source(&mut self, first: PreferredSource) {
-        self.first = first;
+    /// Sets where a change that another gateway reported is read from first.
+    pub fn set_preferred_source(&mut self, preferred_source: PreferredSource) {
+        self.preferred_source = preferred_source;
     }
 
-    /// From now on a few gateways read the store for all of a region: this one takes rows from others, also when it
-    /// knows none, and asks the store itself only once nothing was confirmed for too long. `spread` of 0 to 1 differs
-    /// from gateway to gateway.
+    /// Leaves reading the store to a few other gateways of the region. This gateway pulls all rows from them, and calls
+    /// the store itself only once its last confirmation is too old. `spread`, 0 to 1, differs between gateways and
+    /// staggers these calls.
     pub fn delegate_store_reads(&mut self, now: Duration, spread: f64) {
-        self.waits.get_or_insert(Waits { since: now, spread });
+        self.delegation
+            .get_or_insert(Delegation { since: now, spread });
     }
 
-    /// Where others read for this one, they cannot have begun before this time.
+    /// Sets the earliest time at which the readers can have begun, if store reads are delegated.
     pub fn set_readers_start(&mut self, at: Duration) {
-        if let Some(waits) = &mut self.waits {
-            waits.since = waits.since.max(at);
+        if let Some(delegation) = &mut self.delegation {
+            delegation.since = delegation.since.max(at);
         }
     }
 
-    /// From now on this gateway asks the store like all others.
+    /// Ends the delegation: this gateway reads the store itself.
     pub fn read_store_directly(&mut self) {
-        self.waits = None;
+        self.delegation = None;
     }
 
-    /// Longest time of an answer past the time for which its call is held.
+    /// Timeout of a store call, in addition to the time for which the store holds it.
     pub fn response_timeout(&self) -> Duration {
-        let doubled = FIRST_PATIENCE * (1 << self.store_failures.min(4));
-        doubled.min(LONGEST_PATIENCE)
+        let timeout = INITIAL_RESPONSE_TIMEOUT * (1 << self.store_failures.min(4));
+        timeout.min(MAX_RESPONSE_TIMEOUT)
     }
 
-    /// Whether rows may be taken from another region: from there only by those that the store does not answer, and
-    /// where others read, once nothing was confirmed here for too long.
+    /// Whether rows may be pulled from a gateway of another region: if the store did not answer the last call, or store
+    /// reads are delegated and the last confirmation is too old.
     pub fn can_pull_from_other_region(&self, now: Duration) -> bool {
-        let overdue = |waits| now >= self.overdue_at(waits);
-        !self.reaches_store() || self.waits.is_some_and(overdue)
+        let is_stale = |delegation| now >= self.stale_at(delegation);
+        !self.reaches_store() || self.delegation.is_some_and(is_stale)
     }
 
-    /// The next step. `watches` says whether this gateway is one of those that hold calls at the
-    /// store, `known` whether any rows were taken yet.
-    pub fn step(&self, now: Duration, watches: bool, known: bool) -> Step {
-        // A whole table comes from the store, whose link is wider than a gateway's, unless others read for this one.
-        let asks_peer = (self.first == PreferredSource::Peer && known)
+    /// Returns the next step. `is_watcher` says whether this gateway is one of those that long-poll the store,
+    /// `can_poll` whether its rows can be brought up to date by changes; otherwise they have to be listed.
+    pub fn step(&self, now: Duration, is_watcher: bool, can_poll: bool) -> Step {
+        // All rows are listed from the store, whose link is wider than a gateway's, unless store reads are delegated.
+        let should_pull = (self.preferred_source == PreferredSource::Peer && can_poll)
             || self.store_failures > 0
-            || self.waits.is_some();
-        if asks_peer && self.can_pull() {
+            || self.delegation.is_some();
+        if should_pull && self.can_pull() {
             return Step::PullFromPeer;
         }
-        let due = self.store_due(now, watches, known);
+        let due = self.store_call_due(now, is_watcher, can_poll);
         if now < due {
             return Step::Wait(due - now);
         }
-        if !known {
+        if !can_poll {
             return Step::List;
         }
-        // After a failure, and where others confirm, the store is asked how things stand now.
-        let may_hold = watches && self.store_failures == 0 && self.newer_reported.is_none();
-        let hold = match may_hold {
+        // Only a watcher long-polls, and only if the store answered the last call and no newer change is reported.
+        let can_hold = is_watcher && self.store_failures == 0 && self.newer_reported.is_none();
+        let hold = match can_hold {
             true => self.hold,
             false => Duration::ZERO,
         };
         Step::PollChanges { hold }
     }
 
-    /// All changes up to `at` on the own clock are known.
+    /// Records that all changes made before `at` are known.
     pub fn confirmed(&mut self, at: Duration) {
         self.confirmed_at = self.confirmed_at.max(Some(at));
     }
 
-    /// When all changes up to then were known, on the own clock.
+    /// Latest time up to which all changes are known.
     pub fn confirmed_at(&self) -> Option<Duration> {
         self.confirmed_at
     }
 
-    /// Another gateway reported a change that is not known here.
+    /// Records that another gateway reported a change that is not known here.
     pub fn newer_reported(&mut self, changed_at: Revision) {
         if self.newer_reported.is_none_or(|known| known < changed_at) {
             self.newer_reported = Some(changed_at);
@@ -200,14 +204,14 @@
         }
     }
 
-    /// A change that was not passed on when it was asked for may be asked for again, of whoever reports it next.
+    /// Allows another pull once the backoff after the last failed one has passed, if store reads are delegated.
     pub fn allow_pull_retry(&mut self, now: Duration) {
-        if self.waits.is_some() && now >= self.pull_next_at {
+        if self.delegation.is_some() && now >= self.next_pull_at {
             self.pull_failed = false;
         }
     }
 
-    /// All changes up to a revision are known.
+    /// Records that all changes up to a revision are known.
     pub fn caught_up(&mut self, revision: Revision) {
         self.newer_reported
             .take_if(|reported| *reported <= revision);
@@ -215,52 +219,53 @@
         self.pull_failures = 0;
     }
 
-    /// Whether a change that is not known here can be had of another gateway.
+    /// Whether another gateway reported a change that is not known here and may be asked for it.
     pub fn can_pull(&self) -> bool {
         self.newer_reported.is_some() && !self.pull_failed
     }
 
-    /// The gateway that reported changes gave none: the store is asked, or the next that reports them.
+    /// Records that the gateway that reported changes did not send them. The store is asked next, or the next gateway that
+    /// reports them.
     pub fn pull_failed(&mut self, now: Duration) {
         self.pull_failed = true;
-        self.pull_next_at = now + PULL_PAUSE * (1 << self.pull_failures.min(4));
+        self.next_pull_at = now + INITIAL_PULL_BACKOFF * (1 << self.pull_failures.min(4));
         self.pull_failures += 1;
     }
 
-    /// The store answered with everything up to a revision.
+    /// Records that the store answered with all changes up to a revision.
     pub fn store_answered(&mut self, known_to: Revision) {
         self.store_failures = 0;
-        self.store_next_at = Duration::ZERO;
+        self.next_store_call_at = Duration::ZERO;
         self.caught_up(known_to);
     }
 
-    /// The store answered a call for changes, so its history reaches back to the known revision.
+    /// Records that the store answered a call for changes, so its history reaches back to the known revision.
     pub fn history_available(&mut self) {
         self.history_failures = 0;
     }
 
-    /// The store no longer has the changes after the known revision. The first failure leads to a list at once,
-    /// consecutive ones back off exponentially.
+    /// Records that the store no longer has the changes after the known revision. The rows are listed at once after the
+    /// first failure, and with exponential backoff after consecutive ones.
     pub fn history_gone(&mut self, now: Duration) {
         if let Some(repeats) = self.history_failures.checked_sub(1) {
-            let pause = FIRST_PAUSE * (1 << repeats.min(4));
-            self.store_next_at = now + pause.min(LONGEST_PAUSE);
+            let backoff = INITIAL_BACKOFF * (1 << repeats.min(4));
+            self.next_store_call_at = now + backoff.min(MAX_BACKOFF);
         }
         self.history_failures += 1;
     }
 
-    /// The store did not answer.
+    /// Records that the store did not answer.
     pub fn store_failed(&mut self, now: Duration) {
-        let pause = FIRST_PAUSE * (1 << self.store_failures.min(4));
+        let backoff = INITIAL_BACKOFF * (1 << self.store_failures.min(4));
         self.store_failures += 1;
-        self.store_next_at = now
-            + match self.waits {
-                Some(waits) => pause
-                    .min(LONGEST_PAUSE_OF_TAKERS)
-                    .mul_f64(0.5 + waits.spread),
-                None => pause.min(LONGEST_PAUSE),
+        self.next_store_call_at = now
+            + match self.delegation {
+                Some(delegation) => backoff
+                    .min(MAX_DELEGATED_BACKOFF)
+                    .mul_f64(0.5 + delegation.spread),
+                None => backoff.min(MAX_BACKOFF),
             };
-        // Whoever reports changes next may be asked again.
+        // The next gateway that reports changes may be asked again.
         self.pull_failed = false;
     }
 
@@ -269,20 +274,20 @@
         self.store_failures == 0
     }
 
-    fn store_due(&self, now: Duration, watches: bool, known: bool) -> Duration {
-        if let Some(waits) = self.waits.filter(|_| !watches) {
-            return self.overdue_at(waits).max(self.store_next_at);
+    fn store_call_due(&self, now: Duration, is_watcher: bool, can_poll: bool) -> Duration {
+        if let Some(delegation) = self.delegation.filter(|_| !is_watcher) {
+            return self.stale_at(delegation).max(self.next_store_call_at);
         }
-        let ask_now = watches || !known || self.newer_reported.is_some();
+        let should_ask_now = is_watcher || !can_poll || self.newer_reported.is_some();
         let due = match self.confirmed_at {
-            Some(at) if !ask_now => at + self.stale,
+            Some(at) if !should_ask_now => at + self.max_staleness,
             _ => now,
         };
-        due.max(self.store_next_at)
+        due.max(self.next_store_call_at)
     }
 
-    fn overdue_at(&self, waits: Waits) -> Duration {
-        let stale = self.stale + self.spread_time.mul_f64(waits.spread);
-        self.confirmed_at.unwrap_or(waits.since) + stale
+    fn stale_at(&self, delegation: Delegation) -> Duration {
+        let max_age = self.max_staleness + self.spread_window.mul_f64(delegation.spread);
+        self.confirmed_at.unwrap_or(delegation.since) + max_age
     }
 }
--- a/components/replica/src/lib.rs
+++ b/components/replica/src/lib.rs
@@ -1,8 +1,8 @@
-//! A gateway's copy of the store's rows, and who asks the store for changes.
+//! A gateway's replica of the store's rows, and the schedule by which it is kept up to date.
 //!
-//! A few gateways of a cell hold calls at the store; the others take rows and confirmations from
-//! them, and ask the store themselves only when they hear nothing fresh. Pure: rows, times and what
-//! others report come in as values, the next step comes out.
+//! A few gateways of a cell long-poll the store. The others pull rows and confirmations from them, and call the store
+//! themselves only when their last confirmation is too old. The crate does no I/O: rows, times and reports of other
+//! gateways are passed in, and the next step is returned.
 
 mod follower;
 mod revision;
--- a/components/replica/src/table.rs
+++ b/components/replica/src/table.rs
@@ -1,4 +1,4 @@
-//! The rows of one topic as far as they are known here.
+//! The known rows of one topic.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::ops::Bound;
@@ -6,14 +6,14 @@
 use crate::follower::Digest;
 use crate::revision::Revision;
 
-/// One row as it was last changed.
+/// The last known change of one row.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Change {
     /// Key of the row.
     pub key: String,
-    /// Its value, `None` once it was dropped.
+    /// Its value, `None` if the row was deleted (a tombstone).
     pub value: Option<Vec<u8>>,
-    /// Revision of the store that changed it.
+    /// Revision of the store that made the change.
     pub revision: Revision,
 }
 
@@ -23,29 +23,29 @@
     }
 }
 
-/// Rows of a table by rising key.
+/// Some rows of a table, in ascending order of their keys.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct TablePage {
     /// The rows.
     pub rows: Vec<Change>,
-    /// Whether they are of all rows, or of the changes asked for.
+    /// Whether the page is of all rows, instead of the requested changes.
     pub whole: bool,
     /// Whether rows with higher keys follow.
     pub more: bool,
 }
 
-/// Dropped rows that are remembered at most; a reader behind the oldest of them gets all rows.
-const MOST_DROPPED: usize = 512;
+/// Most tombstones kept. A reader whose known revision is older than the oldest of them gets all rows.
+const MAX_TOMBSTONES: usize = 512;
 
-/// Rows by key, dropped ones included, so that older gossip never undoes newer ones.
+/// Rows by key. Tombstones are kept so that an older change never overwrites a newer one.
 #[derive(Debug, Default)]
 pub struct Table {
     rows: BTreeMap<String, Change>,
-    // Every change after this revision is known.
-    base: Revision,
+    // Every change between this revision and `known_to` is known.
+    history_start: Revision,
     known_to: Option<Revision>,
-    // The store does not know the changes since then any more: its rows have to be listed.
-    restarted: bool,
+    // The store no longer has the changes after `known_to`, so its rows have to be listed.
+    needs_list: bool,
 }
 
 impl Table {
@@ -54,11 +54,11 @@
         self.known_to
     }
 
-    /// Revision after which nothing changed up to [`Table::known_to`]: that of the newest change, or of
-    /// the list that this copy began with, which does not show when the rows it lacks were dropped.
+    /// Revision after which nothing changed up to [`Table::known_to`]: that of the newest known change or of the last
+    /// list, whichever is later. A list does not show when the rows missing from it were deleted.
     pub fn changed_at(&self) -> Revision {
         let revisions = self.rows.values().map(|row| row.revision);
-        revisions.max().unwrap_or_default().max(self.base)
+        revisions.max().unwrap_or_default().max(self.history_start)
     }
 
     /// Whether all changes up to a revision are known.
@@ -78,79 +78,79 @@
             .is_some_and(|known_to| known_to.era == revision.era)
     }
 
-    /// Nothing changed between what is known here and a revision of the same era. Other eras are ignored.
+    /// Records that nothing changed between the known revision and one of the same era. Other eras are ignored.
     pub fn advance(&mut self, known_to: Revision) {
         if self.known_to.is_none() || self.is_same_era(known_to) {
             self.known_to = self.known_to.max(Some(known_to));
         }
     }
 
-    /// Takes changes up to a revision and returns those that were not known. Changes of another era are
-    /// ignored; those of a later era require a list first.
+    /// Applies the changes up to a revision and returns those that were not known. Changes of another era are ignored;
+    /// after changes of a later era the rows have to be listed.
     pub fn apply_changes(&mut self, changes: Vec<Change>, known_to: Revision) -> Vec<Change> {
         if self.known_to.is_some() && !self.is_same_era(known_to) {
-            self.restarted |= !self.has_changes_up_to(known_to);
+            self.needs_list |= !self.has_changes_up_to(known_to);
             return Vec::new();
         }
-        let gossip: Vec<Change> = changes
+        let new_changes: Vec<Change> = changes
             .into_iter()
             .filter(|change| self.is_newer(change))
             .collect();
-        for change in &gossip {
+        for change in &new_changes {
             self.rows.insert(change.key.clone(), change.clone());
         }
         self.advance(known_to);
-        self.forget_dropped();
-        gossip
+        self.prune_tombstones();
+        new_changes
     }
 
-    /// Takes all rows as they stood at a revision and returns what changed; rows that are not
-    /// among them and are older have been dropped. Rows of an earlier era are ignored.
+    /// Applies a list of all rows at a revision and returns what changed. Known rows that are older than the list and
+    /// missing from it become tombstones. A list of an earlier era is ignored.
     pub fn apply_list(&mut self, rows: Vec<Change>, known_to: Revision) -> Vec<Change> {
         let is_of_later_era = |known: Revision| known.era > known_to.era;
         if self.known_to.is_some_and(is_of_later_era) {
             return Vec::new();
         }
-        // A dropped row does not count as listed: a newer value of it may be known here.
-        let standing = rows.iter().filter(|row| row.value.is_some());
-        let listed: BTreeSet<String> = standing.map(|row| row.key.clone()).collect();
+        // A tombstone does not count as listed: a newer value of its row may be known here.
+        let live = rows.iter().filter(|row| row.value.is_some());
+        let listed: BTreeSet<String> = live.map(|row| row.key.clone()).collect();
         let unlisted = self.rows.values().filter(|row| {
             row.value.is_some() && row.revision <= known_to && !listed.contains(&row.key)
         });
-        let dropped: Vec<Change> = unlisted
+        let deleted: Vec<Change> = unlisted
             .map(|row| Change {
                 key: row.key.clone(),
                 value: None,
                 revision: known_to,
             })
             .collect();
-        for change in &dropped {
+        for change in &deleted {
             self.rows.insert(change.key.clone(), change.clone());
         }
-        self.base = self.base.max(known_to);
+        self.history_start = self.history_start.max(known_to);
         self.known_to = self.known_to.max(Some(known_to));
-        self.restarted = false;
-        let mut gossip = dropped;
-        gossip.extend(self.apply_changes(rows, known_to));
-        // Gateways send one era for all rows, so tombstones of earlier eras must not remain.
+        self.needs_list = false;
+        let mut new_changes = deleted;
+        new_changes.extend(self.apply_changes(rows, known_to));
+        // Gateways send one era for all rows, so tombstones of earlier eras are removed.
         self.rows.retain(|_, row| row.revision.era == known_to.era);
-        gossip
+        new_changes
     }
 
     /// The changes after a revision, or `None` if not all of them are known.
     pub fn changes_since(&self, after: Revision) -> Option<Vec<Change>> {
-        if after < self.base {
+        if after < self.history_start {
             return None;
         }
         let changes = self.rows.values().filter(|row| row.revision > after);
         Some(changes.cloned().collect())
     }
 
-    /// Some rows by rising key, after `from`: the changes after a revision, or all rows if not all changes are known.
-    /// At least one row, and no more once they have `most` bytes.
-    pub fn page(&self, after: Revision, from: Option<&str>, most: usize) -> TablePage {
-        let whole = after < self.base;
-        let begin = from.map_or(Bound::Unbounded, Bound::Excluded);
+    /// Returns a page of the changes after a revision, or of all rows if not all of these changes are known. It starts
+    /// after the key `after_key` and has at most `max_bytes` bytes, but at least one row if there is any.
+    pub fn page(&self, after: Revision, after_key: Option<&str>, max_bytes: usize) -> TablePage {
+        let whole = after < self.history_start;
+        let begin = after_key.map_or(Bound::Unbounded, Bound::Excluded);
         let rows = self.rows.range::<str, _>((begin, Bound::Unbounded));
         let mut wanted = rows
             .map(|(_, row)| row)
@@ -166,7 +166,7 @@
             bytes += row.bytes();
             page.rows.push(row.clone());
             let next = wanted.peek().map(|next| bytes + next.bytes());
-            if next.is_some_and(|bytes| bytes > most) {
+            if next.is_some_and(|bytes| bytes > max_bytes) {
                 page.more = true;
                 break;
             }
@@ -174,30 +174,30 @@
         page
     }
 
-    /// The row with a key, including a dropped one.
+    /// The row with a key, or its tombstone.
     pub fn row(&self, key: &str) -> Option<&Change> {
         self.rows.get(key)
     }
 
-    /// All rows that stand.
+    /// All rows without the tombstones.
     pub fn live_rows(&self) -> Vec<Change> {
-        let standing = self.rows.values().filter(|row| row.value.is_some());
-        standing.cloned().collect()
+        let live = self.rows.values().filter(|row| row.value.is_some());
+        live.cloned().collect()
     }
 
-    /// All rows, with those dropped that are remembered: a reader gets as far as this copy.
+    /// All rows and the tombstones kept, from which a reader reaches the known revision of this table.
     pub fn rows_with_tombstones(&self) -> Vec<Change> {
         self.rows.values().cloned().collect()
     }
 
-    /// The store's history is gone. What is known stays, also for others.
+    /// Requires a list of all rows, because the store no longer has the history. The known rows stay available.
     pub fn require_list(&mut self) {
-        self.restarted = true;
+        self.needs_list = true;
     }
 
-    /// Whether the store can be asked for changes, and not only for all rows.
+    /// Whether the store can be asked for changes; otherwise all rows have to be listed.
     pub fn can_poll_changes(&self) -> bool {
-        self.known_to.is_some() && !self.restarted
+        self.known_to.is_some() && !self.needs_list
     }
 
     fn is_newer(&self, change: &Change) -> bool {
@@ -205,15 +205,15 @@
         known.is_none_or(|known| known.revision < change.revision)
     }
 
-    fn forget_dropped(&mut self) {
-        let dropped = self.rows.values().filter(|row| row.value.is_none());
-        let mut revisions: Vec<Revision> = dropped.map(|row| row.revision).collect();
-        if revisions.len() <= MOST_DROPPED {
+    fn prune_tombstones(&mut self) {
+        let tombstones = self.rows.values().filter(|row| row.value.is_none());
+        let mut revisions: Vec<Revision> = tombstones.map(|row| row.revision).collect();
+        if revisions.len() <= MAX_TOMBSTONES {
             return;
         }
         revisions.sort_unstable();
-        let oldest_kept = revisions[revisions.len() - MOST_DROPPED / 2];
-        self.base = self.base.max(oldest_kept);
+        let oldest_kept = revisions[revisions.len() - MAX_TOMBSTONES / 2];
+        self.history_start = self.history_start.max(oldest_kept);
         self.rows
             .retain(|_, row| row.value.is_some() || row.revision >= oldest_kept);
     }
--- a/components/replica/tests/eras.rs
+++ b/components/replica/tests/eras.rs
@@ -1,4 +1,4 @@
-//! Tables that follow a store which is restored from older copies and reuses revision numbers.
+//! Tables that follow a store which is restored from older snapshots and reuses revision numbers.
 
 use std::collections::BTreeMap;
 
@@ -12,7 +12,7 @@
 
 type Rows = BTreeMap<String, (Option<u8>, u64)>;
 
-/// A store, and its rows at each revision.
+/// A store with its rows at each revision.
 #[derive(Default)]
 struct Store {
     rows: Rows,
@@ -35,7 +35,8 @@
     }
 
     fn record_history(&mut self) {
-        self.history.insert(self.revision(), standing(&self.rows));
+        self.history
+            .insert(self.revision(), without_tombstones(&self.rows));
     }
 
     fn write(&mut self, key: u8, value: Option<u8>) {
@@ -71,7 +72,7 @@
         Answer::List(rows, self.revision())
     }
 
-    // Answers a call for changes. The store compares numbers only.
+    // Answers a call for changes. The store compares revision numbers only.
     fn feed(&self, after: Revision) -> Answer {
         match after.number > self.number {
             true => Answer::HistoryGone,
@@ -80,7 +81,7 @@
     }
 }
 
-fn standing(rows: &Rows) -> Rows {
+fn without_tombstones(rows: &Rows) -> Rows {
     let rows = rows.iter().filter(|(_, row)| row.0.is_some());
     rows.map(|(key, row)| (key.clone(), *row)).collect()
 }
@@ -146,7 +147,7 @@
     }
 }
 
-/// Readers of one store.
+/// A store and its readers.
 struct Simulation {
     store: Store,
     tables: Vec<Table>,
@@ -172,7 +173,7 @@
         }
     }
 
-    // A reader has at most one call in flight, and pulls no rows from others meanwhile.
+    // A reader has at most one call in flight, and pulls no rows from other readers meanwhile.
     fn has_call_in_flight(&self, reader: usize) -> bool {
         self.in_flight.iter().any(|(waiting, _)| *waiting == reader)
     }
@@ -200,7 +201,7 @@
         }
     }
 
-    // Sends the digest of one reader to another, which pulls missing rows and confirms its own.
+    // Sends the digest of one reader to another, which pulls missing changes and confirms its rows.
     fn report(&mut self, from: usize, to: usize) {
         let Some(reported) = digest(&self.tables[from]) else {
             return;
--- a/components/replica/tests/following.rs
+++ b/components/replica/tests/following.rs
@@ -1,4 +1,4 @@
-//! Who is asked for changes of the store, and when.
+//! Whether and when the store or another gateway is asked for changes.
 
 use std::time::Duration;
 
@@ -14,12 +14,12 @@
     Duration::from_millis(ms)
 }
 
-fn follower(first: PreferredSource) -> Follower {
-    Follower::new(first, CHANGE_DUE)
+fn follower(preferred_source: PreferredSource) -> Follower {
+    Follower::new(preferred_source, CHANGE_DUE)
 }
 
 #[test]
-fn rows_that_are_not_known_yet_are_asked_of_the_store() {
+fn unknown_rows_are_listed_from_the_store() {
     assert_eq!(
         follower(PreferredSource::Peer).step(ms(0), false, false),
         Step::List
@@ -27,7 +27,7 @@
 }
 
 #[test]
-fn a_watcher_holds_calls_at_the_store() {
+fn a_watcher_long_polls_the_store() {
     let mut watcher = follower(PreferredSource::Peer);
     watcher.store_answered(rev(1));
     watcher.confirmed(ms(10));
@@ -38,7 +38,7 @@
 }
 
 #[test]
-fn the_store_is_not_asked_while_others_confirm() {
+fn the_store_is_not_asked_while_other_gateways_confirm_the_rows() {
     let mut follower = follower(PreferredSource::Peer);
     for now in (0..20_000).step_by(400) {
         follower.confirmed(ms(now));
@@ -50,13 +50,13 @@
 }
 
 #[test]
-fn the_store_is_asked_without_holding_once_the_others_are_silent() {
+fn the_store_is_asked_without_a_long_poll_once_confirmations_stop() {
     let mut follower = follower(PreferredSource::Peer);
     follower.confirmed(ms(1000));
     let Step::Wait(rest) = follower.step(ms(1000), false, true) else {
-        panic!("nothing is due yet");
+        panic!("no call is due yet");
     };
-    // A change has to be in force two seconds after it at the latest.
+    // A change has to be in force within two seconds.
     assert!(rest < ms(1500), "{rest:?}");
     let step = follower.step(ms(1000) + rest, false, true);
     assert_eq!(
@@ -68,7 +68,7 @@
 }
 
 #[test]
-fn a_change_is_taken_from_whoever_reported_it_and_else_from_the_store() {
+fn a_reported_change_is_pulled_from_its_reporter_and_after_a_failure_read_from_the_store() {
     let mut follower = follower(PreferredSource::Peer);
     follower.confirmed(ms(0));
     follower.newer_reported(rev(7));
@@ -87,7 +87,7 @@
 }
 
 #[test]
-fn an_answer_of_the_store_that_is_older_than_what_was_reported_ends_nothing() {
+fn a_store_answer_older_than_the_reported_revision_does_not_end_the_pull() {
     let mut follower = follower(PreferredSource::Peer);
     follower.newer_reported(rev(7));
     follower.store_answered(rev(6));
@@ -95,7 +95,7 @@
 }
 
 #[test]
-fn large_rows_come_from_the_store_and_from_others_only_if_it_does_not_answer() {
+fn large_rows_are_read_from_the_store_and_pulled_only_if_it_does_not_answer() {
     let mut follower = follower(PreferredSource::Store);
     follower.confirmed(ms(0));
     follower.newer_reported(rev(7));
@@ -113,7 +113,7 @@
 }
 
 #[test]
-fn calls_of_a_store_that_does_not_answer_are_spaced_and_one_answer_ends_that() {
+fn calls_to_an_unresponsive_store_back_off_until_it_answers() {
     let mut follower = follower(PreferredSource::Peer);
     let mut calls = 0;
     for now in 0..10_000 {
@@ -132,32 +132,36 @@
     ));
 }
 
-fn taker(spread: f64) -> Follower {
+fn delegating_follower(spread: f64) -> Follower {
     let mut follower = follower(PreferredSource::Store);
     follower.delegate_store_reads(ms(0), spread);
     follower
 }
 
 #[test]
-fn a_gateway_that_others_read_for_waits_for_them_at_its_start_and_asks_the_store_in_time() {
+fn a_delegating_gateway_waits_for_the_readers_at_start_and_asks_the_store_in_time() {
     for spread in [0.0, 0.5, 1.0] {
-        let follower = taker(spread);
+        let follower = delegating_follower(spread);
         let Step::Wait(rest) = follower.step(ms(0), false, false) else {
-            panic!("others read");
+            panic!("store reads are delegated");
         };
         assert!(
             rest >= CHANGE_DUE / 2 && rest < CHANGE_DUE * 9 / 10,
             "{rest:?}"
         );
         assert_eq!(follower.step(rest, false, false), Step::List);
-        assert_eq!(follower.step(ms(1), true, false), Step::List, "a reader");
+        assert_eq!(
+            follower.step(ms(1), true, false),
+            Step::List,
+            "a watcher lists at once"
+        );
     }
 }
 
 #[test]
-fn gateways_that_others_read_for_ask_the_store_one_after_the_other() {
+fn delegating_gateways_stagger_their_store_calls() {
     let rests: Vec<Step> = [0.0, 0.25, 0.5, 1.0]
-        .map(|spread| taker(spread).step(ms(0), false, true))
+        .map(|spread| delegating_follower(spread).step(ms(0), false, true))
         .to_vec();
     for (i, rest) in rests.iter().enumerate() {
         assert!(!rests[..i].contains(rest), "{rests:?}");
@@ -165,15 +169,15 @@
 }
 
 #[test]
-fn a_gateway_that_others_read_for_takes_also_large_and_whole_tables_from_them() {
-    let mut follower = taker(0.0);
+fn a_delegating_gateway_pulls_large_rows_and_whole_tables() {
+    let mut follower = delegating_follower(0.0);
     follower.newer_reported(rev(7));
     assert_eq!(follower.step(ms(1), false, false), Step::PullFromPeer);
 }
 
 #[test]
-fn rows_that_were_not_passed_on_are_asked_of_the_next_that_reports_them_and_ever_later() {
-    let mut follower = taker(0.0);
+fn failed_pulls_are_retried_with_exponential_backoff() {
+    let mut follower = delegating_follower(0.0);
     let mut asked_at = Vec::new();
     for now in 0..1000 {
         follower.allow_pull_retry(ms(now));
@@ -191,36 +195,36 @@
 }
 
 #[test]
-fn a_store_that_does_not_answer_is_asked_ever_less_and_waited_for_longer() {
-    let mut follower = taker(0.0);
-    let (mut now, mut pauses, mut patience) = (ms(2000), Vec::new(), Vec::new());
+fn backoff_and_response_timeout_grow_while_the_store_does_not_answer() {
+    let mut follower = delegating_follower(0.0);
+    let (mut now, mut pauses, mut timeouts) = (ms(2000), Vec::new(), Vec::new());
     for _ in 0..5 {
-        patience.push(follower.response_timeout());
+        timeouts.push(follower.response_timeout());
         follower.store_failed(now);
         let Step::Wait(rest) = follower.step(now, true, false) else {
-            panic!("a pause follows");
+            panic!("a failed call is followed by a backoff");
         };
         pauses.push(rest);
         now += rest;
     }
     assert!(pauses.windows(2).all(|p| p[0] <= p[1]), "{pauses:?}");
     assert!(pauses[4] >= pauses[0] * 4, "{pauses:?}");
-    assert!(patience.windows(2).all(|p| p[0] <= p[1]) && patience[4] >= patience[0] * 2);
+    assert!(timeouts.windows(2).all(|p| p[0] <= p[1]) && timeouts[4] >= timeouts[0] * 2);
 }
 
 #[test]
-fn rows_of_another_region_are_taken_only_where_the_store_is_silent_or_nothing_was_confirmed() {
-    let mut taker = taker(0.0);
-    taker.confirmed(ms(0));
-    assert!(!taker.can_pull_from_other_region(ms(500)));
-    assert!(taker.can_pull_from_other_region(CHANGE_DUE));
-    taker.confirmed(CHANGE_DUE);
-    assert!(!taker.can_pull_from_other_region(CHANGE_DUE));
-    taker.store_failed(CHANGE_DUE);
-    assert!(taker.can_pull_from_other_region(CHANGE_DUE));
-    let near = follower(PreferredSource::Peer);
+fn rows_are_pulled_from_another_region_only_if_the_store_is_silent_or_the_confirmation_is_old() {
+    let mut delegating = delegating_follower(0.0);
+    delegating.confirmed(ms(0));
+    assert!(!delegating.can_pull_from_other_region(ms(500)));
+    assert!(delegating.can_pull_from_other_region(CHANGE_DUE));
+    delegating.confirmed(CHANGE_DUE);
+    assert!(!delegating.can_pull_from_other_region(CHANGE_DUE));
+    delegating.store_failed(CHANGE_DUE);
+    assert!(delegating.can_pull_from_other_region(CHANGE_DUE));
+    let direct = follower(PreferredSource::Peer);
     assert!(
-        !near.can_pull_from_other_region(CHANGE_DUE),
-        "who is near asks the store"
+        !direct.can_pull_from_other_region(CHANGE_DUE),
+        "a gateway that does not delegate asks the store"
     );
 }
--- a/components/replica/tests/tables.rs
+++ b/components/replica/tests/tables.rs
@@ -1,4 +1,4 @@
-//! Copies of the store's rows that gateways take from each other.
+//! Copies of the store's rows that gateways pull from each other.
 
 use quickcheck::{Gen, QuickCheck, TestResult};
 use replica::{Change, Revision, Table};
@@ -19,7 +19,7 @@
     }
 }
 
-// What a store keeps after some writes: one row a key, at the revision of its last write.
+// Rows of a store after some writes: one row or tombstone per key, at the revision of its last write.
 fn written(writes: &[(u8, Option<u8>)]) -> Vec<Change> {
     let mut rows: Vec<Change> = Vec::new();
     for (revision, (key, value)) in (1..).zip(writes) {
@@ -30,14 +30,14 @@
     rows
 }
 
-fn standing(rows: &[Change]) -> Vec<Change> {
+fn without_tombstones(rows: &[Change]) -> Vec<Change> {
     let mut rows: Vec<Change> = rows.iter().filter(|r| r.value.is_some()).cloned().collect();
     rows.sort_by(|a, b| a.key.cmp(&b.key));
     rows
 }
 
 #[test]
-fn an_older_change_never_undoes_a_newer_one() {
+fn an_older_change_never_overwrites_a_newer_one() {
     let mut table = Table::default();
     table.apply_changes(vec![change(1, Some(2), 9)], rev(9));
     assert!(table
@@ -51,17 +51,17 @@
 }
 
 #[test]
-fn a_row_that_is_not_listed_any_more_was_dropped_unless_it_is_newer_than_the_list() {
+fn a_row_missing_from_a_list_is_deleted_unless_it_is_newer_than_the_list() {
     let mut table = Table::default();
     table.apply_changes(vec![change(1, Some(1), 3), change(2, Some(1), 12)], rev(12));
-    let gossip = table.apply_list(vec![change(3, Some(1), 7)], rev(10));
-    assert_eq!(gossip, [change(1, None, 10), change(3, Some(1), 7)]);
-    let standing = table.live_rows();
-    assert_eq!(standing, [change(2, Some(1), 12), change(3, Some(1), 7)]);
+    let new_changes = table.apply_list(vec![change(3, Some(1), 7)], rev(10));
+    assert_eq!(new_changes, [change(1, None, 10), change(3, Some(1), 7)]);
+    let live_rows = table.live_rows();
+    assert_eq!(live_rows, [change(2, Some(1), 12), change(3, Some(1), 7)]);
 }
 
 #[test]
-fn a_reader_from_before_the_copy_began_gets_all_rows() {
+fn a_reader_behind_the_first_list_of_a_copy_gets_all_rows() {
     let mut table = Table::default();
     table.apply_list(vec![change(1, Some(1), 3)], rev(10));
     assert_eq!(table.changes_since(rev(9)), None);
@@ -73,13 +73,13 @@
 }
 
 #[test]
-fn a_row_that_was_dropped_before_all_that_saw_it_were_replaced_is_dropped_everywhere() {
+fn a_row_deleted_before_a_copy_was_listed_is_deleted_in_stale_copies_that_pull_from_it() {
     let mut stale = Table::default();
     stale.apply_list(
         vec![change(1, Some(1), 40), change(2, Some(1), 140)],
         rev(155),
     );
-    // Row 1 was dropped at 160; this copy began after that.
+    // Row 1 was deleted at revision 160, before the first list of this copy.
     let mut fresh = Table::default();
     fresh.apply_list(vec![change(2, Some(1), 140)], rev(170));
     assert!(!stale.has_changes_up_to(fresh.changed_at()));
@@ -88,21 +88,21 @@
     assert!(stale.has_changes_up_to(fresh.changed_at()));
 }
 
-// Guards against counting a dropped row of the source as listed, which kept the reader's newer row.
+// Guards against counting a tombstone of the source as a listed row, which kept a deleted row at the reader.
 #[test]
-fn a_row_is_dropped_when_all_rows_of_another_copy_hold_only_an_older_drop_of_it() {
+fn a_row_is_deleted_when_a_full_pull_has_only_an_older_tombstone_of_it() {
     let mut source = Table::default();
     source.apply_changes(vec![change(1, None, 1)], rev(1));
     let mut reader = Table::default();
     reader.apply_list(vec![change(1, Some(2), 2)], rev(2));
-    // The list omits the row that was dropped again at 3, so the source keeps only the drop at 1.
+    // The row was deleted again at revision 3 and is not listed, so the source keeps only the tombstone of revision 1.
     source.apply_list(Vec::new(), rev(3));
     pull(&mut reader, &source);
     assert!(reader.live_rows().is_empty());
 }
 
 #[test]
-fn a_copy_that_began_with_a_list_is_covered_by_whoever_knows_the_changes_up_to_it() {
+fn an_older_copy_that_advanced_past_the_list_of_a_newer_copy_has_all_its_changes() {
     let mut older = Table::default();
     older.apply_list(vec![change(1, Some(1), 40)], rev(100));
     older.advance(rev(200));
@@ -112,7 +112,7 @@
 }
 
 #[test]
-fn a_copy_whose_store_forgot_its_history_still_serves_others() {
+fn a_copy_whose_store_lost_its_history_still_serves_readers() {
     let mut table = Table::default();
     table.apply_list(vec![change(1, Some(1), 3)], rev(10));
     table.require_list();
@@ -124,15 +124,15 @@
 }
 
 #[test]
-fn dropped_rows_are_forgotten_in_the_end_and_the_readers_know() {
+fn old_tombstones_are_pruned_and_readers_behind_them_get_all_rows() {
     let mut table = Table::default();
     for revision in 1..=5000 {
-        let dropped = Change {
+        let deleted = Change {
             key: format!("k{revision}"),
             value: None,
             revision: rev(revision),
         };
-        table.apply_changes(vec![dropped], rev(revision));
+        table.apply_changes(vec![deleted], rev(revision));
     }
     assert_eq!(table.changes_since(rev(0)), None);
     let kept = table.changes_since(rev(4990)).map(|rows| rows.len());
@@ -140,7 +140,7 @@
 }
 
 #[test]
-fn a_copy_taken_in_steps_from_another_copy_holds_what_the_store_holds() {
+fn a_copy_pulled_in_steps_from_another_copy_has_the_rows_of_the_store() {
     fn property(
         writes: Vec<(u8, Option<u8>)>,
         listed_after: u8,
@@ -149,12 +149,15 @@
         if writes.is_empty() {
             return TestResult::discard();
         }
-        // One copy lists the rows in the middle and takes each change from then on.
-        let middle = usize::from(listed_after) % writes.len();
+        // The first copy lists the rows halfway and applies each later change.
+        let list_at = usize::from(listed_after) % writes.len();
         let mut first = Table::default();
         let mut second = Table::default();
-        first.apply_list(standing(&written(&writes[..middle])), rev(middle as u64));
-        for count in middle..writes.len() {
+        first.apply_list(
+            without_tombstones(&written(&writes[..list_at])),
+            rev(list_at as u64),
+        );
+        for count in list_at..writes.len() {
             let rows = written(&writes[..=count]);
             let newest = rows
                 .into_iter()
@@ -165,7 +168,7 @@
                 pull(&mut second, &first);
             }
         }
-        let expected = standing(&written(&writes));
+        let expected = without_tombstones(&written(&writes));
         let agree = first.live_rows() == expected && second.live_rows() == expected;
         TestResult::from_bool(agree && second.has_changes_up_to(first.changed_at()))
     }
@@ -184,15 +187,15 @@
 }
 
 #[test]
-fn pages_of_any_size_hold_what_the_whole_table_holds() {
-    fn same(writes: Vec<(u8, Option<u8>)>, most: u8, after: u8) -> TestResult {
+fn pages_of_any_size_have_all_rows_of_the_table() {
+    fn property(writes: Vec<(u8, Option<u8>)>, max_bytes: u8, after: u8) -> TestResult {
         let mut table = Table::default();
         table.apply_changes(written(&writes), rev(writes.len() as u64));
-        let (after, most) = (rev(u64::from(after) % 20), usize::from(most % 9));
+        let (after, max_bytes) = (rev(u64::from(after) % 20), usize::from(max_bytes % 9));
         let mut rows: Vec<Change> = Vec::new();
         loop {
             let from = rows.last().map(|row| row.key.clone());
-            let page = table.page(after, from.as_deref(), most);
+            let page = table.page(after, from.as_deref(), max_bytes);
             rows.extend(page.rows);
             if !page.more {
                 break;
@@ -203,11 +206,11 @@
     QuickCheck::new()
         .tests(CASES)
         .rng(Gen::from_size_and_seed(20, SEED))
-        .quickcheck(same as fn(Vec<(u8, Option<u8>)>, u8, u8) -> TestResult);
+        .quickcheck(property as fn(Vec<(u8, Option<u8>)>, u8, u8) -> TestResult);
 }
 
 #[test]
-fn a_page_for_a_reader_behind_the_list_that_a_copy_began_with_is_one_of_all_rows() {
+fn a_reader_behind_the_list_of_a_copy_gets_pages_of_all_rows() {
     let mut table = Table::default();
     table.apply_list(vec![change(1, Some(1), 3), change(2, Some(2), 4)], rev(5));
     let page = table.page(rev(4), None, 1);
