--- a/components/control/src/core.rs
+++ b/components/control/src/core.rs
@@ -391,7 +391,7 @@
                 Output::Silent(name) => actions.push(Action::Suspect(name)),
                 Output::SummaryHeard(summary) => actions.push(Action::UseSummary(summary)),
                 Output::ConfigHeard(peer, version) => {
-                    let heard = ConfigEvent::Heard { peer, version };
+                    let heard = ConfigEvent::PeerReported { peer, version };
                     actions.extend(self.follow(now, heard, rng));
                 }
                 Output::DemandHeard(demand) => {
--- a/components/gateway/src/control/exchange.rs
+++ b/components/gateway/src/control/exchange.rs
@@ -269,11 +269,11 @@
         }
         let mut actions = Vec::new();
         if let Some(head) = gossip::received_lease(gossip) {
-            actions.extend(known.lease.step(now, LeaseEvent::Heard(head)));
+            actions.extend(known.lease.step(now, LeaseEvent::HeadReported(head)));
         }
         if let Some(epoch) = gossip.lease_given_up {
             known.peers.receive_given_up(now, epoch);
-            actions.extend(known.lease.step(now, LeaseEvent::GivenUp(epoch)));
+            actions.extend(known.lease.step(now, LeaseEvent::GiveUpReported(epoch)));
         }
         if gossip.stopping {
             known.peers.leave(&gossip.gateway);
--- a/components/gateway/src/control/forwarding.rs
+++ b/components/gateway/src/control/forwarding.rs
@@ -43,7 +43,7 @@
     fn forwarded(&self, now: Duration) -> Option<(SocketAddr, Vec<Vec<u8>>)> {
         let mut known = self.known.borrow_mut();
         let (epoch, holder) = known.peers.lease_holder()?;
-        if !known.peers.coordinates(now) || known.lease.may_order(now).is_some() {
+        if !known.peers.coordinates(now) || known.lease.order_epoch(now).is_some() {
             return None;
         }
         let windows = known.forwarding.due(self.clock.wall(), epoch);
--- a/components/gateway/src/control/lease.rs
+++ b/components/gateway/src/control/lease.rs
@@ -66,7 +66,7 @@
             self.urgent.notify_one();
             return;
         }
-        let holds = known.lease.may_order(now).is_some();
+        let holds = known.lease.order_epoch(now).is_some();
         if self.freshness.is_stopping() || (!holds && !self.is_candidate(now, &known)) {
             return;
         }
@@ -83,7 +83,7 @@
     // Whether another gateway should hold the lease: this one stops, or the store answers others and not
     // this one. Never while an order may still be on its way.
     fn is_to_give_up(&self, now: Duration, known: &Known) -> bool {
-        let Some(unrenewed) = known.lease.unrenewed_for(now) else {
+        let Some(unrenewed) = known.lease.time_since_renewal(now) else {
             return false;
         };
         let turned_away = unrenewed >= UNRENEWED && known.peers.others_reach_store(now);
@@ -168,7 +168,7 @@
     // The holder as it is named on an order sent now, if this gateway may give one.
     pub fn holder(&self) -> Option<DutyHolder> {
         let known = self.known.borrow();
-        let fence = known.lease.may_order(self.clock.now())?;
+        let fence = known.lease.order_epoch(self.clock.now())?;
         Some(DutyHolder {
             gateway: self.source.gateway.clone(),
             fence,
--- a/components/gateway/src/control/messages.rs
+++ b/components/gateway/src/control/messages.rs
@@ -121,7 +121,7 @@
             dispatches: known.dispatches(now, content),
             usage: self.usage_to_send(known, content),
             taken: known.totals_to_send(content),
-            lease_epoch: known.lease.may_order(now).unwrap_or(0),
+            lease_epoch: known.lease.order_epoch(now).unwrap_or(0),
             peers: match has_state {
                 true => known.addresses_to_send(now),
                 false => Vec::new(),
@@ -197,7 +197,7 @@
 impl Known {
     /// Whether the coordinators of all halls are to know what this gateway does.
     pub fn speaks_for_others(&self, now: Duration) -> bool {
-        self.peers.coordinates(now) || self.lease.may_order(now).is_some()
+        self.peers.coordinates(now) || self.lease.order_epoch(now).is_some()
     }
 
     /// Whether addresses that others name are tried. Where the list is read by halls, a gateway that hears a
--- a/components/node/src/configure.rs
+++ b/components/node/src/configure.rs
@@ -9,8 +9,8 @@
 use schema::messages::HeadRow;
 use serde_json::{json, Value};
 use state::{
-    head_key, history_key, Publish, PublishAction, PublishEvent, PublishTerms, Published, Reply,
-    TableCall, Version,
+    head_key, history_key, Publish, PublishAction, PublishEvent, PublishOutcome, PublishRequest,
+    Reply, TableCall, Version,
 };
 
 use crate::control::ControlEvent;
@@ -43,7 +43,7 @@
         let message = "the object store did not confirm the body";
         return Err(Problem::not_run(Kind::PlatformUnavailable, message));
     }
-    let terms = PublishTerms {
+    let terms = PublishRequest {
         based_on: put.based_on,
         hash,
         put: format!("{:032x}", rand::random::<u128>()),
@@ -53,17 +53,17 @@
     };
     let hash = terms.hash.clone();
     let published = publish(shared, terms);
-    if let Published::Accepted(number) = published {
+    if let PublishOutcome::Accepted(number) = published {
         let event = Event::Published(Version { number, hash });
         let _ = shared.control.send(ControlEvent::Core(event));
     }
     answer(published)
 }
 
-fn answer(published: Published) -> Result<Value, Problem> {
+fn answer(published: PublishOutcome) -> Result<Value, Problem> {
     match published {
-        Published::Accepted(version) => Ok(json!({ "version": version })),
-        Published::Conflict {
+        PublishOutcome::Accepted(version) => Ok(json!({ "version": version })),
+        PublishOutcome::Conflict {
             version,
             author,
             note,
@@ -71,14 +71,14 @@
             Kind::Conflict,
             format!("version {version} by {author} came first: {note}"),
         )),
-        Published::Unsettled => Err(Problem::maybe_run(
+        PublishOutcome::Undetermined => Err(Problem::maybe_run(
             Kind::PlatformUnavailable,
             "the table did not settle the put; `croftpond config history` shows whether it stands",
         )),
     }
 }
 
-fn publish(shared: &Shared, terms: PublishTerms) -> Published {
+fn publish(shared: &Shared, terms: PublishRequest) -> PublishOutcome {
     let (mut publish, mut actions) = Publish::start(terms);
     loop {
         let mut next = Vec::new();
--- a/components/node/src/service.rs
+++ b/components/node/src/service.rs
@@ -9,7 +9,7 @@
 use routing::Prompt;
 use schema::settings::Pool;
 use session::{Action, Event, Failure, Outcome, Session, Terms};
-use state::{Claim, ClaimAction, ClaimEvent, ClaimTerms, StoredOutcome, TableCall};
+use state::{Claim, ClaimAction, ClaimEvent, ClaimRequest, StoredOutcome, TableCall};
 use telemetry::{Counter, Hop, Timer};
 use tiny_http::Request;
 use transport::{AttemptEnd, ServiceCall, ServiceReply};
@@ -165,7 +165,7 @@
         let Some(key) = self.call.idempotency_key.clone() else {
             return self.step(hop, Event::Start);
         };
-        let terms = ClaimTerms {
+        let terms = ClaimRequest {
             key: format!("claim/{}/{}", self.call.team.name, body_hash(&key)),
             claim: format!("{:032x}", rand::random::<u128>()),
             node: self.shared.settings.name.clone(),
--- a/components/state/src/claim.rs
+++ b/components/state/src/claim.rs
@@ -19,7 +19,7 @@
 
 /// What a claim is for.
 #[derive(Clone, Debug)]
-pub struct ClaimTerms {
+pub struct ClaimRequest {
     /// Key of the row, from the team and its idempotency key.
     pub key: String,
     /// Unique id of this claim.
@@ -98,7 +98,7 @@
 /// One claim.
 #[derive(Debug)]
 pub struct Claim {
-    terms: ClaimTerms,
+    terms: ClaimRequest,
     stage: Stage,
     expect: u64,
     pause: Duration,
@@ -113,7 +113,7 @@
 
 impl Claim {
     /// A claim and its first table call.
-    pub fn start(terms: ClaimTerms) -> (Self, Vec<ClaimAction>) {
+    pub fn start(terms: ClaimRequest) -> (Self, Vec<ClaimAction>) {
         let mut claim = Claim {
             terms,
             stage: Stage::Inserting,
--- a/components/state/src/configuration.rs
+++ b/components/state/src/configuration.rs
@@ -25,7 +25,7 @@
 #[derive(Clone, Debug)]
 pub enum ConfigEvent {
     /// A peer has this version.
-    Heard {
+    PeerReported {
         /// Name of the peer.
         peer: String,
         /// What it has in force.
@@ -106,7 +106,7 @@
     /// Takes one event and returns what is to be done, in order.
     pub fn step(&mut self, now: Duration, event: ConfigEvent) -> Vec<ConfigAction> {
         match event {
-            ConfigEvent::Heard { peer, version } => self.receive(peer, version),
+            ConfigEvent::PeerReported { peer, version } => self.receive(peer, version),
             ConfigEvent::Published(version) => self.want(version),
             ConfigEvent::Replied(reply) => self.take_head(reply),
             ConfigEvent::Fetched { hash, body } => return self.take_body(now, &hash, body),
--- a/components/state/src/lease.rs
+++ b/components/state/src/lease.rs
@@ -54,9 +54,9 @@
         reply: Reply,
     },
     /// The holder reported which row it wrote last.
-    Heard(LeaseHead),
+    HeadReported(LeaseHead),
     /// A holder reported that it gave the lease of this epoch up and has no order under way.
-    GivenUp(i64),
+    GiveUpReported(i64),
     /// Give the lease up without a write, for the case that the store does not answer this node. What is
     /// reported to others, from [`Lease::given_up`], lets one of them follow at once.
     GiveUp,
@@ -159,7 +159,7 @@
 
     /// The epoch to put on an order sent now, or `None` if no order may be sent. Ask right before
     /// each order.
-    pub fn may_order(&self, now: Duration) -> Option<i64> {
+    pub fn order_epoch(&self, now: Duration) -> Option<i64> {
         self.order_window(now).map(|(epoch, _)| epoch)
     }
 
@@ -192,7 +192,7 @@
     }
 
     /// How long ago the row was last seen to change, while this node holds the lease.
-    pub fn unrenewed_for(&self, now: Duration) -> Option<Duration> {
+    pub fn time_since_renewal(&self, now: Duration) -> Option<Duration> {
         self.held.as_ref()?;
         Some(now.saturating_sub(self.seen_at?))
     }
@@ -218,8 +218,8 @@
             LeaseEvent::Replied { era, reply, .. } => {
                 actions.extend(self.take_reply_from_era(now, era, reply));
             }
-            LeaseEvent::Heard(head) => actions.extend(self.receive(now, head)),
-            LeaseEvent::GivenUp(epoch) => {
+            LeaseEvent::HeadReported(head) => actions.extend(self.receive(now, head)),
+            LeaseEvent::GiveUpReported(epoch) => {
                 if self.heard_given_up < Some(epoch) {
                     self.heard_given_up = Some(epoch);
                     self.next_call = self.next_call.min(now);
--- a/components/state/src/lib.rs
+++ b/components/state/src/lib.rs
@@ -11,8 +11,8 @@
 mod publish;
 mod table;
 
-pub use claim::{Claim, ClaimAction, ClaimEvent, ClaimTerms, StoredOutcome};
+pub use claim::{Claim, ClaimAction, ClaimEvent, ClaimRequest, StoredOutcome};
 pub use configuration::{ConfigAction, ConfigEvent, ConfigFollower, Version};
 pub use lease::{Lease, LeaseAction, LeaseEvent, LeaseHead, LeaseTerms};
-pub use publish::{Publish, PublishAction, PublishEvent, PublishTerms, Published};
+pub use publish::{Publish, PublishAction, PublishEvent, PublishOutcome, PublishRequest};
 pub use table::{head_key, history_key, Reply, Row, TableCall, Write, ABSENT};
--- a/components/state/src/publish.rs
+++ b/components/state/src/publish.rs
@@ -13,7 +13,7 @@
 
 /// One edit.
 #[derive(Clone, Debug)]
-pub struct PublishTerms {
+pub struct PublishRequest {
     /// Version that the operator edited.
     pub based_on: i64,
     /// SHA-256 of the new body; the body is in the object store already.
@@ -45,12 +45,12 @@
     /// Send [`PublishEvent::Tick`] at this time.
     WakeAt(Duration),
     /// Answer the operator; nothing follows.
-    Answer(Published),
+    Answer(PublishOutcome),
 }
 
 /// How an edit ended.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Published {
+pub enum PublishOutcome {
     /// It is accepted with this version and stays.
     Accepted(i64),
     /// Another edit came first.
@@ -63,7 +63,7 @@
         note: String,
     },
     /// The table did not settle it in time: read the history to see whether it was accepted.
-    Unsettled,
+    Undetermined,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -78,7 +78,7 @@
 /// One edit under way.
 #[derive(Debug)]
 pub struct Publish {
-    terms: PublishTerms,
+    terms: PublishRequest,
     stage: Stage,
     after_pause: Stage,
     head_version: u64,
@@ -87,7 +87,7 @@
 
 impl Publish {
     /// An edit and its first table call.
-    pub fn start(terms: PublishTerms) -> (Self, Vec<PublishAction>) {
+    pub fn start(terms: PublishRequest) -> (Self, Vec<PublishAction>) {
         let mut publish = Publish {
             terms,
             stage: Stage::ReadingHead,
@@ -113,7 +113,7 @@
             .iter()
             .any(|a| matches!(a, PublishAction::Answer(_)));
         if !answered && now >= self.terms.deadline {
-            return self.answer(Published::Unsettled);
+            return self.answer(PublishOutcome::Undetermined);
         }
         actions
     }
@@ -159,7 +159,7 @@
         match (self.stage, reply) {
             (Stage::ReadingHead, Reply::Row(row)) => self.take_head(row),
             (Stage::Writing, Reply::Committed { .. }) => {
-                self.answer(Published::Accepted(self.number()))
+                self.answer(PublishOutcome::Accepted(self.number()))
             }
             (Stage::Writing, Reply::Conflict | Reply::Unanswered) => self.enter(Stage::ReadingBack),
             (Stage::ReadingBack, Reply::Row(None)) => self.retry(now, Stage::ReadingHead),
@@ -187,7 +187,7 @@
     fn take_history(&mut self, now: Duration, row: &Row) -> Vec<PublishAction> {
         match schema::decode::<HeadRow>(&row.value) {
             Ok(found) if found.put == self.terms.put => {
-                self.answer(Published::Accepted(found.version))
+                self.answer(PublishOutcome::Accepted(found.version))
             }
             Ok(found) => self.answer(conflict(found.version, Some(found))),
             Err(_) => self.retry(now, Stage::ReadingBack),
@@ -202,14 +202,14 @@
         vec![PublishAction::WakeAt(until)]
     }
 
-    fn answer(&mut self, published: Published) -> Vec<PublishAction> {
+    fn answer(&mut self, published: PublishOutcome) -> Vec<PublishAction> {
         self.stage = Stage::Over;
         vec![PublishAction::Answer(published)]
     }
 }
 
-fn conflict(version: i64, row: Option<HeadRow>) -> Published {
-    Published::Conflict {
+fn conflict(version: i64, row: Option<HeadRow>) -> PublishOutcome {
+    PublishOutcome::Conflict {
         version,
         author: row.as_ref().map(|r| r.author.clone()).unwrap_or_default(),
         note: row.map(|r| r.note).unwrap_or_default(),
--- a/components/state/tests/claims.rs
+++ b/components/state/tests/claims.rs
@@ -5,7 +5,7 @@
 use fakes::{check, FakeTable, CALM, ROUGH};
 use rand::RngExt;
 use schema::messages::{ClaimRow, ClaimState};
-use state::{Claim, ClaimAction, ClaimEvent, ClaimTerms, StoredOutcome, TableCall};
+use state::{Claim, ClaimAction, ClaimEvent, ClaimRequest, StoredOutcome, TableCall};
 
 const KEY: &str = "claim/desk/k1";
 const STEP: Duration = Duration::from_millis(5);
@@ -36,8 +36,8 @@
     callers: Vec<Caller>,
 }
 
-fn terms(n: usize, deadline: Duration) -> ClaimTerms {
-    ClaimTerms {
+fn terms(n: usize, deadline: Duration) -> ClaimRequest {
+    ClaimRequest {
         key: KEY.into(),
         claim: format!("c{n}"),
         node: format!("n{n}"),
@@ -266,7 +266,7 @@
     };
     world.add(Duration::ZERO, Duration::from_secs(2));
     (0..200).for_each(|s| world.step(STEP * s));
-    let other = ClaimTerms {
+    let other = ClaimRequest {
         request_sha256: "other".into(),
         ..terms(1, Duration::from_secs(9))
     };
--- a/components/state/tests/configurations.rs
+++ b/components/state/tests/configurations.rs
@@ -7,7 +7,7 @@
 use schema::messages::HeadRow;
 use state::{
     head_key, history_key, ConfigAction, ConfigEvent, ConfigFollower, Publish, PublishAction,
-    PublishEvent, PublishTerms, Published, Reply, Version,
+    PublishEvent, PublishOutcome, PublishRequest, Reply, Version,
 };
 
 const STEP: Duration = Duration::from_millis(10);
@@ -16,7 +16,7 @@
     publish: Publish,
     put: String,
     wake: Option<Duration>,
-    answer: Option<Published>,
+    answer: Option<PublishOutcome>,
 }
 
 struct World {
@@ -27,7 +27,7 @@
 impl World {
     fn add(&mut self, now: Duration, based_on: i64) {
         let put = format!("p{}", self.edits.len());
-        let terms = PublishTerms {
+        let terms = PublishRequest {
             based_on,
             hash: format!("h-{put}"),
             put: put.clone(),
@@ -103,7 +103,7 @@
     check(400, |seed: u64| {
         let world = race(seed);
         world.edits.iter().all(|e| match e.answer {
-            Some(Published::Accepted(version)) => world
+            Some(PublishOutcome::Accepted(version)) => world
                 .row(&history_key(version))
                 .is_some_and(|r| r.put == e.put),
             _ => true,
@@ -118,7 +118,7 @@
         let stands = |put: &str| {
             (1..=world.newest()).any(|v| world.row(&history_key(v)).is_some_and(|r| r.put == put))
         };
-        let reported = |e: &&Edit| matches!(e.answer, Some(Published::Conflict { .. }));
+        let reported = |e: &&Edit| matches!(e.answer, Some(PublishOutcome::Conflict { .. }));
         world.edits.iter().filter(reported).all(|e| !stands(&e.put))
     });
 }
@@ -133,7 +133,7 @@
     (0..100).for_each(|s| world.step(STEP * s));
     world.add(STEP * 100, 0);
     (100..200).for_each(|s| world.step(STEP * s));
-    let expected = Published::Conflict {
+    let expected = PublishOutcome::Conflict {
         version: 1,
         author: "author-p0".into(),
         note: "raise rates".into(),
@@ -143,7 +143,7 @@
 
 #[test]
 fn edits_are_accepted_despite_lost_answers() {
-    let accepted = |e: &&Edit| matches!(e.answer, Some(Published::Accepted(_)));
+    let accepted = |e: &&Edit| matches!(e.answer, Some(PublishOutcome::Accepted(_)));
     let count: usize = (0..20)
         .map(|seed| race(seed).edits.iter().filter(accepted).count())
         .sum();
@@ -180,7 +180,7 @@
         let mut wanted: Vec<String> = Vec::new();
         for step in 0..300 {
             let event = match rng.random_range(0..4) {
-                0 => ConfigEvent::Heard {
+                0 => ConfigEvent::PeerReported {
                     peer: format!("n{}", rng.random_range(0..3)),
                     version: version(rng.random_range(0..20)),
                 },
@@ -225,7 +225,7 @@
                 let number = rng.random_range(0..50);
                 newest = newest.max(number);
                 let peer = format!("n{}", rng.random_range(0..3));
-                ConfigEvent::Heard {
+                ConfigEvent::PeerReported {
                     peer,
                     version: version(number),
                 }
@@ -271,7 +271,7 @@
 #[test]
 fn a_body_is_fetched_elsewhere_when_one_source_has_none() {
     let mut follower = ConfigFollower::default();
-    let heard = ConfigEvent::Heard {
+    let heard = ConfigEvent::PeerReported {
         peer: "n1".into(),
         version: version(3),
     };
--- a/components/state/tests/leases.rs
+++ b/components/state/tests/leases.rs
@@ -100,13 +100,13 @@
         let Some(head) = self.members[n].lease.head() else {
             return;
         };
-        let mut reported = LeaseEvent::Heard(head.clone());
+        let mut reported = LeaseEvent::HeadReported(head.clone());
         let under_way = self.orders.iter().any(|(arrival, _)| *arrival >= now);
         if !under_way && self.table.rng.random_ratio(1, 20) {
             self.event(now, n, LeaseEvent::GiveUp);
             // One that had lapsed already is not given up.
             if self.members[n].lease.given_up() == Some(head.epoch) {
-                reported = LeaseEvent::GivenUp(head.epoch);
+                reported = LeaseEvent::GiveUpReported(head.epoch);
             }
         }
         for other in (0..NODES).filter(|other| *other != n) {
@@ -178,7 +178,7 @@
 
     fn order(&mut self, now: Duration, n: usize) {
         let member = &self.members[n];
-        let Some(epoch) = member.lease.may_order(now + member.offset) else {
+        let Some(epoch) = member.lease.order_epoch(now + member.offset) else {
             return;
         };
         // Holders that talk order less often, so that they have moments with nothing under way.
@@ -344,13 +344,13 @@
             let now = STEP * step;
             (0..NODES).find(|n| {
                 let m = &world.members[*n];
-                m.lease.may_order(now + m.offset).is_some()
+                m.lease.order_epoch(now + m.offset).is_some()
             })
         })
         .expect("somebody holds the lease");
     let member = &world.members[holder];
     let late = STEP * 1000 + DURATION;
-    assert_eq!(member.lease.may_order(late + member.offset), None);
+    assert_eq!(member.lease.order_epoch(late + member.offset), None);
 }
 
 #[test]
@@ -414,11 +414,11 @@
     run_until(&mut world, DURATION * 4);
     let (_, epoch, holder) = *world.gained.last().expect("somebody holds the lease");
     let at = DURATION * 4;
-    let reported = LeaseEvent::Heard(world.members[holder].lease.head().unwrap());
+    let reported = LeaseEvent::HeadReported(world.members[holder].lease.head().unwrap());
     world.event(at, holder, LeaseEvent::GiveUp);
     let next = (holder + 1) % NODES;
     world.event(at, next, reported);
-    world.event(at, next, LeaseEvent::GivenUp(epoch));
+    world.event(at, next, LeaseEvent::GiveUpReported(epoch));
     run_until(&mut world, at + MARGIN);
     assert_eq!(
         world.gained.last().map(|g| (g.1, g.2)),
@@ -427,7 +427,7 @@
     let calls = world.table.calls;
     for step in 1..100 {
         let now = at + MARGIN + STEP * step;
-        world.event(now, next, LeaseEvent::GivenUp(epoch));
+        world.event(now, next, LeaseEvent::GiveUpReported(epoch));
         world.step(now);
     }
     let calls = world.table.calls - calls;
@@ -442,7 +442,7 @@
         candidate: true,
     };
     let heard = |version, epoch| {
-        LeaseEvent::Heard(LeaseHead {
+        LeaseEvent::HeadReported(LeaseHead {
             version,
             era: 0,
             holder: "n1".into(),
@@ -470,7 +470,7 @@
     assert_eq!(lease.given_up(), Some(2));
     // Another follows, and gives it up in turn.
     lease.step(given_up_at + at(100), heard(3, 3));
-    lease.step(given_up_at + at(200), LeaseEvent::GivenUp(3));
+    lease.step(given_up_at + at(200), LeaseEvent::GiveUpReported(3));
     let mut writes_at = None;
     for ms in (200..8000).step_by(200) {
         let actions = lease.step(given_up_at + at(ms), tick("b"));
@@ -512,7 +512,7 @@
         holder: "n0".into(),
         epoch: 4,
     };
-    lease.step(Duration::ZERO, LeaseEvent::Heard(head));
+    lease.step(Duration::ZERO, LeaseEvent::HeadReported(head));
     let tick = || LeaseEvent::Tick {
         write: "w".into(),
         candidate: true,
