--- a/components/control/src/core.rs
+++ b/components/control/src/core.rs
@@ -214,8 +214,8 @@
         let mut actions = self.share(now);
         let outputs = self.cell.tick(now, rng);
         actions.extend(self.outputs(now, outputs, rng));
-        let polls = self.cell.has_duty("head", POLLERS);
-        actions.extend(self.follow(now, ConfigEvent::Tick { polls }, rng));
+        let is_poller = self.cell.has_duty("head", POLLERS);
+        actions.extend(self.follow(now, ConfigEvent::Tick { is_poller }, rng));
         actions.extend(self.tick_lease(now, rng));
         actions.extend(self.poll_cloud(now, rng));
         actions
@@ -240,13 +240,19 @@
         if self.stopping {
             return Vec::new();
         }
-        let candidate = self.cell.has_duty("fleet", CANDIDATES);
-        let involved = candidate || self.lease.order_window(now).is_some();
+        let is_candidate = self.cell.has_duty("fleet", CANDIDATES);
+        let involved = is_candidate || self.lease.order_window(now).is_some();
         if !involved {
             return Vec::new();
         }
-        let write = format!("{:016x}", rng.random::<u64>());
-        let actions = self.lease.step(now, LeaseEvent::Tick { write, candidate });
+        let write_id = format!("{:016x}", rng.random::<u64>());
+        let actions = self.lease.step(
+            now,
+            LeaseEvent::Tick {
+                write_id,
+                is_candidate,
+            },
+        );
         self.lease_actions(now, actions, rng)
     }
 
@@ -298,8 +304,8 @@
 
     fn stop(&mut self, now: Duration, rng: &mut impl Rng) -> Vec<Action> {
         self.stopping = true;
-        let write = format!("{:016x}", rng.random::<u64>());
-        let actions = self.lease.step(now, LeaseEvent::Release { write });
+        let write_id = format!("{:016x}", rng.random::<u64>());
+        let actions = self.lease.step(now, LeaseEvent::Release { write_id });
         let mut actions = self.lease_actions(now, actions, rng);
         let outputs = self.cell.leave(now);
         actions.extend(self.outputs(now, outputs, rng));
--- a/components/gateway/src/control/lease.rs
+++ b/components/gateway/src/control/lease.rs
@@ -70,10 +70,10 @@
         if self.freshness.is_stopping() || (!holds && !self.is_candidate(now, &known)) {
             return;
         }
-        let write = format!("{}-{}", self.source.incarnation, now.as_micros());
+        let write_id = format!("{}-{}", self.source.incarnation, now.as_micros());
         let event = LeaseEvent::Tick {
-            write,
-            candidate: true,
+            write_id,
+            is_candidate: true,
         };
         let actions = known.lease.step(now, event);
         drop(known);
--- a/components/node/src/configure.rs
+++ b/components/node/src/configure.rs
@@ -43,16 +43,16 @@
         let message = "the object store did not confirm the body";
         return Err(Problem::not_run(Kind::PlatformUnavailable, message));
     }
-    let terms = PublishRequest {
+    let request = PublishRequest {
         based_on: put.based_on,
         hash,
-        put: format!("{:032x}", rand::random::<u128>()),
+        put_id: format!("{:032x}", rand::random::<u128>()),
         author: put.author,
         note: put.note,
         deadline: shared.now() + PUT_DEADLINE,
     };
-    let hash = terms.hash.clone();
-    let published = publish(shared, terms);
+    let hash = request.hash.clone();
+    let published = publish(shared, request);
     if let PublishOutcome::Accepted(number) = published {
         let event = Event::Published(Version { number, hash });
         let _ = shared.control.send(ControlEvent::Core(event));
@@ -78,8 +78,8 @@
     }
 }
 
-fn publish(shared: &Shared, terms: PublishRequest) -> PublishOutcome {
-    let (mut publish, mut actions) = Publish::start(terms);
+fn publish(shared: &Shared, request: PublishRequest) -> PublishOutcome {
+    let (mut publish, mut actions) = Publish::start(request);
     loop {
         let mut next = Vec::new();
         for action in actions {
--- a/components/node/src/service.rs
+++ b/components/node/src/service.rs
@@ -165,15 +165,15 @@
         let Some(key) = self.call.idempotency_key.clone() else {
             return self.step(hop, Event::Start);
         };
-        let terms = ClaimRequest {
+        let request = ClaimRequest {
             key: format!("claim/{}/{}", self.call.team.name, body_hash(&key)),
-            claim: format!("{:032x}", rand::random::<u128>()),
+            claim_id: format!("{:032x}", rand::random::<u128>()),
             node: self.shared.settings.name.clone(),
             request_sha256: self.request_hash(),
             deadline: self.call.deadline,
         };
         self.shared.metrics.count(Counter::Claims);
-        let (claim, actions) = Claim::start(terms);
+        let (claim, actions) = Claim::start(request);
         self.claim = Some(claim);
         self.closed = false;
         self.claim_actions(hop, actions);
--- a/components/state/src/claim.rs
+++ b/components/state/src/claim.rs
@@ -23,7 +23,7 @@
     /// Key of the row, from the team and its idempotency key.
     pub key: String,
     /// Unique id of this claim.
-    pub claim: String,
+    pub claim_id: String,
     /// Node that claims.
     pub node: String,
     /// SHA-256 of the request, to report a reused key.
@@ -98,7 +98,7 @@
 /// One claim.
 #[derive(Debug)]
 pub struct Claim {
-    terms: ClaimRequest,
+    request: ClaimRequest,
     stage: Stage,
     expect: u64,
     pause: Duration,
@@ -113,9 +113,9 @@
 
 impl Claim {
     /// A claim and its first table call.
-    pub fn start(terms: ClaimRequest) -> (Self, Vec<ClaimAction>) {
+    pub fn start(request: ClaimRequest) -> (Self, Vec<ClaimAction>) {
         let mut claim = Claim {
-            terms,
+            request,
             stage: Stage::Inserting,
             expect: ABSENT,
             pause: FIRST_PAUSE,
@@ -140,7 +140,7 @@
             }
             ClaimEvent::Tick if self.stage == Stage::Closing => self.closing_call(),
             _ if matches!(self.stage, Stage::Dispatched | Stage::Closed) => Vec::new(),
-            _ if now >= self.terms.deadline => self.miss_deadline(),
+            _ if now >= self.request.deadline => self.miss_deadline(),
             ClaimEvent::Replied { reply, .. } => self.take_reply(now, reply),
             ClaimEvent::Tick => self.resume(),
         }
@@ -158,12 +158,12 @@
     }
 
     fn read_call(&mut self) -> ClaimAction {
-        self.number(TableCall::Read(self.terms.key.clone()))
+        self.number(TableCall::Read(self.request.key.clone()))
     }
 
     fn write(&mut self, row: &ClaimRow) -> ClaimAction {
         self.number(TableCall::Transact(vec![Write {
-            key: self.terms.key.clone(),
+            key: self.request.key.clone(),
             expect: self.expect,
             value: schema::encode(row).unwrap_or_default(),
         }]))
@@ -179,10 +179,10 @@
 
     fn row(&self, state: ClaimState, outcome: Option<&StoredOutcome>) -> ClaimRow {
         ClaimRow {
-            claim: self.terms.claim.clone(),
-            node: self.terms.node.clone(),
+            claim: self.request.claim_id.clone(),
+            node: self.request.node.clone(),
             state,
-            request_sha256: self.terms.request_sha256.clone(),
+            request_sha256: self.request.request_sha256.clone(),
             status: outcome.map(|o| o.status),
             body: outcome.map(|o| o.body.clone()),
         }
@@ -209,7 +209,7 @@
         let Ok(found) = schema::decode::<ClaimRow>(&row.value) else {
             return self.wait(now);
         };
-        if found.claim == self.terms.claim {
+        if found.claim == self.request.claim_id {
             self.expect = row.version - 1;
             return self.dispatch();
         }
@@ -220,7 +220,7 @@
             self.expect = row.version;
             return self.insert();
         }
-        if found.request_sha256 != self.terms.request_sha256 {
+        if found.request_sha256 != self.request.request_sha256 {
             return self.end_with(ClaimAction::AnswerKeyReused);
         }
         if found.state == ClaimState::DONE {
@@ -242,7 +242,7 @@
 
     fn wait(&mut self, now: Duration) -> Vec<ClaimAction> {
         self.stage = Stage::Pausing;
-        let until = (now + self.pause).min(self.terms.deadline);
+        let until = (now + self.pause).min(self.request.deadline);
         self.pause = (self.pause * 2).min(MAX_PAUSE);
         vec![ClaimAction::WakeAt(until)]
     }
@@ -316,7 +316,7 @@
             return self.closing_pause(now);
         };
         match schema::decode::<ClaimRow>(&row.value) {
-            Ok(found) if found.claim != self.terms.claim => self.closed(),
+            Ok(found) if found.claim != self.request.claim_id => self.closed(),
             Ok(found) if Some(found.state) == self.final_row.as_ref().map(|r| r.state) => {
                 self.closed()
             }
--- a/components/state/src/configuration.rs
+++ b/components/state/src/configuration.rs
@@ -9,7 +9,7 @@
 
 /// Pause after a fetch that brought nothing, before the next source is tried.
 const FETCH_PAUSE: Duration = Duration::from_millis(500);
-/// Pause between reads of the head row by a node that polls it.
+/// Pause between reads of the head row by a node that is_poller it.
 const POLL_INTERVAL: Duration = Duration::from_secs(2);
 
 /// A version and the hash of its body.
@@ -42,10 +42,10 @@
         /// The body, if it was got.
         body: Option<String>,
     },
-    /// Time passed; `polls` says whether this node is one of those that read the table.
+    /// Time passed; `is_poller` says whether this node is one of those that read the table.
     Tick {
         /// Whether to read the head row when it is due.
-        polls: bool,
+        is_poller: bool,
     },
 }
 
@@ -110,7 +110,7 @@
             ConfigEvent::Published(version) => self.want(version),
             ConfigEvent::Replied(reply) => self.take_head(reply),
             ConfigEvent::Fetched { hash, body } => return self.take_body(now, &hash, body),
-            ConfigEvent::Tick { polls } => return self.tick(now, polls),
+            ConfigEvent::Tick { is_poller } => return self.tick(now, is_poller),
         }
         self.fetch(now)
     }
@@ -153,10 +153,10 @@
             .is_some_and(|w| Some(w.number) > applied)
     }
 
-    fn tick(&mut self, now: Duration, polls: bool) -> Vec<ConfigAction> {
+    fn tick(&mut self, now: Duration, is_poller: bool) -> Vec<ConfigAction> {
         let mut actions = Vec::new();
         let starting = !self.table_answered && self.applied.is_none();
-        if (polls || starting) && !self.reading && now >= self.next_poll {
+        if (is_poller || starting) && !self.reading && now >= self.next_poll {
             self.reading = true;
             self.next_poll = now + POLL_INTERVAL;
             actions.push(ConfigAction::Call(TableCall::Read(head_key())));
--- a/components/state/src/lease.rs
+++ b/components/state/src/lease.rs
@@ -37,12 +37,12 @@
 /// What happens to a lease.
 #[derive(Clone, Debug)]
 pub enum LeaseEvent {
-    /// Time passed. `write` is a unique id for a write that may follow.
+    /// Time passed. `write_id` is a unique id for a write that may follow.
     Tick {
         /// Unique id.
-        write: String,
+        write_id: String,
         /// Whether this node may try for the lease.
-        candidate: bool,
+        is_candidate: bool,
     },
     /// A table call came back; only the one asked for last counts.
     Replied {
@@ -63,7 +63,7 @@
     /// The node stops: give the lease up.
     Release {
         /// Unique id.
-        write: String,
+        write_id: String,
     },
 }
 
@@ -211,9 +211,10 @@
         }
         let mut actions = self.lapse(now);
         match event {
-            LeaseEvent::Tick { write, candidate } => {
-                actions.extend(self.tick(now, write, candidate))
-            }
+            LeaseEvent::Tick {
+                write_id,
+                is_candidate,
+            } => actions.extend(self.tick(now, write_id, is_candidate)),
             LeaseEvent::Replied { call, .. } if call != self.call => {}
             LeaseEvent::Replied { era, reply, .. } => {
                 actions.extend(self.take_reply_from_era(now, era, reply));
@@ -226,7 +227,7 @@
                 }
             }
             LeaseEvent::GiveUp => actions.extend(self.give_up()),
-            LeaseEvent::Release { write } => actions.extend(self.release(now, write)),
+            LeaseEvent::Release { write_id } => actions.extend(self.release(now, write_id)),
         }
         actions
     }
@@ -310,7 +311,7 @@
         vec![LeaseAction::Lost]
     }
 
-    fn tick(&mut self, now: Duration, write: String, candidate: bool) -> Vec<LeaseAction> {
+    fn tick(&mut self, now: Duration, write: String, is_candidate: bool) -> Vec<LeaseAction> {
         let stuck = self
             .pending
             .as_ref()
@@ -322,7 +323,7 @@
             return Vec::new();
         }
         self.next_call = now + self.terms.interval;
-        if self.unsettled.is_some() || self.stale || !self.may_write(now, candidate) {
+        if self.unsettled.is_some() || self.stale || !self.may_write(now, is_candidate) {
             return self.read(now);
         }
         let epoch = match &self.held {
@@ -352,7 +353,7 @@
     }
 
     // A holder renews; a candidate writes once the row has not changed for a whole lease.
-    fn may_write(&self, now: Duration, candidate: bool) -> bool {
+    fn may_write(&self, now: Duration, is_candidate: bool) -> bool {
         if self.held.is_some() {
             return true;
         }
@@ -364,7 +365,7 @@
             .as_ref()
             .is_none_or(|row| row.holder.is_empty());
         let free = has_no_holder && !self.row_may_be_outdated;
-        candidate && (free || now >= seen_at + self.terms.duration || self.may_follow(now))
+        is_candidate && (free || now >= seen_at + self.terms.duration || self.may_follow(now))
     }
 
     // The holder gave the row's epoch up. A node that held the lease, or may have before it started,
--- a/components/state/src/publish.rs
+++ b/components/state/src/publish.rs
@@ -19,7 +19,7 @@
     /// SHA-256 of the new body; the body is in the object store already.
     pub hash: String,
     /// Unique id of this put.
-    pub put: String,
+    pub put_id: String,
     /// Who edits.
     pub author: String,
     /// What the edit is for.
@@ -78,7 +78,7 @@
 /// One edit under way.
 #[derive(Debug)]
 pub struct Publish {
-    terms: PublishRequest,
+    request: PublishRequest,
     stage: Stage,
     after_pause: Stage,
     head_version: u64,
@@ -87,9 +87,9 @@
 
 impl Publish {
     /// An edit and its first table call.
-    pub fn start(terms: PublishRequest) -> (Self, Vec<PublishAction>) {
+    pub fn start(request: PublishRequest) -> (Self, Vec<PublishAction>) {
         let mut publish = Publish {
-            terms,
+            request,
             stage: Stage::ReadingHead,
             after_pause: Stage::ReadingHead,
             head_version: ABSENT,
@@ -112,7 +112,7 @@
         let answered = actions
             .iter()
             .any(|a| matches!(a, PublishAction::Answer(_)));
-        if !answered && now >= self.terms.deadline {
+        if !answered && now >= self.request.deadline {
             return self.answer(PublishOutcome::Undetermined);
         }
         actions
@@ -130,16 +130,16 @@
     }
 
     fn number(&self) -> i64 {
-        self.terms.based_on + 1
+        self.request.based_on + 1
     }
 
     fn writes(&self) -> Vec<Write> {
         let row = HeadRow {
             version: self.number(),
-            hash: self.terms.hash.clone(),
-            put: self.terms.put.clone(),
-            author: self.terms.author.clone(),
-            note: self.terms.note.clone(),
+            hash: self.request.hash.clone(),
+            put: self.request.put_id.clone(),
+            author: self.request.author.clone(),
+            note: self.request.note.clone(),
         };
         let value = schema::encode(&row).unwrap_or_default();
         let head = Write {
@@ -173,7 +173,7 @@
             .as_ref()
             .and_then(|r| schema::decode::<HeadRow>(&r.value).ok());
         let newest = head.as_ref().map_or(0, |h| h.version);
-        if newest == self.terms.based_on {
+        if newest == self.request.based_on {
             self.head_version = row.map_or(ABSENT, |r| r.version);
             return self.enter(Stage::Writing);
         }
@@ -186,7 +186,7 @@
 
     fn take_history(&mut self, now: Duration, row: &Row) -> Vec<PublishAction> {
         match schema::decode::<HeadRow>(&row.value) {
-            Ok(found) if found.put == self.terms.put => {
+            Ok(found) if found.put == self.request.put_id => {
                 self.answer(PublishOutcome::Accepted(found.version))
             }
             Ok(found) => self.answer(conflict(found.version, Some(found))),
@@ -197,7 +197,7 @@
     fn retry(&mut self, now: Duration, stage: Stage) -> Vec<PublishAction> {
         self.stage = Stage::Pausing;
         self.after_pause = stage;
-        let until = (now + self.pause).min(self.terms.deadline);
+        let until = (now + self.pause).min(self.request.deadline);
         self.pause = (self.pause * 2).min(MAX_PAUSE);
         vec![PublishAction::WakeAt(until)]
     }
--- a/components/state/tests/claims.rs
+++ b/components/state/tests/claims.rs
@@ -36,10 +36,10 @@
     callers: Vec<Caller>,
 }
 
-fn terms(n: usize, deadline: Duration) -> ClaimRequest {
+fn claim_request(n: usize, deadline: Duration) -> ClaimRequest {
     ClaimRequest {
         key: KEY.into(),
-        claim: format!("c{n}"),
+        claim_id: format!("c{n}"),
         node: format!("n{n}"),
         request_sha256: "same".into(),
         deadline,
@@ -50,7 +50,7 @@
     fn add(&mut self, now: Duration, budget: Duration) {
         let n = self.callers.len();
         let deadline = now + budget;
-        let (claim, actions) = Claim::start(terms(n, deadline));
+        let (claim, actions) = Claim::start(claim_request(n, deadline));
         self.callers.push(Caller {
             claim,
             wake: None,
@@ -217,7 +217,7 @@
 
 #[test]
 fn an_insert_that_takes_effect_after_not_run_was_said_is_stopped() {
-    let (mut claim, actions) = Claim::start(terms(0, Duration::from_millis(100)));
+    let (mut claim, actions) = Claim::start(claim_request(0, Duration::from_millis(100)));
     let ClaimAction::Call { table: insert, .. } = actions[0].clone() else {
         panic!()
     };
@@ -268,7 +268,7 @@
     (0..200).for_each(|s| world.step(STEP * s));
     let other = ClaimRequest {
         request_sha256: "other".into(),
-        ..terms(1, Duration::from_secs(9))
+        ..claim_request(1, Duration::from_secs(9))
     };
     let (mut claim, _) = Claim::start(other);
     let conflict = ClaimEvent::Replied {
--- a/components/state/tests/configurations.rs
+++ b/components/state/tests/configurations.rs
@@ -27,15 +27,15 @@
 impl World {
     fn add(&mut self, now: Duration, based_on: i64) {
         let put = format!("p{}", self.edits.len());
-        let terms = PublishRequest {
+        let request = PublishRequest {
             based_on,
             hash: format!("h-{put}"),
-            put: put.clone(),
+            put_id: put.clone(),
             author: format!("author-{put}"),
             note: "raise rates".into(),
             deadline: now + Duration::from_secs(5),
         };
-        let (publish, actions) = Publish::start(terms);
+        let (publish, actions) = Publish::start(request);
         self.edits.push(Edit {
             publish,
             put,
@@ -191,7 +191,7 @@
                     ConfigEvent::Fetched { hash, body }
                 }
                 _ => ConfigEvent::Tick {
-                    polls: rng.random_bool(0.5),
+                    is_poller: rng.random_bool(0.5),
                 },
             };
             for action in follower.step(STEP * step, event) {
@@ -236,7 +236,7 @@
                     body: Some("body".into()),
                 }
             } else {
-                ConfigEvent::Tick { polls: false }
+                ConfigEvent::Tick { is_poller: false }
             };
             for action in follower.step(STEP * step * 10, event) {
                 if let ConfigAction::FetchFromPeer { hash, .. }
@@ -290,7 +290,7 @@
             body: None,
         };
         actions = follower.step(STEP * step * 10, failed);
-        actions.extend(follower.step(STEP * step * 10, ConfigEvent::Tick { polls: false }));
+        actions.extend(follower.step(STEP * step * 10, ConfigEvent::Tick { is_poller: false }));
     }
     assert!(
         sources.contains(&"peer") && sources.contains(&"store"),
--- a/components/state/tests/leases.rs
+++ b/components/state/tests/leases.rs
@@ -163,13 +163,13 @@
                 self.report(now, n);
             }
             self.writes += 1;
-            let write = format!("w{}", self.writes);
+            let write_id = format!("w{}", self.writes);
             self.event(
                 now,
                 n,
                 LeaseEvent::Tick {
-                    write,
-                    candidate: true,
+                    write_id,
+                    is_candidate: true,
                 },
             );
             self.order(now, n);
@@ -300,8 +300,8 @@
         };
         let value = schema::encode(&row).unwrap();
         let tick = |write: &str| LeaseEvent::Tick {
-            write: write.into(),
-            candidate: true,
+            write_id: write.into(),
+            is_candidate: true,
         };
         let actions = lease.step(Duration::ZERO, tick("a"));
         let LeaseAction::Call { call, .. } = actions[0] else {
@@ -438,8 +438,8 @@
 fn a_node_that_gave_the_lease_up_does_not_follow_its_follower_at_once() {
     let mut lease = Lease::new(terms(0));
     let tick = |write: &str| LeaseEvent::Tick {
-        write: write.into(),
-        candidate: true,
+        write_id: write.into(),
+        is_candidate: true,
     };
     let heard = |version, epoch| {
         LeaseEvent::HeadReported(LeaseHead {
@@ -514,8 +514,8 @@
     };
     lease.step(Duration::ZERO, LeaseEvent::HeadReported(head));
     let tick = || LeaseEvent::Tick {
-        write: "w".into(),
-        candidate: true,
+        write_id: "w".into(),
+        is_candidate: true,
     };
     let actions = lease.step(DURATION, tick());
     let writes = |action: &LeaseAction| {
