--- a/components/state/src/claim.rs
+++ b/components/state/src/claim.rs
@@ -1,8 +1,7 @@
-//! A claim on an idempotency key: at most one run, whatever answers are lost.
+//! A claim on an idempotency key, which lets a request run at most once even if answers of the table are lost.
 //!
-//! The request is dispatched only after its own row is known to stand in the table, and only
-//! before its deadline. A claim that was never dispatched is closed by a row that says so; that
-//! row also stops an insert that takes effect late.
+//! The request is dispatched only after its own row is confirmed to be in the table, and only before its deadline. A claim
+//! that was never dispatched is closed by a `NOT_RUN` row, which also makes an insert that takes effect late fail.
 
 use std::time::Duration;
 
@@ -10,59 +9,59 @@
 
 use crate::table::{Reply, Row, TableCall, Write, ABSENT};
 
-/// First pause before a table call is made again; it doubles up to [`MAX_PAUSE`].
-const FIRST_PAUSE: Duration = Duration::from_millis(20);
-/// Longest pause between table calls.
-const MAX_PAUSE: Duration = Duration::from_millis(640);
-/// Calls made to close or complete a claim before the row is left as it is.
-const MAX_CLOSING_CALLS: u32 = 12;
+/// First backoff before a table call is repeated; it doubles up to [`MAX_BACKOFF`].
+const INITIAL_BACKOFF: Duration = Duration::from_millis(20);
+/// Longest backoff between table calls.
+const MAX_BACKOFF: Duration = Duration::from_millis(640);
+/// Writes tried to close or complete a claim before the row is left as it is.
+const MAX_CLOSING_WRITES: u32 = 12;
 
-/// What a claim is for.
+/// The request that a claim is made for.
 #[derive(Clone, Debug)]
 pub struct ClaimRequest {
-    /// Key of the row, from the team and its idempotency key.
+    /// Key of the row, made of the team and its idempotency key.
     pub key: String,
     /// Unique id of this claim.
     pub claim_id: String,
-    /// Node that claims.
+    /// Node that makes the claim.
     pub node: String,
-    /// SHA-256 of the request, to report a reused key.
+    /// SHA-256 of the request, to detect that the key was used for another request.
     pub request_sha256: String,
-    /// Time until which the request may be dispatched.
+    /// Deadline for the dispatch of the request.
     pub deadline: Duration,
 }
 
-/// An outcome kept for callers that ask again.
+/// An outcome stored for callers that repeat the request.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct StoredOutcome {
     /// HTTP status.
     pub status: i32,
-    /// Body.
+    /// HTTP body.
     pub body: String,
 }
 
-/// What happens to a claim.
+/// An event that a claim handles.
 #[derive(Clone, Debug)]
 pub enum ClaimEvent {
-    /// A table call came back; only the one asked for last counts.
+    /// A table call ended. Replies to any but the last requested call are ignored.
     Replied {
         /// Number of the call.
         call: u32,
         /// Its reply.
         reply: Reply,
     },
-    /// The pause asked for is over, or time passed.
+    /// The requested wake-up time was reached, or the deadline passed.
     Tick,
-    /// The dispatched request has an outcome to keep.
+    /// The dispatched request has an outcome to store.
     Completed(StoredOutcome),
-    /// The endpoint proved that the dispatched request did not start.
+    /// The dispatched request is known not to have started.
     NotStarted,
 }
 
-/// What a claim asks for.
+/// An action that a claim requests.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum ClaimAction {
-    /// Make a table call and hand in its reply.
+    /// Make a table call and pass its reply to the claim.
     Call {
         /// Number of the call.
         call: u32,
@@ -71,17 +70,17 @@
     },
     /// Send [`ClaimEvent::Tick`] at this time.
     WakeAt(Duration),
-    /// Dispatch the request: it is claimed and nobody else will run it.
+    /// Dispatch the request: the claim is made and no other caller will run it.
     Dispatch,
-    /// Answer with the outcome of the run that was made before.
+    /// Answer with the stored outcome of an earlier run.
     AnswerStored(StoredOutcome),
-    /// Answer that the key belongs to another request.
+    /// Answer that the key was already used for another request.
     AnswerKeyReused,
-    /// Answer that another run is under way or its outcome is unknown.
+    /// Answer that another run is in progress or its outcome is unknown.
     AnswerUnknown,
     /// Answer that the request was not run.
     AnswerNotRun,
-    /// Nothing more will come.
+    /// No further actions follow.
     Closed,
 }
 
@@ -89,60 +88,60 @@
 enum Stage {
     Inserting,
     Reading,
-    Pausing,
+    BackingOff,
     Dispatched,
     Closing,
     Closed,
 }
 
-/// One claim.
+/// State machine of one claim.
 #[derive(Debug)]
 pub struct Claim {
     request: ClaimRequest,
     stage: Stage,
     expect: u64,
-    pause: Duration,
-    // Another claim's row was seen, so this one cannot be dispatched while it stands.
-    other_holds: bool,
-    // An insert of ours may stand in the table or may yet arrive there.
-    may_stand: bool,
+    backoff: Duration,
+    // A row of another claim was read that is not closed as `NOT_RUN`, so this claim cannot be dispatched.
+    is_held_by_other: bool,
+    // An unanswered insert of this claim may have taken effect or may still do so.
+    may_be_inserted: bool,
     final_row: Option<ClaimRow>,
-    closing_calls: u32,
+    closing_writes: u32,
     call: u32,
 }
 
 impl Claim {
-    /// A claim and its first table call.
+    /// Creates a claim and returns its first table call.
     pub fn start(request: ClaimRequest) -> (Self, Vec<ClaimAction>) {
         let mut claim = Claim {
             request,
             stage: Stage::Inserting,
             expect: ABSENT,
-            pause: FIRST_PAUSE,
-            other_holds: false,
-            may_stand: false,
+            backoff: INITIAL_BACKOFF,
+            is_held_by_other: false,
+            may_be_inserted: false,
             final_row: None,
-            closing_calls: 0,
+            closing_writes: 0,
             call: 0,
         };
         let actions = claim.insert();
         (claim, actions)
     }
 
-    /// Takes one event and returns what is to be done, in order.
+    /// Handles one event and returns the actions to carry out, in order.
     pub fn step(&mut self, now: Duration, event: ClaimEvent) -> Vec<ClaimAction> {
         match event {
             ClaimEvent::Completed(outcome) => self.complete(outcome),
             ClaimEvent::NotStarted => self.close_as_not_run(),
             ClaimEvent::Replied { call, .. } if call != self.call => Vec::new(),
             ClaimEvent::Replied { reply, .. } if self.stage == Stage::Closing => {
-                self.closing_reply(now, reply)
+                self.handle_closing_reply(now, reply)
             }
-            ClaimEvent::Tick if self.stage == Stage::Closing => self.closing_call(),
+            ClaimEvent::Tick if self.stage == Stage::Closing => self.write_final_row(),
             _ if matches!(self.stage, Stage::Dispatched | Stage::Closed) => Vec::new(),
-            _ if now >= self.request.deadline => self.miss_deadline(),
-            ClaimEvent::Replied { reply, .. } => self.take_reply(now, reply),
-            ClaimEvent::Tick => self.resume(),
+            _ if now >= self.request.deadline => self.handle_missed_deadline(),
+            ClaimEvent::Replied { reply, .. } => self.handle_reply(now, reply),
+            ClaimEvent::Tick => self.retry(),
         }
     }
 
@@ -158,18 +157,18 @@
     }
 
     fn read_call(&mut self) -> ClaimAction {
-        self.number(TableCall::Read(self.request.key.clone()))
+        self.numbered_call(TableCall::Read(self.request.key.clone()))
     }
 
     fn write(&mut self, row: &ClaimRow) -> ClaimAction {
-        self.number(TableCall::Transact(vec![Write {
+        self.numbered_call(TableCall::Transact(vec![Write {
             key: self.request.key.clone(),
             expect: self.expect,
             value: schema::encode(row).unwrap_or_default(),
         }]))
     }
 
-    fn number(&mut self, table: TableCall) -> ClaimAction {
+    fn numbered_call(&mut self, table: TableCall) -> ClaimAction {
         self.call += 1;
         ClaimAction::Call {
             call: self.call,
@@ -188,50 +187,50 @@
         }
     }
 
-    fn take_reply(&mut self, now: Duration, reply: Reply) -> Vec<ClaimAction> {
+    fn handle_reply(&mut self, now: Duration, reply: Reply) -> Vec<ClaimAction> {
         match (self.stage, reply) {
             (Stage::Inserting, Reply::Committed { .. }) => self.dispatch(),
             (Stage::Inserting, Reply::Conflict) => self.read(),
             (Stage::Inserting, Reply::Unanswered) => {
-                self.may_stand = true;
+                self.may_be_inserted = true;
                 self.read()
             }
             (Stage::Reading, Reply::Row(None)) => {
                 self.expect = ABSENT;
-                self.wait(now)
+                self.back_off(now)
             }
-            (Stage::Reading, Reply::Row(Some(row))) => self.take_row(now, &row),
-            _ => self.wait(now),
+            (Stage::Reading, Reply::Row(Some(row))) => self.handle_row(now, &row),
+            _ => self.back_off(now),
         }
     }
 
-    fn take_row(&mut self, now: Duration, row: &Row) -> Vec<ClaimAction> {
+    fn handle_row(&mut self, now: Duration, row: &Row) -> Vec<ClaimAction> {
         let Ok(found) = schema::decode::<ClaimRow>(&row.value) else {
-            return self.wait(now);
+            return self.back_off(now);
         };
         if found.claim == self.request.claim_id {
             self.expect = row.version - 1;
             return self.dispatch();
         }
-        // Another's row stands, so no insert of ours does.
-        self.may_stand = false;
+        // The row belongs to another claim, so no insert of this claim is in the table.
+        self.may_be_inserted = false;
         if found.state == ClaimState::NOT_RUN {
-            self.other_holds = false;
+            self.is_held_by_other = false;
             self.expect = row.version;
             return self.insert();
         }
         if found.request_sha256 != self.request.request_sha256 {
-            return self.end_with(ClaimAction::AnswerKeyReused);
+            return self.close_with_answer(ClaimAction::AnswerKeyReused);
         }
         if found.state == ClaimState::DONE {
             let outcome = StoredOutcome {
                 status: found.status.unwrap_or_default(),
                 body: found.body.unwrap_or_default(),
             };
-            return self.end_with(ClaimAction::AnswerStored(outcome));
+            return self.close_with_answer(ClaimAction::AnswerStored(outcome));
         }
-        self.other_holds = true;
-        self.wait(now)
+        self.is_held_by_other = true;
+        self.back_off(now)
     }
 
     fn dispatch(&mut self) -> Vec<ClaimAction> {
@@ -240,100 +239,102 @@
         vec![ClaimAction::Dispatch]
     }
 
-    fn wait(&mut self, now: Duration) -> Vec<ClaimAction> {
-        self.stage = Stage::Pausing;
-        let until = (now + self.pause).min(self.request.deadline);
-        self.pause = (self.pause * 2).min(MAX_PAUSE);
+    fn back_off(&mut self, now: Duration) -> Vec<ClaimAction> {
+        self.stage = Stage::BackingOff;
+        let until = (now + self.backoff).min(self.request.deadline);
+        self.backoff = (self.backoff * 2).min(MAX_BACKOFF);
         vec![ClaimAction::WakeAt(until)]
     }
 
-    fn resume(&mut self) -> Vec<ClaimAction> {
+    fn retry(&mut self) -> Vec<ClaimAction> {
         match self.stage {
-            Stage::Pausing if self.other_holds || self.may_stand => self.read_or_insert(),
-            Stage::Pausing => self.insert(),
+            Stage::BackingOff if self.is_held_by_other || self.may_be_inserted => {
+                self.read_or_insert()
+            }
+            Stage::BackingOff => self.insert(),
             _ => Vec::new(),
         }
     }
 
-    // After an unanswered insert that a read did not find, inserting again is safe: it carries the
-    // same id and the same expected version, so at most one of the two can take effect.
+    // An unanswered insert that a read did not find can safely be repeated: both have the same claim id and expected
+    // version, so at most one of them takes effect.
     fn read_or_insert(&mut self) -> Vec<ClaimAction> {
-        match self.other_holds {
+        match self.is_held_by_other {
             true => self.read(),
             false => self.insert(),
         }
     }
 
-    fn miss_deadline(&mut self) -> Vec<ClaimAction> {
-        if self.other_holds {
-            return self.end_with(ClaimAction::AnswerUnknown);
+    fn handle_missed_deadline(&mut self) -> Vec<ClaimAction> {
+        if self.is_held_by_other {
+            return self.close_with_answer(ClaimAction::AnswerUnknown);
         }
-        let pending = self.stage == Stage::Inserting;
-        if !pending && !self.may_stand {
-            return self.end_with(ClaimAction::AnswerNotRun);
+        let is_inserting = self.stage == Stage::Inserting;
+        if !is_inserting && !self.may_be_inserted {
+            return self.close_with_answer(ClaimAction::AnswerNotRun);
         }
         let mut actions = vec![ClaimAction::AnswerNotRun];
         actions.extend(self.close_as_not_run());
         actions
     }
 
-    fn end_with(&mut self, answer: ClaimAction) -> Vec<ClaimAction> {
+    fn close_with_answer(&mut self, answer: ClaimAction) -> Vec<ClaimAction> {
         self.stage = Stage::Closed;
         vec![answer, ClaimAction::Closed]
     }
 
     fn complete(&mut self, outcome: StoredOutcome) -> Vec<ClaimAction> {
         self.final_row = Some(self.row(ClaimState::DONE, Some(&outcome)));
-        self.closing_call()
+        self.write_final_row()
     }
 
     fn close_as_not_run(&mut self) -> Vec<ClaimAction> {
         self.final_row = Some(self.row(ClaimState::NOT_RUN, None));
-        self.closing_call()
+        self.write_final_row()
     }
 
-    fn closing_call(&mut self) -> Vec<ClaimAction> {
+    fn write_final_row(&mut self) -> Vec<ClaimAction> {
         self.stage = Stage::Closing;
-        self.closing_calls += 1;
+        self.closing_writes += 1;
         match self.final_row.clone() {
-            Some(row) if self.closing_calls <= MAX_CLOSING_CALLS => vec![self.write(&row)],
-            _ => self.closed(),
+            Some(row) if self.closing_writes <= MAX_CLOSING_WRITES => vec![self.write(&row)],
+            _ => self.finish(),
         }
     }
 
-    fn closing_reply(&mut self, now: Duration, reply: Reply) -> Vec<ClaimAction> {
+    fn handle_closing_reply(&mut self, now: Duration, reply: Reply) -> Vec<ClaimAction> {
         match reply {
-            Reply::Committed { .. } => self.closed(),
+            Reply::Committed { .. } => self.finish(),
             Reply::Conflict | Reply::Unanswered => vec![self.read_call()],
-            Reply::Refused => self.closing_pause(now),
-            Reply::Row(row) => self.closing_row(now, row),
+            Reply::Refused => self.back_off_closing(now),
+            Reply::Row(row) => self.handle_closing_row(now, row),
         }
     }
 
-    fn closing_row(&mut self, now: Duration, row: Option<Row>) -> Vec<ClaimAction> {
+    fn handle_closing_row(&mut self, now: Duration, row: Option<Row>) -> Vec<ClaimAction> {
         let Some(row) = row else {
             self.expect = ABSENT;
-            return self.closing_pause(now);
+            return self.back_off_closing(now);
         };
         match schema::decode::<ClaimRow>(&row.value) {
-            Ok(found) if found.claim != self.request.claim_id => self.closed(),
+            Ok(found) if found.claim != self.request.claim_id => self.finish(),
             Ok(found) if Some(found.state) == self.final_row.as_ref().map(|r| r.state) => {
-                self.closed()
+                self.finish()
             }
             _ => {
                 self.expect = row.version;
-                self.closing_pause(now)
+                self.back_off_closing(now)
             }
         }
     }
 
-    fn closing_pause(&mut self, now: Duration) -> Vec<ClaimAction> {
-        let until = now + self.pause;
-        self.pause = (self.pause * 2).min(MAX_PAUSE);
+    fn back_off_closing(&mut self, now: Duration) -> Vec<ClaimAction> {
+        let until = now + self.backoff;
+        self.backoff = (self.backoff * 2).min(MAX_BACKOFF);
         vec![ClaimAction::WakeAt(until)]
     }
 
-    fn closed(&mut self) -> Vec<ClaimAction> {
+    fn finish(&mut self) -> Vec<ClaimAction> {
         self.stage = Stage::Closed;
         vec![ClaimAction::Closed]
     }
--- a/components/state/src/configuration.rs
+++ b/components/state/src/configuration.rs
@@ -1,4 +1,4 @@
-//! Which configuration a node has in force: whole or not at all, and only ever upward.
+//! Selects the configuration that a node has in force. Its version only increases, and a body is applied as a whole.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -7,49 +7,49 @@
 
 use crate::table::{head_key, Reply, TableCall};
 
-/// Pause after a fetch that brought nothing, before the next source is tried.
-const FETCH_PAUSE: Duration = Duration::from_millis(500);
-/// Pause between reads of the head row by a node that is_poller it.
+/// Pause after a failed fetch, before the next source is tried.
+const FETCH_RETRY_PAUSE: Duration = Duration::from_millis(500);
+/// Interval at which a polling node reads the head row.
 const POLL_INTERVAL: Duration = Duration::from_secs(2);
 
-/// A version and the hash of its body.
+/// A configuration version and the hash of its body.
 #[derive(Clone, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Version {
-    /// Counter from the table; 0 is the bootstrap file.
+    /// Version number from the table; 0 is the bootstrap file.
     pub number: i64,
     /// SHA-256 of the body.
     pub hash: String,
 }
 
-/// What a follower receives.
+/// An event that a follower handles.
 #[derive(Clone, Debug)]
 pub enum ConfigEvent {
-    /// A peer has this version.
+    /// A peer reported the version that it has in force.
     PeerReported {
         /// Name of the peer.
         peer: String,
-        /// What it has in force.
+        /// Version that the peer has in force.
         version: Version,
     },
-    /// This node has just had this version accepted.
+    /// An edit published through this node was accepted as this version.
     Published(Version),
-    /// The read of the head row came back.
+    /// The read of the head row ended.
     Replied(Reply),
-    /// A fetch of a body ended; the bytes were checked against `hash` by whoever fetched them.
+    /// A fetch of a body ended. The caller has checked the body against `hash`.
     Fetched {
-        /// Hash that was asked for.
+        /// Requested hash.
         hash: String,
-        /// The body, if it was got.
+        /// The body, `None` if the fetch failed.
         body: Option<String>,
     },
-    /// Time passed; `is_poller` says whether this node is one of those that read the table.
+    /// Time passed.
     Tick {
-        /// Whether to read the head row when it is due.
+        /// Whether this node is one of those that poll the head row.
         is_poller: bool,
     },
 }
 
-/// What a follower asks for.
+/// An action that a follower requests.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum ConfigAction {
     /// Read the head row.
@@ -75,78 +75,78 @@
     },
 }
 
-/// The configuration of one node.
+/// Follows the newest configuration version for one node.
 #[derive(Debug, Default)]
 pub struct ConfigFollower {
     applied: Option<Version>,
     applied_at: Duration,
     wanted: Option<Version>,
-    holders: BTreeMap<String, i64>,
-    fetching: bool,
-    tries: usize,
-    next_fetch: Duration,
-    next_poll: Duration,
-    reading: bool,
-    table_answered: bool,
+    peer_versions: BTreeMap<String, i64>,
+    is_fetching: bool,
+    fetch_attempts: usize,
+    next_fetch_at: Duration,
+    next_poll_at: Duration,
+    is_reading_head: bool,
+    has_table_answered: bool,
 }
 
 impl ConfigFollower {
-    /// What is in force, and since when.
+    /// The version in force and the time at which it was applied.
     pub fn applied(&self) -> Option<(&Version, Duration)> {
         self.applied.as_ref().map(|v| (v, self.applied_at))
     }
 
-    /// Whether this node may serve: something is in force, nothing newer is known, and the table
-    /// or a peer was heard.
+    /// Whether this node may serve: a configuration is in force, no newer version is known, and the table or a peer has
+    /// reported its version.
     pub fn is_current(&self) -> bool {
-        let known = self.table_answered || !self.holders.is_empty();
-        known && self.applied.is_some() && !self.wants_more()
+        let has_report = self.has_table_answered || !self.peer_versions.is_empty();
+        has_report && self.applied.is_some() && !self.has_newer_wanted()
     }
 
-    /// Takes one event and returns what is to be done, in order.
+    /// Handles one event and returns the actions to carry out, in order.
     pub fn step(&mut self, now: Duration, event: ConfigEvent) -> Vec<ConfigAction> {
         match event {
-            ConfigEvent::PeerReported { peer, version } => self.receive(peer, version),
-            ConfigEvent::Published(version) => self.want(version),
-            ConfigEvent::Replied(reply) => self.take_head(reply),
-            ConfigEvent::Fetched { hash, body } => return self.take_body(now, &hash, body),
+            ConfigEvent::PeerReported { peer, version } => self.record_peer_version(peer, version),
+            ConfigEvent::Published(version) => self.set_wanted(version),
+            ConfigEvent::Replied(reply) => self.handle_head(reply),
+            ConfigEvent::Fetched { hash, body } => return self.handle_body(now, &hash, body),
             ConfigEvent::Tick { is_poller } => return self.tick(now, is_poller),
         }
         self.fetch(now)
     }
 
-    fn receive(&mut self, peer: String, version: Version) {
-        self.holders.insert(peer, version.number);
-        self.want(version);
+    fn record_peer_version(&mut self, peer: String, version: Version) {
+        self.peer_versions.insert(peer, version.number);
+        self.set_wanted(version);
     }
 
-    fn take_head(&mut self, reply: Reply) {
-        self.reading = false;
+    fn handle_head(&mut self, reply: Reply) {
+        self.is_reading_head = false;
         let Reply::Row(row) = reply else {
             return;
         };
-        self.table_answered = true;
+        self.has_table_answered = true;
         let head = row.and_then(|r| schema::decode::<HeadRow>(&r.value).ok());
         if let Some(head) = head {
-            self.want(Version {
+            self.set_wanted(Version {
                 number: head.version,
                 hash: head.hash,
             });
         }
     }
 
-    // Only a higher number is ever wanted: a stale peer or a late read changes nothing.
-    fn want(&mut self, version: Version) {
+    // Ignores versions that are not higher, as reported by a stale peer or a late read.
+    fn set_wanted(&mut self, version: Version) {
         let known = self.wanted.as_ref().or(self.applied.as_ref());
         if known.is_some_and(|k| k.number >= version.number) {
             return;
         }
         self.wanted = Some(version);
-        self.tries = 0;
-        self.next_fetch = Duration::ZERO;
+        self.fetch_attempts = 0;
+        self.next_fetch_at = Duration::ZERO;
     }
 
-    fn wants_more(&self) -> bool {
+    fn has_newer_wanted(&self) -> bool {
         let applied = self.applied.as_ref().map(|v| v.number);
         self.wanted
             .as_ref()
@@ -155,10 +155,10 @@
 
     fn tick(&mut self, now: Duration, is_poller: bool) -> Vec<ConfigAction> {
         let mut actions = Vec::new();
-        let starting = !self.table_answered && self.applied.is_none();
-        if (is_poller || starting) && !self.reading && now >= self.next_poll {
-            self.reading = true;
-            self.next_poll = now + POLL_INTERVAL;
+        let is_starting = !self.has_table_answered && self.applied.is_none();
+        if (is_poller || is_starting) && !self.is_reading_head && now >= self.next_poll_at {
+            self.is_reading_head = true;
+            self.next_poll_at = now + POLL_INTERVAL;
             actions.push(ConfigAction::Call(TableCall::Read(head_key())));
         }
         actions.extend(self.fetch(now));
@@ -166,15 +166,15 @@
     }
 
     fn fetch(&mut self, now: Duration) -> Vec<ConfigAction> {
-        if self.fetching || !self.wants_more() || now < self.next_fetch {
+        if self.is_fetching || !self.has_newer_wanted() || now < self.next_fetch_at {
             return Vec::new();
         }
         let Some(wanted) = self.wanted.clone() else {
             return Vec::new();
         };
-        self.fetching = true;
-        self.tries += 1;
-        match self.source(wanted.number) {
+        self.is_fetching = true;
+        self.fetch_attempts += 1;
+        match self.select_peer(wanted.number) {
             Some(peer) => vec![ConfigAction::FetchFromPeer {
                 peer,
                 hash: wanted.hash,
@@ -183,24 +183,29 @@
         }
     }
 
-    // Peers in turn, and the object store after each: a peer costs the platform nothing.
-    fn source(&self, number: i64) -> Option<String> {
-        let having = self.holders.iter().filter(|(_, n)| **n >= number);
-        let holders: Vec<&String> = having.map(|(peer, _)| peer).collect();
-        let from_peer = self.tries % 2 == 1 && !holders.is_empty();
-        from_peer.then(|| holders[self.tries / 2 % holders.len()].clone())
+    // Alternates between peers, in turn, and the object store. Fetches from peers put no load on the platform.
+    fn select_peer(&self, number: i64) -> Option<String> {
+        let peers = self.peer_versions.iter().filter(|(_, n)| **n >= number);
+        let holders: Vec<&String> = peers.map(|(peer, _)| peer).collect();
+        let from_peer = self.fetch_attempts % 2 == 1 && !holders.is_empty();
+        from_peer.then(|| holders[self.fetch_attempts / 2 % holders.len()].clone())
     }
 
-    fn take_body(&mut self, now: Duration, hash: &str, body: Option<String>) -> Vec<ConfigAction> {
-        if !std::mem::take(&mut self.fetching) {
+    fn handle_body(
+        &mut self,
+        now: Duration,
+        hash: &str,
+        body: Option<String>,
+    ) -> Vec<ConfigAction> {
+        if !std::mem::take(&mut self.is_fetching) {
             return Vec::new();
         }
         let wanted = self
             .wanted
             .clone()
-            .filter(|w| w.hash == hash && self.wants_more());
+            .filter(|w| w.hash == hash && self.has_newer_wanted());
         let (Some(version), Some(body)) = (wanted, body) else {
-            self.next_fetch = now + FETCH_PAUSE;
+            self.next_fetch_at = now + FETCH_RETRY_PAUSE;
             return self.fetch(now);
         };
         self.applied = Some(version.clone());
@@ -208,7 +213,7 @@
         vec![ConfigAction::Apply { version, body }]
     }
 
-    /// Puts the bootstrap file in force, as version 0, on a node that has nothing yet.
+    /// Puts the bootstrap file in force as version 0, unless a configuration is already in force.
     pub fn bootstrap(&mut self, now: Duration, hash: String) {
         if self.applied.is_none() {
             self.applied = Some(Version { number: 0, hash });
--- a/components/state/src/lease.rs
+++ b/components/state/src/lease.rs
@@ -1,12 +1,11 @@
-//! A lease on fleet work, with an epoch that only grows.
+//! A lease on fleet work, with an increasing epoch as its fencing token.
 //!
-//! Clocks of different nodes are never compared. A holder counts its lease from the moment before
-//! it sent the write that renewed it; everyone else counts from the moment they first saw the
-//! row's version, which is later. A holder stops ordering a margin before its lease ends, which
-//! covers the longest order; a new holder starts ordering a margin after it took the lease, which
-//! covers a pause of the old one between its last look at the lease and the order. So the last
-//! order of one reaches an endpoint before the first of the next, also where fences are not
-//! checked.
+//! Clocks of different nodes are never compared. A holder counts the duration of its lease from just before it sent the
+//! write that renewed it; other nodes count from when they first saw the new version of the row, which is later. A holder
+//! stops sending orders one margin before its lease ends, which covers the longest order. A new holder starts sending
+//! orders one margin after it acquired the lease, which covers a pause of the old holder between its check of the lease
+//! and the order. The last order of a holder thus reaches an endpoint before the first order of the next holder, even
+//! where endpoints do not check the fencing token.
 
 use std::time::Duration;
 
@@ -14,37 +13,37 @@
 
 use crate::table::{Reply, Row, TableCall, Write, ABSENT};
 
-/// Number of epochs reserved for each restore of the table: one per version of the row.
+/// Number of epochs reserved for each era of the table: one per version of the row.
 const EPOCHS_PER_ERA: i64 = 1 << 40;
-/// Highest era with an epoch range of its own; keeps epochs within `i64`.
+/// Highest era with its own range of epochs. Keeps epochs within `i64`.
 const MAX_ERA: u64 = 1 << 22;
 
-/// Fixed terms of a lease.
+/// Parameters of a lease.
 #[derive(Clone, Debug)]
 pub struct LeaseTerms {
-    /// Key of its row.
+    /// Key of the row of the lease.
     pub key: String,
     /// Name of this node.
     pub node: String,
-    /// Time that a renewal holds.
+    /// Time for which a renewal is valid.
     pub duration: Duration,
-    /// Longest time an order takes to reach its endpoint and end there.
+    /// Longest time that an order takes to reach its endpoint and complete there.
     pub margin: Duration,
-    /// Pause between renewals of a holder and between looks of the others.
+    /// Interval between renewals by the holder and between reads by other nodes.
     pub interval: Duration,
 }
 
-/// What happens to a lease.
+/// An event that a lease handles.
 #[derive(Clone, Debug)]
 pub enum LeaseEvent {
-    /// Time passed. `write_id` is a unique id for a write that may follow.
+    /// Time passed.
     Tick {
-        /// Unique id.
+        /// Unique id of the write that may follow.
         write_id: String,
-        /// Whether this node may try for the lease.
+        /// Whether this node may acquire the lease.
         is_candidate: bool,
     },
-    /// A table call came back; only the one asked for last counts.
+    /// A table call ended. Replies to any but the last requested call are ignored.
     Replied {
         /// Number of the call.
         call: u32,
@@ -53,46 +52,46 @@
         /// Its reply.
         reply: Reply,
     },
-    /// The holder reported which row it wrote last.
+    /// The holder reported the row that it wrote last.
     HeadReported(LeaseHead),
-    /// A holder reported that it gave the lease of this epoch up and has no order under way.
+    /// A holder reported that it gave up the lease of this epoch and has no order in flight.
     GiveUpReported(i64),
-    /// Give the lease up without a write, for the case that the store does not answer this node. What is
-    /// reported to others, from [`Lease::given_up`], lets one of them follow at once.
+    /// Give up the lease without a write, as when the store does not answer this node. The epoch from
+    /// [`Lease::given_up`], reported to other nodes, lets one of them take over at once.
     GiveUp,
-    /// The node stops: give the lease up.
+    /// Give up the lease with a write, because the node stops.
     Release {
-        /// Unique id.
+        /// Unique id of the write.
         write_id: String,
     },
 }
 
-/// The newest row of a lease, as its holder reports others.
+/// The newest row of a lease, as its holder reports it to other nodes.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct LeaseHead {
     /// Version of the row.
     pub version: u64,
     /// Era of the table in which the version is valid.
     pub era: u64,
-    /// Its holder.
+    /// Name of the holder.
     pub holder: String,
-    /// Its epoch.
+    /// Epoch of the lease.
     pub epoch: i64,
 }
 
-/// What a lease asks for.
+/// An action that a lease requests.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum LeaseAction {
-    /// Make a table call and hand in its reply.
+    /// Make a table call and pass its reply to the lease.
     Call {
         /// Number of the call.
         call: u32,
         /// The call.
         table: TableCall,
     },
-    /// The lease is held with this epoch.
+    /// This node holds the lease with this epoch.
     Gained(i64),
-    /// The lease is not held any more.
+    /// This node no longer holds the lease.
     Lost,
 }
 
@@ -119,24 +118,25 @@
     seen_row: Option<LeaseRow>,
     seen_at: Option<Duration>,
     pending: Option<Pending>,
-    // A write whose answer was lost and which may yet take effect.
-    unsettled: Option<Pending>,
+    // A write whose answer was lost and which may have taken effect or may still do so.
+    unresolved: Option<Pending>,
     held: Option<Held>,
-    // When this node held it last, or may have.
-    held_at: Option<Duration>,
-    // Newest epoch that this node gave up, and newest that another did.
+    // When this node last held the lease, or may have held it.
+    last_held_at: Option<Duration>,
+    // Newest epoch that this node gave up.
     given_up: Option<i64>,
-    heard_given_up: Option<i64>,
-    // A write met another version than the one seen: look again before the next.
-    stale: bool,
-    // The table was restored from an older copy and no write was seen since, so the row may lack the holder.
+    // Newest epoch that another node reported as given up.
+    reported_given_up: Option<i64>,
+    // The version of the row is not the one last seen, so the row has to be read before the next write.
+    needs_read: bool,
+    // The table was restored from an older copy and no later write was seen, so the row may not name the current holder.
     row_may_be_outdated: bool,
     next_call: Duration,
     call: u32,
 }
 
 impl Lease {
-    /// A lease of which nothing is known yet.
+    /// Creates a lease of which nothing is known yet.
     pub fn new(terms: LeaseTerms) -> Self {
         Lease {
             terms,
@@ -146,19 +146,19 @@
             seen_row: None,
             seen_at: None,
             pending: None,
-            unsettled: None,
+            unresolved: None,
             held: None,
-            held_at: None,
+            last_held_at: None,
             given_up: None,
-            heard_given_up: None,
-            stale: false,
+            reported_given_up: None,
+            needs_read: false,
             next_call: Duration::ZERO,
             call: 0,
         }
     }
 
-    /// The epoch to put on an order sent now, or `None` if no order may be sent. Ask right before
-    /// each order.
+    /// The epoch to put on an order sent now, as its fencing token, or `None` if no order may be sent. Has to be called
+    /// right before each order.
     pub fn order_epoch(&self, now: Duration) -> Option<i64> {
         self.order_window(now).map(|(epoch, _)| epoch)
     }
@@ -167,8 +167,8 @@
     pub fn order_window(&self, now: Duration) -> Option<(i64, Duration)> {
         let held = self.held.as_ref()?;
         let until = held.until.saturating_sub(self.terms.margin);
-        let inside = now >= held.orders_from && now < until;
-        inside.then_some((held.epoch, until))
+        let is_in_window = now >= held.orders_from && now < until;
+        is_in_window.then_some((held.epoch, until))
     }
 
     /// The row that this node wrote last, while it holds the lease.
@@ -191,25 +191,25 @@
         self.given_up
     }
 
-    /// How long ago the row was last seen to change, while this node holds the lease.
+    /// Time since the row was last seen to change, or `None` if this node does not hold the lease.
     pub fn time_since_renewal(&self, now: Duration) -> Option<Duration> {
         self.held.as_ref()?;
         Some(now.saturating_sub(self.seen_at?))
     }
 
-    /// The holder named by the row last read, for `status`.
+    /// Holder and epoch in the newest known row, for `status`.
     pub fn holder(&self) -> Option<(&str, i64)> {
         let row = self.seen_row.as_ref()?;
         Some((row.holder.as_str(), row.epoch))
     }
 
-    /// Takes one event and returns what is to be done, in order.
+    /// Handles one event and returns the actions to carry out, in order.
     pub fn step(&mut self, now: Duration, event: LeaseEvent) -> Vec<LeaseAction> {
-        // An earlier process of this node may have held the lease until this one started.
-        if self.held.is_some() || self.held_at.is_none() {
-            self.held_at = Some(now);
+        // An earlier process of this node may have held the lease until this process started.
+        if self.held.is_some() || self.last_held_at.is_none() {
+            self.last_held_at = Some(now);
         }
-        let mut actions = self.lapse(now);
+        let mut actions = self.expire(now);
         match event {
             LeaseEvent::Tick {
                 write_id,
@@ -217,12 +217,12 @@
             } => actions.extend(self.tick(now, write_id, is_candidate)),
             LeaseEvent::Replied { call, .. } if call != self.call => {}
             LeaseEvent::Replied { era, reply, .. } => {
-                actions.extend(self.take_reply_from_era(now, era, reply));
+                actions.extend(self.handle_reply_from_era(now, era, reply));
             }
-            LeaseEvent::HeadReported(head) => actions.extend(self.receive(now, head)),
+            LeaseEvent::HeadReported(head) => actions.extend(self.handle_reported_head(now, head)),
             LeaseEvent::GiveUpReported(epoch) => {
-                if self.heard_given_up < Some(epoch) {
-                    self.heard_given_up = Some(epoch);
+                if self.reported_given_up < Some(epoch) {
+                    self.reported_given_up = Some(epoch);
                     self.next_call = self.next_call.min(now);
                 }
             }
@@ -232,7 +232,7 @@
         actions
     }
 
-    fn lapse(&mut self, now: Duration) -> Vec<LeaseAction> {
+    fn expire(&mut self, now: Duration) -> Vec<LeaseAction> {
         match &self.held {
             Some(held) if now >= held.until => {
                 self.held = None;
@@ -242,8 +242,8 @@
         }
     }
 
-    // The row was written before its holder reported it, so its lease began before now.
-    fn receive(&mut self, now: Duration, head: LeaseHead) -> Vec<LeaseAction> {
+    // The row was written before its holder reported it, so counting the lease from now is late enough.
+    fn handle_reported_head(&mut self, now: Duration, head: LeaseHead) -> Vec<LeaseAction> {
         if head.holder == self.terms.node {
             return Vec::new();
         }
@@ -256,14 +256,14 @@
             epoch: head.epoch,
             write: String::new(),
         };
-        let actions = self.drop_if_taken(&row);
-        self.see(now, head.version, Some(row));
-        self.stale = false;
+        let actions = self.lose_if_superseded(&row);
+        self.record_row(now, head.version, Some(row));
+        self.needs_read = false;
         actions
     }
 
-    // When the era increases, forgets the row and ignores the pending call: a later era reuses versions, and the call
-    // may have been made in either era.
+    // When the era increases, forgets the row and ignores the reply to the pending call: a later era reuses versions, and
+    // the call may have been made in either era.
     fn enter_era(&mut self, now: Duration, era: u64) {
         // A node that has just started cannot tell how recent the restore is.
         self.row_may_be_outdated |= self.era.unwrap_or_default() < era;
@@ -272,8 +272,8 @@
             self.seen_row = None;
             self.seen_at = None;
             self.pending = None;
-            self.unsettled = None;
-            self.stale = true;
+            self.unresolved = None;
+            self.needs_read = true;
             self.call += 1;
             self.next_call = now;
         }
@@ -281,7 +281,7 @@
     }
 
     // Handles a reply from an earlier era as unanswered, and ignores one that reveals a new era. The row is read again.
-    fn take_reply_from_era(
+    fn handle_reply_from_era(
         &mut self,
         now: Duration,
         era: Option<u64>,
@@ -293,8 +293,8 @@
         }
         let is_from_earlier_era = era.is_some() && era < self.era;
         match call == self.call {
-            true if is_from_earlier_era => self.take_reply(now, Reply::Unanswered),
-            true => self.take_reply(now, reply),
+            true if is_from_earlier_era => self.handle_reply(now, Reply::Unanswered),
+            true => self.handle_reply(now, reply),
             false => Vec::new(),
         }
     }
@@ -304,26 +304,26 @@
             return Vec::new();
         };
         self.given_up = Some(held.epoch);
-        // A renewal under way may yet be written; its answer counts no more.
+        // A renewal in flight may still be written. Its answer is ignored.
         self.pending = None;
-        self.unsettled = None;
+        self.unresolved = None;
         self.call += 1;
         vec![LeaseAction::Lost]
     }
 
     fn tick(&mut self, now: Duration, write: String, is_candidate: bool) -> Vec<LeaseAction> {
-        let stuck = self
+        let has_timed_out = self
             .pending
             .as_ref()
             .is_some_and(|p| now > p.sent_at + self.terms.duration);
-        if stuck {
-            self.unsettled = self.pending.take().filter(|p| p.row.is_some());
+        if has_timed_out {
+            self.unresolved = self.pending.take().filter(|p| p.row.is_some());
         }
         if self.pending.is_some() || now < self.next_call {
             return Vec::new();
         }
         self.next_call = now + self.terms.interval;
-        if self.unsettled.is_some() || self.stale || !self.may_write(now, is_candidate) {
+        if self.unresolved.is_some() || self.needs_read || !self.can_write(now, is_candidate) {
             return self.read(now);
         }
         let epoch = match &self.held {
@@ -341,8 +341,8 @@
         )
     }
 
-    // Returns an epoch above all earlier ones. After a restore the row may lack the latest epochs, or hold the write of a
-    // node that does not know of the restore; only its version still rises with each change of holder.
+    // Returns an epoch above all earlier ones. After a restore the row may lack the latest epochs, or contain the write of
+    // a node that does not know of the restore. Its version still increases with each change of holder.
     fn next_epoch(&self) -> i64 {
         let seen = self.seen_row.as_ref().map_or(0, |row| row.epoch);
         let first_of_era = match self.era.unwrap_or_default().min(MAX_ERA) {
@@ -352,8 +352,9 @@
         seen.max(first_of_era) + 1
     }
 
-    // A holder renews; a candidate writes once the row has not changed for a whole lease.
-    fn may_write(&self, now: Duration, is_candidate: bool) -> bool {
+    // A holder may renew. A candidate may write if the lease is free or given up, or the row has not changed for the duration
+    // of a lease.
+    fn can_write(&self, now: Duration, is_candidate: bool) -> bool {
         if self.held.is_some() {
             return true;
         }
@@ -364,19 +365,19 @@
             .seen_row
             .as_ref()
             .is_none_or(|row| row.holder.is_empty());
-        let free = has_no_holder && !self.row_may_be_outdated;
-        is_candidate && (free || now >= seen_at + self.terms.duration || self.may_follow(now))
+        let is_free = has_no_holder && !self.row_may_be_outdated;
+        is_candidate && (is_free || now >= seen_at + self.terms.duration || self.can_take_over(now))
     }
 
-    // The holder gave the row's epoch up. A node that held the lease, or may have before it started,
-    // does not follow so soon: it would act, another act, and it again within one lease.
-    fn may_follow(&self, now: Duration) -> bool {
+    // The holder gave up the epoch in the row. A node that recently held the lease, or may have before it started, does not
+    // take over: the holder would otherwise change twice, back to this node, within the duration of one lease.
+    fn can_take_over(&self, now: Duration) -> bool {
         let row = self.seen_row.as_ref();
-        let given_up = row.is_some_and(|row| self.heard_given_up == Some(row.epoch));
-        let rested = self
-            .held_at
+        let is_given_up = row.is_some_and(|row| self.reported_given_up == Some(row.epoch));
+        let is_past_cooldown = self
+            .last_held_at
             .is_none_or(|at| now >= at + self.terms.duration);
-        given_up && rested && !self.row_may_be_outdated
+        is_given_up && is_past_cooldown && !self.row_may_be_outdated
     }
 
     fn read(&mut self, now: Duration) -> Vec<LeaseAction> {
@@ -384,7 +385,7 @@
             sent_at: now,
             row: None,
         });
-        self.number(TableCall::Read(self.terms.key.clone()))
+        self.numbered_call(TableCall::Read(self.terms.key.clone()))
     }
 
     fn write(&mut self, now: Duration, row: LeaseRow) -> Vec<LeaseAction> {
@@ -393,14 +394,14 @@
             sent_at: now,
             row: Some(row),
         });
-        self.number(TableCall::Transact(vec![Write {
+        self.numbered_call(TableCall::Transact(vec![Write {
             key: self.terms.key.clone(),
             expect: self.seen_version,
             value,
         }]))
     }
 
-    fn number(&mut self, table: TableCall) -> Vec<LeaseAction> {
+    fn numbered_call(&mut self, table: TableCall) -> Vec<LeaseAction> {
         self.call += 1;
         vec![LeaseAction::Call {
             call: self.call,
@@ -408,21 +409,21 @@
         }]
     }
 
-    fn take_reply(&mut self, now: Duration, reply: Reply) -> Vec<LeaseAction> {
+    fn handle_reply(&mut self, now: Duration, reply: Reply) -> Vec<LeaseAction> {
         let Some(pending) = self.pending.take() else {
             return Vec::new();
         };
         match reply {
-            Reply::Row(row) => self.take_row(now, row),
-            Reply::Committed { version } => self.take_commit(now, pending, version),
+            Reply::Row(row) => self.handle_row(now, row),
+            Reply::Committed { version } => self.handle_commit(now, pending, version),
             Reply::Conflict => {
-                self.stale = true;
+                self.needs_read = true;
                 self.next_call = now;
                 Vec::new()
             }
             Reply::Unanswered => {
                 if pending.row.is_some() {
-                    self.unsettled = Some(pending);
+                    self.unresolved = Some(pending);
                     self.next_call = now;
                 }
                 Vec::new()
@@ -431,22 +432,22 @@
         }
     }
 
-    fn take_commit(&mut self, now: Duration, pending: Pending, version: u64) -> Vec<LeaseAction> {
+    fn handle_commit(&mut self, now: Duration, pending: Pending, version: u64) -> Vec<LeaseAction> {
         let Some(row) = pending.row else {
             return Vec::new();
         };
-        self.see(now, version, Some(row.clone()));
-        self.take_hold(now, pending.sent_at, &row)
+        self.record_row(now, version, Some(row.clone()));
+        self.gain_or_renew(now, pending.sent_at, &row)
     }
 
-    fn take_row(&mut self, now: Duration, row: Option<Row>) -> Vec<LeaseAction> {
-        self.stale = false;
+    fn handle_row(&mut self, now: Duration, row: Option<Row>) -> Vec<LeaseAction> {
+        self.needs_read = false;
         let version = row.as_ref().map_or(ABSENT, |r| r.version);
         let decoded = row.and_then(|r| schema::decode::<LeaseRow>(&r.value).ok());
         if self.seen_at.is_none() || version != self.seen_version {
-            self.see(now, version, decoded.clone());
+            self.record_row(now, version, decoded.clone());
         }
-        let unsettled = self.unsettled.take();
+        let unresolved = self.unresolved.take();
         let found = decoded.unwrap_or(LeaseRow {
             holder: String::new(),
             epoch: 0,
@@ -455,24 +456,24 @@
         if let Some(Pending {
             sent_at,
             row: Some(ours),
-        }) = unsettled
+        }) = unresolved
         {
             if ours.write == found.write {
-                return self.take_hold(now, sent_at, &ours);
+                return self.gain_or_renew(now, sent_at, &ours);
             }
         }
-        self.drop_if_taken(&found)
+        self.lose_if_superseded(&found)
     }
 
-    fn see(&mut self, now: Duration, version: u64, row: Option<LeaseRow>) {
-        // The first row seen in an era may come from the older copy; a different version shows a later write.
+    fn record_row(&mut self, now: Duration, version: u64, row: Option<LeaseRow>) {
+        // The first row seen in an era may come from the older copy. A different version shows a later write.
         self.row_may_be_outdated &= self.seen_at.is_none();
         self.seen_version = version;
         self.seen_row = row;
         self.seen_at = Some(now);
     }
 
-    fn drop_if_taken(&mut self, found: &LeaseRow) -> Vec<LeaseAction> {
+    fn lose_if_superseded(&mut self, found: &LeaseRow) -> Vec<LeaseAction> {
         match &self.held {
             Some(held) if held.epoch < found.epoch => {
                 self.held = None;
@@ -482,8 +483,13 @@
         }
     }
 
-    // The lease counts from before the write was sent: others can see it only later.
-    fn take_hold(&mut self, now: Duration, sent_at: Duration, row: &LeaseRow) -> Vec<LeaseAction> {
+    // The lease is counted from before the write was sent, since other nodes can only see the write later.
+    fn gain_or_renew(
+        &mut self,
+        now: Duration,
+        sent_at: Duration,
+        row: &LeaseRow,
+    ) -> Vec<LeaseAction> {
         if row.holder != self.terms.node {
             self.held = None;
             return vec![LeaseAction::Lost];
--- a/components/state/src/lib.rs
+++ b/components/state/src/lib.rs
@@ -1,9 +1,9 @@
-//! What must be agreed or kept, as pure state machines over the platform's table.
+//! State machines for agreement between nodes through the platform's transactional table. They do no I/O: events come in,
+//! actions come out.
 //!
-//! Claims make a non-repeatable request run at most once, leases and fences keep fleet work to
-//! one holder, and versions put one configuration in force that never goes back. A table call may
-//! take effect though its answer is lost, and it may take effect late: every machine settles such
-//! a call by reading back the unique id of its own write.
+//! Claims make a non-repeatable request run at most once, leases with fencing epochs give fleet work to one holder at a
+//! time, and configuration versions only increase. A table call may take effect although its answer is lost, and may take
+//! effect late. Every state machine resolves such a call by reading back the unique id of its own write.
 
 mod claim;
 mod configuration;
--- a/components/state/src/publish.rs
+++ b/components/state/src/publish.rs
@@ -1,4 +1,5 @@
-//! Publishing a configuration: one of several racing edits wins, and success is certain to stay.
+//! Publishing a configuration with optimistic concurrency: one of several concurrent edits is accepted, and an accepted
+//! edit stays in the history.
 
 use std::time::Duration;
 
@@ -6,63 +7,63 @@
 
 use crate::table::{head_key, history_key, Reply, Row, TableCall, Write, ABSENT};
 
-/// First pause before a call is made again; it doubles up to [`MAX_PAUSE`].
-const FIRST_PAUSE: Duration = Duration::from_millis(50);
-/// Longest pause between calls.
-const MAX_PAUSE: Duration = Duration::from_secs(1);
+/// First backoff before a table call is repeated; it doubles up to [`MAX_BACKOFF`].
+const INITIAL_BACKOFF: Duration = Duration::from_millis(50);
+/// Longest backoff between table calls.
+const MAX_BACKOFF: Duration = Duration::from_secs(1);
 
-/// One edit.
+/// One edit of the configuration.
 #[derive(Clone, Debug)]
 pub struct PublishRequest {
-    /// Version that the operator edited.
+    /// Version that the edit is based on.
     pub based_on: i64,
-    /// SHA-256 of the new body; the body is in the object store already.
+    /// SHA-256 of the new body, which is already in the object store.
     pub hash: String,
     /// Unique id of this put.
     pub put_id: String,
-    /// Who edits.
+    /// Author of the edit.
     pub author: String,
-    /// What the edit is for.
+    /// Note of the author on the purpose of the edit.
     pub note: String,
-    /// Time at which the operator is answered.
+    /// Latest time at which the operator is answered.
     pub deadline: Duration,
 }
 
-/// What happens to an edit.
+/// An event that an edit handles.
 #[derive(Clone, Debug)]
 pub enum PublishEvent {
-    /// The table call asked for last came back.
+    /// The last requested table call ended.
     Replied(Reply),
-    /// The pause asked for is over, or time passed.
+    /// The requested wake-up time was reached.
     Tick,
 }
 
-/// What an edit asks for.
+/// An action that an edit requests.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum PublishAction {
-    /// Make a table call and hand in its reply.
+    /// Make a table call and pass its reply to the edit.
     Call(TableCall),
     /// Send [`PublishEvent::Tick`] at this time.
     WakeAt(Duration),
-    /// Answer the operator; nothing follows.
+    /// Answer the operator. No further actions follow.
     Answer(PublishOutcome),
 }
 
-/// How an edit ended.
+/// Outcome of an edit.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum PublishOutcome {
-    /// It is accepted with this version and stays.
+    /// The edit was accepted as this version, which stays in the history.
     Accepted(i64),
-    /// Another edit came first.
+    /// Another edit was accepted first.
     Conflict {
-        /// The newest version.
+        /// Newest version found.
         version: i64,
-        /// Who made the edit that came first.
+        /// Author of that version.
         author: String,
-        /// What it was for.
+        /// Note of that version.
         note: String,
     },
-    /// The table did not settle it in time: read the history to see whether it was accepted.
+    /// Not known before the deadline. The history shows whether the edit was accepted.
     Undetermined,
 }
 
@@ -71,42 +72,44 @@
     ReadingHead,
     Writing,
     ReadingBack,
-    Pausing,
-    Over,
+    BackingOff,
+    Answered,
 }
 
-/// One edit under way.
+/// State machine of one edit.
 #[derive(Debug)]
 pub struct Publish {
     request: PublishRequest,
     stage: Stage,
-    after_pause: Stage,
-    head_version: u64,
-    pause: Duration,
+    stage_after_backoff: Stage,
+    head_row_version: u64,
+    backoff: Duration,
 }
 
 impl Publish {
-    /// An edit and its first table call.
+    /// Creates an edit and returns its first table call.
     pub fn start(request: PublishRequest) -> (Self, Vec<PublishAction>) {
         let mut publish = Publish {
             request,
             stage: Stage::ReadingHead,
-            after_pause: Stage::ReadingHead,
-            head_version: ABSENT,
-            pause: FIRST_PAUSE,
+            stage_after_backoff: Stage::ReadingHead,
+            head_row_version: ABSENT,
+            backoff: INITIAL_BACKOFF,
         };
         let actions = publish.enter(Stage::ReadingHead);
         (publish, actions)
     }
 
-    /// Takes one event and returns what is to be done, in order.
+    /// Handles one event and returns the actions to carry out, in order.
     pub fn step(&mut self, now: Duration, event: PublishEvent) -> Vec<PublishAction> {
-        if self.stage == Stage::Over {
+        if self.stage == Stage::Answered {
             return Vec::new();
         }
         let actions = match event {
-            PublishEvent::Replied(reply) => self.take_reply(now, reply),
-            PublishEvent::Tick if self.stage == Stage::Pausing => self.enter(self.after_pause),
+            PublishEvent::Replied(reply) => self.handle_reply(now, reply),
+            PublishEvent::Tick if self.stage == Stage::BackingOff => {
+                self.enter(self.stage_after_backoff)
+            }
             PublishEvent::Tick => Vec::new(),
         };
         let answered = actions
@@ -123,19 +126,19 @@
         let call = match stage {
             Stage::ReadingHead => TableCall::Read(head_key()),
             Stage::Writing => TableCall::Transact(self.writes()),
-            Stage::ReadingBack => TableCall::Read(history_key(self.number())),
-            Stage::Pausing | Stage::Over => return Vec::new(),
+            Stage::ReadingBack => TableCall::Read(history_key(self.new_version())),
+            Stage::BackingOff | Stage::Answered => return Vec::new(),
         };
         vec![PublishAction::Call(call)]
     }
 
-    fn number(&self) -> i64 {
+    fn new_version(&self) -> i64 {
         self.request.based_on + 1
     }
 
     fn writes(&self) -> Vec<Write> {
         let row = HeadRow {
-            version: self.number(),
+            version: self.new_version(),
             hash: self.request.hash.clone(),
             put: self.request.put_id.clone(),
             author: self.request.author.clone(),
@@ -144,66 +147,66 @@
         let value = schema::encode(&row).unwrap_or_default();
         let head = Write {
             key: head_key(),
-            expect: self.head_version,
+            expect: self.head_row_version,
             value: value.clone(),
         };
         let history = Write {
-            key: history_key(self.number()),
+            key: history_key(self.new_version()),
             expect: ABSENT,
             value,
         };
         vec![head, history]
     }
 
-    fn take_reply(&mut self, now: Duration, reply: Reply) -> Vec<PublishAction> {
+    fn handle_reply(&mut self, now: Duration, reply: Reply) -> Vec<PublishAction> {
         match (self.stage, reply) {
-            (Stage::ReadingHead, Reply::Row(row)) => self.take_head(row),
+            (Stage::ReadingHead, Reply::Row(row)) => self.handle_head(row),
             (Stage::Writing, Reply::Committed { .. }) => {
-                self.answer(PublishOutcome::Accepted(self.number()))
+                self.answer(PublishOutcome::Accepted(self.new_version()))
             }
             (Stage::Writing, Reply::Conflict | Reply::Unanswered) => self.enter(Stage::ReadingBack),
-            (Stage::ReadingBack, Reply::Row(None)) => self.retry(now, Stage::ReadingHead),
-            (Stage::ReadingBack, Reply::Row(Some(row))) => self.take_history(now, &row),
-            (stage, _) => self.retry(now, stage),
+            (Stage::ReadingBack, Reply::Row(None)) => self.back_off(now, Stage::ReadingHead),
+            (Stage::ReadingBack, Reply::Row(Some(row))) => self.handle_history(now, &row),
+            (stage, _) => self.back_off(now, stage),
         }
     }
 
-    fn take_head(&mut self, row: Option<Row>) -> Vec<PublishAction> {
+    fn handle_head(&mut self, row: Option<Row>) -> Vec<PublishAction> {
         let head = row
             .as_ref()
             .and_then(|r| schema::decode::<HeadRow>(&r.value).ok());
         let newest = head.as_ref().map_or(0, |h| h.version);
         if newest == self.request.based_on {
-            self.head_version = row.map_or(ABSENT, |r| r.version);
+            self.head_row_version = row.map_or(ABSENT, |r| r.version);
             return self.enter(Stage::Writing);
         }
         match head {
-            // Our own write may stand, with or without others after it.
-            Some(head) if head.version >= self.number() => self.enter(Stage::ReadingBack),
+            // The write of this edit may be in the history, possibly followed by other edits.
+            Some(head) if head.version >= self.new_version() => self.enter(Stage::ReadingBack),
             head => self.answer(conflict(newest, head)),
         }
     }
 
-    fn take_history(&mut self, now: Duration, row: &Row) -> Vec<PublishAction> {
+    fn handle_history(&mut self, now: Duration, row: &Row) -> Vec<PublishAction> {
         match schema::decode::<HeadRow>(&row.value) {
             Ok(found) if found.put == self.request.put_id => {
                 self.answer(PublishOutcome::Accepted(found.version))
             }
             Ok(found) => self.answer(conflict(found.version, Some(found))),
-            Err(_) => self.retry(now, Stage::ReadingBack),
+            Err(_) => self.back_off(now, Stage::ReadingBack),
         }
     }
 
-    fn retry(&mut self, now: Duration, stage: Stage) -> Vec<PublishAction> {
-        self.stage = Stage::Pausing;
-        self.after_pause = stage;
-        let until = (now + self.pause).min(self.request.deadline);
-        self.pause = (self.pause * 2).min(MAX_PAUSE);
+    fn back_off(&mut self, now: Duration, stage: Stage) -> Vec<PublishAction> {
+        self.stage = Stage::BackingOff;
+        self.stage_after_backoff = stage;
+        let until = (now + self.backoff).min(self.request.deadline);
+        self.backoff = (self.backoff * 2).min(MAX_BACKOFF);
         vec![PublishAction::WakeAt(until)]
     }
 
     fn answer(&mut self, published: PublishOutcome) -> Vec<PublishAction> {
-        self.stage = Stage::Over;
+        self.stage = Stage::Answered;
         vec![PublishAction::Answer(published)]
     }
 }
--- a/components/state/src/table.rs
+++ b/components/state/src/table.rs
@@ -1,12 +1,12 @@
-//! Calls of the platform's transactional table, as values.
+//! Calls to the platform's transactional table and their replies.
 
-/// Version of a row that does not exist; every write makes it higher.
+/// Version of a row that does not exist; each write increases it.
 pub const ABSENT: u64 = 0;
 
-/// A row as it was read.
+/// A row as read from the table.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Row {
-    /// Grows with each write of the row.
+    /// Increases with each write of the row.
     pub version: u64,
     /// Encoded value.
     pub value: Vec<u8>,
@@ -23,7 +23,7 @@
     pub value: Vec<u8>,
 }
 
-/// A call of the table.
+/// A call to the table.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum TableCall {
     /// Read one row.
@@ -32,21 +32,21 @@
     Transact(Vec<Write>),
 }
 
-/// How a call came back.
+/// Reply to a call.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Reply {
     /// The row that was read, if it exists.
     Row(Option<Row>),
-    /// The transaction is committed.
+    /// The transaction was committed.
     Committed {
-        /// Version that the first of its rows has now.
+        /// New version of the first row that it wrote.
         version: u64,
     },
-    /// The transaction is not committed: a row had another version.
+    /// The transaction was not committed, because a row had another version than expected.
     Conflict,
-    /// No answer came: a transaction may have taken effect, or may yet.
+    /// No answer came. A transaction may have taken effect or may still do so.
     Unanswered,
-    /// The service refused the call (its rate limit); it took no effect.
+    /// The service refused the call at its rate limit. It had no effect.
     Refused,
 }
 
--- a/components/state/tests/claims.rs
+++ b/components/state/tests/claims.rs
@@ -1,4 +1,4 @@
-//! At most one run for an idempotency key, over lost and late table calls, pauses and deaths.
+//! At most one run per idempotency key with lost and late table calls, paused nodes and crashes.
 
 use std::time::Duration;
 
@@ -28,10 +28,10 @@
     paused_until: Duration,
     runs: u32,
     answer: Option<Answer>,
-    dead: bool,
+    has_crashed: bool,
 }
 
-struct World {
+struct Simulation {
     table: FakeTable,
     callers: Vec<Caller>,
 }
@@ -46,7 +46,7 @@
     }
 }
 
-impl World {
+impl Simulation {
     fn add(&mut self, now: Duration, budget: Duration) {
         let n = self.callers.len();
         let deadline = now + budget;
@@ -59,7 +59,7 @@
             paused_until: Duration::ZERO,
             runs: 0,
             answer: None,
-            dead: false,
+            has_crashed: false,
         });
         self.act(now, n, actions);
     }
@@ -93,8 +93,8 @@
 
     fn step(&mut self, now: Duration) {
         for (n, call, reply) in self.table.advance(now) {
-            // A paused or dead node takes nothing in; a paused one finds it when it wakes.
-            if self.callers[n].dead {
+            // A crashed node handles no reply. A paused node handles it when it resumes.
+            if self.callers[n].has_crashed {
                 continue;
             }
             let when = now.max(self.callers[n].paused_until);
@@ -105,7 +105,7 @@
         }
         for n in 0..self.callers.len() {
             let caller = &mut self.callers[n];
-            if caller.dead || now < caller.paused_until {
+            if caller.has_crashed || now < caller.paused_until {
                 continue;
             }
             let due = caller.wake.is_some_and(|at| now >= at);
@@ -129,33 +129,42 @@
     }
 }
 
-fn run(seed: u64, deaths: bool) -> World {
-    let mut world = World {
+fn run(seed: u64, has_crashes: bool) -> Simulation {
+    let mut simulation = Simulation {
         table: FakeTable::new(seed, ROUGH),
         callers: Vec::new(),
     };
     for step in 0..STEPS {
         let now = STEP * step;
-        if world.callers.len() < 4 && world.table.rng.random_ratio(1, 40) {
-            let budget = Duration::from_millis(world.table.rng.random_range(50..3000));
-            world.add(now, budget);
+        if simulation.callers.len() < 4 && simulation.table.rng.random_ratio(1, 40) {
+            let budget = Duration::from_millis(simulation.table.rng.random_range(50..3000));
+            simulation.add(now, budget);
         }
-        if deaths && !world.callers.is_empty() && world.table.rng.random_ratio(1, 400) {
-            let n = world.table.rng.random_range(0..world.callers.len());
-            world.callers[n].dead = true;
+        if has_crashes
+            && !simulation.callers.is_empty()
+            && simulation.table.rng.random_ratio(1, 400)
+        {
+            let n = simulation
+                .table
+                .rng
+                .random_range(0..simulation.callers.len());
+            simulation.callers[n].has_crashed = true;
         }
-        if !world.callers.is_empty() && world.table.rng.random_ratio(1, 300) {
-            let n = world.table.rng.random_range(0..world.callers.len());
-            let pause = Duration::from_millis(world.table.rng.random_range(100..2000));
-            world.callers[n].paused_until = now + pause;
+        if !simulation.callers.is_empty() && simulation.table.rng.random_ratio(1, 300) {
+            let n = simulation
+                .table
+                .rng
+                .random_range(0..simulation.callers.len());
+            let pause = Duration::from_millis(simulation.table.rng.random_range(100..2000));
+            simulation.callers[n].paused_until = now + pause;
         }
-        world.step(now);
+        simulation.step(now);
     }
-    world
+    simulation
 }
 
-fn row(world: &World) -> Option<ClaimRow> {
-    world
+fn row(simulation: &Simulation) -> Option<ClaimRow> {
+    simulation
         .table
         .rows
         .get(KEY)
@@ -163,18 +172,18 @@
 }
 
 #[test]
-fn a_key_runs_at_most_once_whatever_is_lost() {
+fn a_key_runs_at_most_once_with_lost_calls_and_crashes() {
     check(1500, |seed: u64| {
-        let world = run(seed, true);
-        world.callers.iter().map(|c| c.runs).sum::<u32>() <= 1
+        let simulation = run(seed, true);
+        simulation.callers.iter().map(|c| c.runs).sum::<u32>() <= 1
     });
 }
 
 #[test]
-fn not_run_is_said_only_of_claims_that_were_never_dispatched() {
+fn not_run_is_answered_only_for_claims_that_were_never_dispatched() {
     check(1500, |seed: u64| {
-        let world = run(seed, true);
-        world
+        let simulation = run(seed, true);
+        simulation
             .callers
             .iter()
             .all(|c| c.answer != Some(Answer::NotRun) || c.runs == 0)
@@ -182,11 +191,11 @@
 }
 
 #[test]
-fn nobody_is_dispatched_after_its_deadline() {
+fn no_request_is_dispatched_after_its_deadline() {
     check(500, |seed: u64| {
-        let world = run(seed, false);
-        // A run takes at least 5 ms, so its end shows a start before the deadline.
-        world
+        let simulation = run(seed, false);
+        // A run takes at least 5 ms, so a request dispatched after its deadline has another answer before its run ends.
+        simulation
             .callers
             .iter()
             .all(|c| c.runs == 0 || c.answer == Some(Answer::Ran))
@@ -194,29 +203,32 @@
 }
 
 #[test]
-fn every_caller_that_lives_is_answered() {
+fn every_caller_that_does_not_crash_is_answered() {
     check(500, |seed: u64| {
-        let world = run(seed, true);
-        world.callers.iter().all(|c| c.dead || c.answer.is_some())
+        let simulation = run(seed, true);
+        simulation
+            .callers
+            .iter()
+            .all(|c| c.has_crashed || c.answer.is_some())
     });
 }
 
 #[test]
 fn a_second_caller_gets_the_stored_outcome_when_nothing_is_lost() {
-    let mut world = World {
+    let mut simulation = Simulation {
         table: FakeTable::new(1, CALM),
         callers: Vec::new(),
     };
-    world.add(Duration::ZERO, Duration::from_secs(2));
-    (0..200).for_each(|s| world.step(STEP * s));
-    world.add(STEP * 200, Duration::from_secs(2));
-    (200..400).for_each(|s| world.step(STEP * s));
-    let answers: Vec<_> = world.callers.iter().map(|c| c.answer).collect();
+    simulation.add(Duration::ZERO, Duration::from_secs(2));
+    (0..200).for_each(|s| simulation.step(STEP * s));
+    simulation.add(STEP * 200, Duration::from_secs(2));
+    (200..400).for_each(|s| simulation.step(STEP * s));
+    let answers: Vec<_> = simulation.callers.iter().map(|c| c.answer).collect();
     assert_eq!(answers, [Some(Answer::Ran), Some(Answer::Stored)]);
 }
 
 #[test]
-fn an_insert_that_takes_effect_after_not_run_was_said_is_stopped() {
+fn an_insert_that_arrives_after_not_run_was_answered_conflicts() {
     let (mut claim, actions) = Claim::start(claim_request(0, Duration::from_millis(100)));
     let ClaimAction::Call { table: insert, .. } = actions[0].clone() else {
         panic!()
@@ -237,35 +249,35 @@
 
 #[test]
 fn a_key_that_was_not_run_can_be_used_again() {
-    let mut world = World {
+    let mut simulation = Simulation {
         table: FakeTable::new(1, CALM),
         callers: Vec::new(),
     };
-    world.add(Duration::ZERO, Duration::from_secs(2));
-    (0..8).for_each(|s| world.step(STEP * s));
-    if world.callers[0].runs == 0 {
-        (8..40).for_each(|s| world.step(STEP * s));
+    simulation.add(Duration::ZERO, Duration::from_secs(2));
+    (0..8).for_each(|s| simulation.step(STEP * s));
+    if simulation.callers[0].runs == 0 {
+        (8..40).for_each(|s| simulation.step(STEP * s));
     }
-    let actions = world.callers[0]
+    let actions = simulation.callers[0]
         .claim
         .step(STEP * 40, ClaimEvent::NotStarted);
-    world.callers[0].finish_at = None;
-    world.act(STEP * 40, 0, actions);
-    (40..80).for_each(|s| world.step(STEP * s));
-    assert_eq!(row(&world).map(|r| r.state), Some(ClaimState::NOT_RUN));
-    world.add(STEP * 80, Duration::from_secs(2));
-    (80..300).for_each(|s| world.step(STEP * s));
-    assert_eq!(world.callers[1].answer, Some(Answer::Ran));
+    simulation.callers[0].finish_at = None;
+    simulation.act(STEP * 40, 0, actions);
+    (40..80).for_each(|s| simulation.step(STEP * s));
+    assert_eq!(row(&simulation).map(|r| r.state), Some(ClaimState::NOT_RUN));
+    simulation.add(STEP * 80, Duration::from_secs(2));
+    (80..300).for_each(|s| simulation.step(STEP * s));
+    assert_eq!(simulation.callers[1].answer, Some(Answer::Ran));
 }
 
 #[test]
 fn a_key_of_another_request_is_refused() {
-    let mut world = World {
+    let mut simulation = Simulation {
         table: FakeTable::new(1, CALM),
         callers: Vec::new(),
     };
-    world.add(Duration::ZERO, Duration::from_secs(2));
-    (0..200).for_each(|s| world.step(STEP * s));
+    simulation.add(Duration::ZERO, Duration::from_secs(2));
+    (0..200).for_each(|s| simulation.step(STEP * s));
     let other = ClaimRequest {
         request_sha256: "other".into(),
         ..claim_request(1, Duration::from_secs(9))
@@ -280,20 +292,20 @@
         panic!()
     };
     assert_eq!(table, TableCall::Read(KEY.into()));
-    let reply = world.table.apply(table);
+    let reply = simulation.table.apply(table);
     let actions = claim.step(STEP * 201, ClaimEvent::Replied { call, reply });
     assert_eq!(actions[0], ClaimAction::AnswerKeyReused);
 }
 
 #[test]
-fn a_table_that_is_down_is_answered_as_not_run_at_the_deadline() {
-    let mut world = World {
+fn a_caller_is_answered_not_run_at_the_deadline_when_the_table_is_down() {
+    let mut simulation = Simulation {
         table: FakeTable::new(1, ROUGH),
         callers: Vec::new(),
     };
-    world.table.faults.lost = 1000;
-    world.add(Duration::ZERO, Duration::from_millis(500));
-    (0..110).for_each(|s| world.step(STEP * s));
-    assert_eq!(world.callers[0].answer, Some(Answer::NotRun));
-    assert_eq!(world.callers[0].runs, 0);
+    simulation.table.faults.lost = 1000;
+    simulation.add(Duration::ZERO, Duration::from_millis(500));
+    (0..110).for_each(|s| simulation.step(STEP * s));
+    assert_eq!(simulation.callers[0].answer, Some(Answer::NotRun));
+    assert_eq!(simulation.callers[0].runs, 0);
 }
--- a/components/state/tests/configurations.rs
+++ b/components/state/tests/configurations.rs
@@ -1,4 +1,4 @@
-//! Racing edits, lost answers, and versions that only go up.
+//! Concurrent edits, lost answers, and configuration versions that only increase.
 
 use std::time::Duration;
 
@@ -19,12 +19,12 @@
     answer: Option<PublishOutcome>,
 }
 
-struct World {
+struct Simulation {
     table: FakeTable,
     edits: Vec<Edit>,
 }
 
-impl World {
+impl Simulation {
     fn add(&mut self, now: Duration, based_on: i64) {
         let put = format!("p{}", self.edits.len());
         let request = PublishRequest {
@@ -83,27 +83,27 @@
     }
 }
 
-fn race(seed: u64) -> World {
-    let mut world = World {
+fn run_concurrent_edits(seed: u64) -> Simulation {
+    let mut simulation = Simulation {
         table: FakeTable::new(seed, ROUGH),
         edits: Vec::new(),
     };
     for step in 0..2000 {
-        if world.edits.len() < 8 && world.table.rng.random_ratio(1, 50) {
-            let based_on = world.newest();
-            world.add(STEP * step, based_on);
+        if simulation.edits.len() < 8 && simulation.table.rng.random_ratio(1, 50) {
+            let based_on = simulation.newest();
+            simulation.add(STEP * step, based_on);
         }
-        world.step(STEP * step);
+        simulation.step(STEP * step);
     }
-    world
+    simulation
 }
 
 #[test]
 fn an_accepted_edit_stays_in_the_history_under_its_version() {
     check(400, |seed: u64| {
-        let world = race(seed);
-        world.edits.iter().all(|e| match e.answer {
-            Some(PublishOutcome::Accepted(version)) => world
+        let simulation = run_concurrent_edits(seed);
+        simulation.edits.iter().all(|e| match e.answer {
+            Some(PublishOutcome::Accepted(version)) => simulation
                 .row(&history_key(version))
                 .is_some_and(|r| r.put == e.put),
             _ => true,
@@ -112,40 +112,54 @@
 }
 
 #[test]
-fn an_edit_that_met_a_conflict_never_stands() {
+fn an_edit_answered_with_a_conflict_is_not_in_the_history() {
     check(400, |seed: u64| {
-        let world = race(seed);
-        let stands = |put: &str| {
-            (1..=world.newest()).any(|v| world.row(&history_key(v)).is_some_and(|r| r.put == put))
+        let simulation = run_concurrent_edits(seed);
+        let is_in_history = |put: &str| {
+            (1..=simulation.newest()).any(|v| {
+                simulation
+                    .row(&history_key(v))
+                    .is_some_and(|r| r.put == put)
+            })
         };
         let reported = |e: &&Edit| matches!(e.answer, Some(PublishOutcome::Conflict { .. }));
-        world.edits.iter().filter(reported).all(|e| !stands(&e.put))
+        simulation
+            .edits
+            .iter()
+            .filter(reported)
+            .all(|e| !is_in_history(&e.put))
     });
 }
 
 #[test]
 fn a_conflict_names_the_edit_that_came_first() {
-    let mut world = World {
+    let mut simulation = Simulation {
         table: FakeTable::new(1, CALM),
         edits: Vec::new(),
     };
-    world.add(Duration::ZERO, 0);
-    (0..100).for_each(|s| world.step(STEP * s));
-    world.add(STEP * 100, 0);
-    (100..200).for_each(|s| world.step(STEP * s));
+    simulation.add(Duration::ZERO, 0);
+    (0..100).for_each(|s| simulation.step(STEP * s));
+    simulation.add(STEP * 100, 0);
+    (100..200).for_each(|s| simulation.step(STEP * s));
     let expected = PublishOutcome::Conflict {
         version: 1,
         author: "author-p0".into(),
         note: "raise rates".into(),
     };
-    assert_eq!(world.edits[1].answer, Some(expected));
+    assert_eq!(simulation.edits[1].answer, Some(expected));
 }
 
 #[test]
 fn edits_are_accepted_despite_lost_answers() {
     let accepted = |e: &&Edit| matches!(e.answer, Some(PublishOutcome::Accepted(_)));
     let count: usize = (0..20)
-        .map(|seed| race(seed).edits.iter().filter(accepted).count())
+        .map(|seed| {
+            run_concurrent_edits(seed)
+                .edits
+                .iter()
+                .filter(accepted)
+                .count()
+        })
         .sum();
     assert!(count > 60, "{count} of 160");
 }
@@ -172,7 +186,7 @@
 }
 
 #[test]
-fn versions_in_force_only_go_up_whatever_is_heard() {
+fn applied_versions_only_increase_with_any_reports() {
     check(1000, |seed: u64| {
         let mut rng = FakeTable::new(seed, CALM).rng;
         let mut follower = ConfigFollower::default();
@@ -213,14 +227,14 @@
 }
 
 #[test]
-fn the_newest_version_heard_of_comes_into_force() {
+fn the_newest_reported_version_is_applied() {
     check(500, |seed: u64| {
         let mut rng = FakeTable::new(seed, CALM).rng;
         let mut follower = ConfigFollower::default();
         let mut newest = 0;
         let mut asked = None;
         for step in 0..400 {
-            // Gossip comes for the first half; fetches take a while all the time.
+            // Peers report during the first half only. Fetches take several steps throughout.
             let event = if step < 200 && rng.random_bool(0.5) {
                 let number = rng.random_range(0..50);
                 newest = newest.max(number);
@@ -251,7 +265,7 @@
 }
 
 #[test]
-fn a_node_that_starts_does_not_serve_before_it_knows_the_newest() {
+fn a_starting_node_is_not_current_before_it_applied_the_newest_version() {
     let mut follower = ConfigFollower::default();
     follower.bootstrap(Duration::ZERO, "file".into());
     assert!(!follower.is_current());
@@ -269,7 +283,7 @@
 }
 
 #[test]
-fn a_body_is_fetched_elsewhere_when_one_source_has_none() {
+fn a_body_is_fetched_from_peers_and_the_store_until_one_has_it() {
     let mut follower = ConfigFollower::default();
     let heard = ConfigEvent::PeerReported {
         peer: "n1".into(),
--- a/components/state/tests/leases.rs
+++ b/components/state/tests/leases.rs
@@ -1,4 +1,4 @@
-//! A lease with nodes that pause, lose answers and run clocks of their own.
+//! Leases of nodes that pause, lose answers and have separate clocks.
 
 use std::time::Duration;
 
@@ -10,7 +10,7 @@
 const STEP: Duration = Duration::from_millis(20);
 const STEPS: u32 = 4000;
 const DURATION: Duration = Duration::from_secs(5);
-/// An order that was sent reaches its endpoint within the margin.
+/// A sent order reaches its endpoint within this time.
 const MARGIN: Duration = Duration::from_secs(1);
 const NODES: usize = 4;
 
@@ -26,50 +26,50 @@
 
 struct Member {
     lease: Lease,
-    // Each node's clock started at another time.
-    offset: Duration,
+    // Offset of the clock of this node.
+    clock_offset: Duration,
     paused_until: Duration,
-    // Until when its calls of the table are lost.
+    // Time until which its calls to the table are lost.
     cut_until: Duration,
 }
 
-/// An order on its way: `(arrival, epoch)`.
-struct World {
+struct Simulation {
     table: FakeTable,
     members: Vec<Member>,
+    // Arrival and epoch of each order.
     orders: Vec<(Duration, i64)>,
-    // When, which epoch, and by whom.
+    // Time, epoch and node of each acquisition.
     gained: Vec<(Duration, i64, usize)>,
-    // What holders reported to each other, to whom, and when it arrives.
-    gossip: Vec<(Duration, usize, LeaseEvent)>,
-    // When each order was sent, and by whom.
+    // Arrival, receiver and content of each report of a holder.
+    reports_in_flight: Vec<(Duration, usize, LeaseEvent)>,
+    // Time and sender of each order.
     sent: Vec<(Duration, usize)>,
-    // Whether holders report the lease to others.
-    talks: bool,
+    // Whether holders report the lease to other nodes.
+    has_reports: bool,
     // Whether the table is restored from older copies and processes restart.
     has_restores: bool,
     writes: u64,
 }
 
-impl World {
+impl Simulation {
     fn new(seed: u64) -> Self {
         let mut table = FakeTable::new(seed, ROUGH);
         let members = (0..NODES)
             .map(|n| Member {
                 lease: Lease::new(terms(n)),
-                offset: Duration::from_secs(table.rng.random_range(0..9999)),
+                clock_offset: Duration::from_secs(table.rng.random_range(0..9999)),
                 paused_until: Duration::ZERO,
                 cut_until: Duration::ZERO,
             })
             .collect();
-        World {
+        Simulation {
             table,
             members,
             orders: Vec::new(),
             gained: Vec::new(),
-            gossip: Vec::new(),
+            reports_in_flight: Vec::new(),
             sent: Vec::new(),
-            talks: false,
+            has_reports: false,
             has_restores: false,
             writes: 0,
         }
@@ -88,23 +88,23 @@
                     self.members[n].lease = Lease::new(terms(n));
                     // Orders that were already sent still arrive.
                     let offset = self.table.rng.random_range(0..9999);
-                    self.members[n].offset = Duration::from_secs(offset);
+                    self.members[n].clock_offset = Duration::from_secs(offset);
                     self.members[n].paused_until = now + DURATION;
                 }
             }
         }
     }
 
-    /// The holder passes the row to the others; sometimes it gives the lease up. Gossip may take a second.
+    /// The holder reports the row to the other nodes and sometimes gives up the lease. Reports arrive within a second.
     fn report(&mut self, now: Duration, n: usize) {
         let Some(head) = self.members[n].lease.head() else {
             return;
         };
         let mut reported = LeaseEvent::HeadReported(head.clone());
-        let under_way = self.orders.iter().any(|(arrival, _)| *arrival >= now);
-        if !under_way && self.table.rng.random_ratio(1, 20) {
+        let is_order_in_flight = self.orders.iter().any(|(arrival, _)| *arrival >= now);
+        if !is_order_in_flight && self.table.rng.random_ratio(1, 20) {
             self.event(now, n, LeaseEvent::GiveUp);
-            // One that had lapsed already is not given up.
+            // A lease that had already expired is not given up.
             if self.members[n].lease.given_up() == Some(head.epoch) {
                 reported = LeaseEvent::GiveUpReported(head.epoch);
             }
@@ -112,14 +112,18 @@
         for other in (0..NODES).filter(|other| *other != n) {
             if self.table.rng.random_ratio(3, 4) {
                 let delay = Duration::from_millis(self.table.rng.random_range(1..1000));
-                self.gossip.push((now + delay, other, reported.clone()));
+                self.reports_in_flight
+                    .push((now + delay, other, reported.clone()));
             }
         }
     }
 
     fn deliver(&mut self, now: Duration) {
-        let (due, later) = self.gossip.drain(..).partition(|(at, ..)| *at <= now);
-        self.gossip = later;
+        let (due, later) = self
+            .reports_in_flight
+            .drain(..)
+            .partition(|(at, ..)| *at <= now);
+        self.reports_in_flight = later;
         let due: Vec<(Duration, usize, LeaseEvent)> = due;
         for (_, to, reported) in due {
             if now >= self.members[to].paused_until {
@@ -130,7 +134,7 @@
 
     fn event(&mut self, now: Duration, n: usize, event: LeaseEvent) {
         let member = &mut self.members[n];
-        let actions = member.lease.step(now + member.offset, event);
+        let actions = member.lease.step(now + member.clock_offset, event);
         for action in actions {
             match action {
                 LeaseAction::Call { call, table } => {
@@ -159,7 +163,7 @@
             if now < self.members[n].paused_until {
                 continue;
             }
-            if self.talks {
+            if self.has_reports {
                 self.report(now, n);
             }
             self.writes += 1;
@@ -178,13 +182,13 @@
 
     fn order(&mut self, now: Duration, n: usize) {
         let member = &self.members[n];
-        let Some(epoch) = member.lease.order_epoch(now + member.offset) else {
+        let Some(epoch) = member.lease.order_epoch(now + member.clock_offset) else {
             return;
         };
-        // Holders that talk order less often, so that they have moments with nothing under way.
-        let pause = if self.talks { 40 } else { 4 };
+        // Holders that report send fewer orders, so that they have times without orders in flight and can give up the lease.
+        let pause = if self.has_reports { 40 } else { 4 };
         if self.table.rng.random_ratio(1, pause) {
-            // The node may pause between its look at the lease and the order.
+            // The node may pause between its check of the lease and the order.
             let margin = MARGIN.as_millis() as u64;
             let flight = [1, margin - 1][self.table.rng.random_range(0..2)];
             let pause = match self.table.rng.random_ratio(1, 4) {
@@ -198,49 +202,49 @@
     }
 }
 
-fn run(seed: u64) -> World {
-    run_world(World::new(seed))
+fn run(seed: u64) -> Simulation {
+    run_simulation(Simulation::new(seed))
 }
 
-fn run_talking(seed: u64) -> World {
-    let mut world = World::new(seed);
-    world.talks = true;
-    run_world(world)
+fn run_with_reports(seed: u64) -> Simulation {
+    let mut simulation = Simulation::new(seed);
+    simulation.has_reports = true;
+    run_simulation(simulation)
 }
 
 // Restores the table at random and restarts processes without their state.
-fn run_with_restores(seed: u64) -> World {
-    let mut world = World::new(seed);
-    world.talks = seed.is_multiple_of(2);
-    world.has_restores = true;
-    run_world(world)
+fn run_with_restores(seed: u64) -> Simulation {
+    let mut simulation = Simulation::new(seed);
+    simulation.has_reports = seed.is_multiple_of(2);
+    simulation.has_restores = true;
+    run_simulation(simulation)
 }
 
-fn run_world(mut world: World) -> World {
+fn run_simulation(mut simulation: Simulation) -> Simulation {
     for step in 0..STEPS {
         let now = STEP * step;
-        if world.has_restores {
-            world.restore_at_random(now);
+        if simulation.has_restores {
+            simulation.restore_at_random(now);
         }
-        if world.table.rng.random_ratio(1, 200) {
-            let n = world.table.rng.random_range(0..NODES);
-            let pause = Duration::from_millis(world.table.rng.random_range(100..20_000));
-            // A shorter pause does not end a longer one: the node's clock would run backwards.
-            let paused_until = &mut world.members[n].paused_until;
+        if simulation.table.rng.random_ratio(1, 200) {
+            let n = simulation.table.rng.random_range(0..NODES);
+            let pause = Duration::from_millis(simulation.table.rng.random_range(100..20_000));
+            // A shorter pause does not end a longer one, since the clock of the node would go back.
+            let paused_until = &mut simulation.members[n].paused_until;
             *paused_until = (now + pause).max(*paused_until);
         }
-        if world.table.rng.random_ratio(1, 300) {
-            let n = world.table.rng.random_range(0..NODES);
-            let cut = Duration::from_millis(world.table.rng.random_range(1000..15_000));
-            world.members[n].cut_until = now + cut;
+        if simulation.table.rng.random_ratio(1, 300) {
+            let n = simulation.table.rng.random_range(0..NODES);
+            let cut = Duration::from_millis(simulation.table.rng.random_range(1000..15_000));
+            simulation.members[n].cut_until = now + cut;
         }
-        world.step(now);
+        simulation.step(now);
     }
-    world
+    simulation
 }
 
 #[test]
-fn no_order_of_a_lapsed_lease_arrives_after_its_successors_first() {
+fn no_order_of_an_expired_lease_arrives_after_the_first_order_of_the_next_holder() {
     check(200, |seed: u64| {
         let mut orders = run(seed).orders;
         orders.sort();
@@ -249,11 +253,11 @@
 }
 
 #[test]
-fn epochs_only_grow_and_have_one_holder_each() {
+fn epochs_only_increase_and_have_one_holder_each() {
     check(200, |seed: u64| {
         let mut gained = run(seed).gained;
         gained.sort();
-        // A holder whose renewal is answered late gains its own epoch again.
+        // A holder whose renewal is answered late acquires its own epoch again.
         gained
             .windows(2)
             .all(|w| w[0].1 < w[1].1 || (w[0].1 == w[1].1 && w[0].2 == w[1].2))
@@ -282,15 +286,22 @@
 
 #[test]
 fn orders_are_sent_across_restores() {
-    let worlds: Vec<World> = (0..10).map(run_with_restores).collect();
-    let orders: usize = worlds.iter().map(|world| world.orders.len()).sum();
-    let eras: u64 = worlds.iter().map(|world| world.table.era).sum();
+    let simulations: Vec<Simulation> = (0..10).map(run_with_restores).collect();
+    let orders: usize = simulations
+        .iter()
+        .map(|simulation| simulation.orders.len())
+        .sum();
+    let eras: u64 = simulations
+        .iter()
+        .map(|simulation| simulation.table.era)
+        .sum();
     assert!(orders > 500 && eras > 50, "{orders} orders in {eras} eras");
 }
 
-// A node that does not know of a restore may overwrite the row under a reused version, with an epoch of the earlier era.
+// Guards against reused epochs after a restore: a node that does not know of the restore may overwrite the row, under a
+// reused version, with an epoch of the earlier era.
 #[test]
-fn epochs_rise_with_the_version_of_the_row_after_a_restore() {
+fn epochs_increase_with_the_version_of_the_row_after_a_restore() {
     let epoch_after = |version: u64| {
         let mut lease = Lease::new(terms(0));
         let row = LeaseRow {
@@ -325,7 +336,7 @@
 }
 
 #[test]
-fn the_lease_is_held_and_used_again_and_again() {
+fn the_lease_is_acquired_and_used_repeatedly() {
     let orders: usize = (0..10).map(|seed| run(seed).orders.len()).sum();
     let epochs: usize = (0..10).map(|seed| run(seed).gained.len()).sum();
     assert!(
@@ -335,46 +346,50 @@
 }
 
 #[test]
-fn a_holder_that_wakes_late_may_not_order() {
-    let mut world = World::new(3);
-    world.table.faults = fakes::CALM;
+fn a_holder_that_resumes_after_expiry_may_not_send_orders() {
+    let mut simulation = Simulation::new(3);
+    simulation.table.faults = fakes::CALM;
     let holder = (0..1000)
         .find_map(|step| {
-            world.step(STEP * step);
+            simulation.step(STEP * step);
             let now = STEP * step;
             (0..NODES).find(|n| {
-                let m = &world.members[*n];
-                m.lease.order_epoch(now + m.offset).is_some()
+                let m = &simulation.members[*n];
+                m.lease.order_epoch(now + m.clock_offset).is_some()
             })
         })
-        .expect("somebody holds the lease");
-    let member = &world.members[holder];
+        .expect("a node holds the lease");
+    let member = &simulation.members[holder];
     let late = STEP * 1000 + DURATION;
-    assert_eq!(member.lease.order_epoch(late + member.offset), None);
+    assert_eq!(member.lease.order_epoch(late + member.clock_offset), None);
 }
 
 #[test]
-fn a_candidate_that_lost_the_race_looks_again_instead_of_writing_on() {
-    let mut world = World::new(3);
-    world.table.faults = fakes::CALM;
-    (0..500).for_each(|step| world.step(STEP * step));
-    // Ten seconds of four nodes that look or renew every 200 ms.
-    assert!(world.table.calls < 250, "{} calls", world.table.calls);
+fn a_candidate_whose_write_conflicts_reads_the_row_before_it_writes_again() {
+    let mut simulation = Simulation::new(3);
+    simulation.table.faults = fakes::CALM;
+    (0..500).for_each(|step| simulation.step(STEP * step));
+    // Ten seconds of four nodes that read or renew every 200 ms.
+    assert!(
+        simulation.table.calls < 250,
+        "{} calls",
+        simulation.table.calls
+    );
 }
 
 #[test]
-fn no_order_arrives_after_its_successors_first_where_holders_talk_and_give_up() {
+fn no_order_arrives_after_the_first_order_of_the_next_holder_when_holders_report_and_give_up() {
     check(200, |seed: u64| {
-        let mut orders = run_talking(seed).orders;
+        let mut orders = run_with_reports(seed).orders;
         orders.sort();
         orders.windows(2).all(|w| w[0].1 <= w[1].1)
     });
 }
 
 #[test]
-fn epochs_have_one_holder_each_where_holders_talk_and_give_up() {
+fn epochs_have_one_holder_each_when_holders_report_and_give_up() {
     check(200, |seed: u64| {
-        let mut gained = run_talking(seed).gained;
+        let mut gained = run_with_reports(seed).gained;
         gained.sort();
         gained
             .windows(2)
@@ -383,9 +398,9 @@
 }
 
 #[test]
-fn no_node_orders_again_so_soon_after_another_did() {
+fn orders_do_not_return_to_a_node_within_the_duration_of_a_lease() {
     check(200, |seed: u64| {
-        let sent = run_talking(seed).sent;
+        let sent = run_with_reports(seed).sent;
         let mut last_of: [Option<Duration>; NODES] = [None; NODES];
         let mut last = None;
         for (at, n) in sent {
@@ -401,41 +416,41 @@
 }
 
 #[test]
-fn a_lease_that_is_given_up_is_followed_before_it_would_have_lapsed() {
-    let mut world = World::new(3);
-    world.table.faults = fakes::CALM;
+fn a_lease_that_was_given_up_is_taken_over_before_it_would_have_expired() {
+    let mut simulation = Simulation::new(3);
+    simulation.table.faults = fakes::CALM;
     let mut now = Duration::ZERO;
-    let mut run_until = |world: &mut World, until: Duration| {
+    let mut run_until = |simulation: &mut Simulation, until: Duration| {
         while now < until {
-            world.step(now);
+            simulation.step(now);
             now += STEP;
         }
     };
-    run_until(&mut world, DURATION * 4);
-    let (_, epoch, holder) = *world.gained.last().expect("somebody holds the lease");
+    run_until(&mut simulation, DURATION * 4);
+    let (_, epoch, holder) = *simulation.gained.last().expect("a node holds the lease");
     let at = DURATION * 4;
-    let reported = LeaseEvent::HeadReported(world.members[holder].lease.head().unwrap());
-    world.event(at, holder, LeaseEvent::GiveUp);
+    let reported = LeaseEvent::HeadReported(simulation.members[holder].lease.head().unwrap());
+    simulation.event(at, holder, LeaseEvent::GiveUp);
     let next = (holder + 1) % NODES;
-    world.event(at, next, reported);
-    world.event(at, next, LeaseEvent::GiveUpReported(epoch));
-    run_until(&mut world, at + MARGIN);
+    simulation.event(at, next, reported);
+    simulation.event(at, next, LeaseEvent::GiveUpReported(epoch));
+    run_until(&mut simulation, at + MARGIN);
     assert_eq!(
-        world.gained.last().map(|g| (g.1, g.2)),
+        simulation.gained.last().map(|g| (g.1, g.2)),
         Some((epoch + 1, next))
     );
-    let calls = world.table.calls;
+    let calls = simulation.table.calls;
     for step in 1..100 {
         let now = at + MARGIN + STEP * step;
-        world.event(now, next, LeaseEvent::GiveUpReported(epoch));
-        world.step(now);
+        simulation.event(now, next, LeaseEvent::GiveUpReported(epoch));
+        simulation.step(now);
     }
-    let calls = world.table.calls - calls;
+    let calls = simulation.table.calls - calls;
     assert!(calls < 50, "{calls} calls");
 }
 
 #[test]
-fn a_node_that_gave_the_lease_up_does_not_follow_its_follower_at_once() {
+fn a_node_that_gave_up_the_lease_does_not_take_it_over_again_at_once() {
     let mut lease = Lease::new(terms(0));
     let tick = |write: &str| LeaseEvent::Tick {
         write_id: write.into(),
@@ -450,7 +465,7 @@
         })
     };
     let at = |ms| Duration::from_millis(ms);
-    // It takes a lease that lapsed, and gives it up.
+    // The node acquires an expired lease and gives it up.
     lease.step(at(0), heard(1, 1));
     let actions = lease.step(DURATION, tick("a"));
     let LeaseAction::Call { call, .. } = actions[0] else {
@@ -468,7 +483,7 @@
     let given_up_at = DURATION + at(2000);
     lease.step(given_up_at, LeaseEvent::GiveUp);
     assert_eq!(lease.given_up(), Some(2));
-    // Another follows, and gives it up in turn.
+    // Another node takes over and gives it up as well.
     lease.step(given_up_at + at(100), heard(3, 3));
     lease.step(given_up_at + at(200), LeaseEvent::GiveUpReported(3));
     let mut writes_at = None;
@@ -502,9 +517,9 @@
 }
 
 #[test]
-fn a_lease_whose_holder_dies_lapses_for_those_who_heard_of_it_without_a_look() {
-    let mut world = World::new(3);
-    world.table.faults = fakes::CALM;
+fn a_reported_lease_of_a_dead_holder_expires_without_a_read() {
+    let mut simulation = Simulation::new(3);
+    simulation.table.faults = fakes::CALM;
     let mut lease = Lease::new(terms(9));
     let head = LeaseHead {
         version: 1,
