--- a/components/replica/src/follower.rs
+++ b/components/replica/src/follower.rs
@@ -1,4 +1,4 @@
-//! Decides whether a gateway reads a topic from the store, pulls it from another gateway, or delegation.
+//! Decides whether a gateway reads a topic from the store, pulls it from another gateway, or waits.
 
 use std::time::Duration;
 
@@ -10,7 +10,7 @@
 /// has to be in force in time even if all gateways with long polls have died; the remaining time covers the call and a
 /// lost packet.
 const STALENESS_FRACTION: f64 = 0.65;
-/// Backoff after the first failed call of the store; it doubles with each consecutive failure.
+/// Backoff after the first failed call to the store; it doubles with each consecutive failure.
 const INITIAL_BACKOFF: Duration = Duration::from_millis(150);
 /// Upper limit of the backoff.
 const MAX_BACKOFF: Duration = Duration::from_millis(600);
--- a/components/state/tests/configurations.rs
+++ b/components/state/tests/configurations.rs
@@ -285,11 +285,11 @@
 #[test]
 fn a_body_is_fetched_from_peers_and_the_store_until_one_has_it() {
     let mut follower = ConfigFollower::default();
-    let heard = ConfigEvent::PeerReported {
+    let reported = ConfigEvent::PeerReported {
         peer: "n1".into(),
         version: version(3),
     };
-    let mut actions = follower.step(Duration::ZERO, heard);
+    let mut actions = follower.step(Duration::ZERO, reported);
     let mut sources = Vec::new();
     for step in 1..200 {
         for action in actions.drain(..) {
--- a/components/state/tests/leases.rs
+++ b/components/state/tests/leases.rs
@@ -26,7 +26,7 @@
 
 struct Member {
     lease: Lease,
-    // Offset of the clock of this node.
+    // The clock of each node starts at a different offset.
     clock_offset: Duration,
     paused_until: Duration,
     // Time until which its calls to the table are lost.
