--- a/components/replica/tests/eras.rs
+++ b/components/replica/tests/eras.rs
@@ -1,9 +1,9 @@
-//! Tables that follow a store which is restored from older copies and reuses revision numbers.
+//! Tables that follow a store which is restored from older snapshots and reuses revision numbers.
 
 use std::collections::BTreeMap;
 
 use quickcheck::{Arbitrary, Gen, QuickCheck};
-use replica::{Change, Digest, Follower, Revision, Source, Step, Table};
+use replica::{Change, Digest, Follower, PreferredSource, Revision, Step, Table};
 use std::time::Duration;
 
 const SEED: u64 = 20261203;
@@ -12,7 +12,7 @@
 
 type Rows = BTreeMap<String, (Option<u8>, u64)>;
 
-/// A store, and its rows at each revision.
+/// A store with its rows at each revision.
 #[derive(Default)]
 struct Store {
     rows: Rows,
@@ -35,7 +35,8 @@
     }
 
     fn record_history(&mut self) {
-        self.history.insert(self.revision(), standing(&self.rows));
+        self.history
+            .insert(self.revision(), without_tombstones(&self.rows));
     }
 
     fn write(&mut self, key: u8, value: Option<u8>) {
@@ -71,7 +72,7 @@
         Answer::List(rows, self.revision())
     }
 
-    // Answers a call for changes. The store compares numbers only.
+    // Answers a call for changes. The store compares revision numbers only.
     fn feed(&self, after: Revision) -> Answer {
         match after.number > self.number {
             true => Answer::HistoryGone,
@@ -80,16 +81,16 @@
     }
 }
 
-fn standing(rows: &Rows) -> Rows {
+fn without_tombstones(rows: &Rows) -> Rows {
     let rows = rows.iter().filter(|(_, row)| row.0.is_some());
     rows.map(|(key, row)| (key.clone(), *row)).collect()
 }
 
 fn apply_answer(table: &mut Table, answer: Answer) {
     match answer {
-        Answer::List(rows, revision) => drop(table.take_all(rows, revision)),
-        Answer::Changes(rows, revision) => drop(table.take(rows, revision)),
-        Answer::HistoryGone => table.restart(),
+        Answer::List(rows, revision) => drop(table.apply_list(rows, revision)),
+        Answer::Changes(rows, revision) => drop(table.apply_changes(rows, revision)),
+        Answer::HistoryGone => table.require_list(),
     }
 }
 
@@ -112,8 +113,8 @@
         ..row
     });
     match page.whole {
-        true => reader.take_all(rows.collect(), known_to),
-        false => reader.take(rows.collect(), known_to),
+        true => reader.apply_list(rows.collect(), known_to),
+        false => reader.apply_changes(rows.collect(), known_to),
     };
 }
 
@@ -146,7 +147,7 @@
     }
 }
 
-/// Readers of one store.
+/// A store and its readers.
 struct Simulation {
     store: Store,
     tables: Vec<Table>,
@@ -166,13 +167,13 @@
 
     fn call(&self, reader: usize) -> Answer {
         let table = &self.tables[reader];
-        match table.known_to().filter(|_| table.can_go_on()) {
+        match table.known_to().filter(|_| table.can_poll_changes()) {
             Some(known_to) => self.store.feed(known_to),
             None => self.store.list(),
         }
     }
 
-    // A reader has at most one call in flight, and pulls no rows from others meanwhile.
+    // A reader has at most one call in flight, and pulls no rows from other readers meanwhile.
     fn has_call_in_flight(&self, reader: usize) -> bool {
         self.in_flight.iter().any(|(waiting, _)| *waiting == reader)
     }
@@ -200,12 +201,12 @@
         }
     }
 
-    // Sends the digest of one reader to another, which pulls missing rows and confirms its own.
+    // Sends the digest of one reader to another, which pulls missing changes and confirms its rows.
     fn report(&mut self, from: usize, to: usize) {
         let Some(reported) = digest(&self.tables[from]) else {
             return;
         };
-        if !self.tables[to].covers(reported.changed_at) && !self.has_call_in_flight(to) {
+        if !self.tables[to].has_changes_up_to(reported.changed_at) && !self.has_call_in_flight(to) {
             let source = std::mem::take(&mut self.tables[from]);
             pull(&mut self.tables[to], &source);
             self.tables[from] = source;
@@ -221,7 +222,7 @@
             let Some(known_to) = table.known_to() else {
                 return true;
             };
-            let rows = table.standing().into_iter();
+            let rows = table.live_rows().into_iter();
             let rows = rows.map(|row| (row.key, row.value.map(|value| value[0])));
             let history = self.store.history[&known_to].iter();
             rows.eq(history.map(|(key, row)| (key.clone(), row.0)))
@@ -273,30 +274,30 @@
 #[test]
 fn a_digest_of_another_era_confirms_nothing() {
     let mut restored = Table::default();
-    restored.take_all(Vec::new(), Revision::new(0, 250));
+    restored.apply_list(Vec::new(), Revision::new(0, 250));
     let earlier = digest(&restored).unwrap();
-    restored.take_all(Vec::new(), Revision::new(1, 200));
+    restored.apply_list(Vec::new(), Revision::new(1, 200));
     assert!(
-        restored.covers(earlier.changed_at),
+        restored.has_changes_up_to(earlier.changed_at),
         "the earlier era must not trigger a pull"
     );
     assert!(!restored.is_confirmed_by(&earlier));
     let mut stale = Table::default();
-    stale.take_all(Vec::new(), Revision::new(0, 250));
+    stale.apply_list(Vec::new(), Revision::new(0, 250));
     let later = digest(&restored).unwrap();
-    assert!(!stale.covers(later.changed_at));
+    assert!(!stale.has_changes_up_to(later.changed_at));
     assert!(!stale.is_confirmed_by(&later));
 }
 
 #[test]
 fn calls_back_off_while_the_history_of_the_store_is_gone() {
     let due = Duration::from_secs(2);
-    let mut follower = Follower::new(Source::Peer, due);
+    let mut follower = Follower::new(PreferredSource::Peer, due);
     let mut now = Duration::ZERO;
     let mut calls = 0;
     while now < Duration::from_secs(10) {
         match follower.step(now, true, true) {
-            Step::Rest(time) => now += time,
+            Step::Wait(time) => now += time,
             _ => {
                 calls += 1;
                 follower.history_gone(now);
