--- a/components/gateway/src/control/exchange.rs
+++ b/components/gateway/src/control/exchange.rs
@@ -37,7 +37,7 @@
     /// Writes this gateway's row and learns of the others'.
     pub async fn announce(self: Rc<Self>) {
         self.write_own_row().await;
-        let by_halls = self.known.borrow().topology.has_halls();
+        let by_halls = self.known.borrow().topology.has_several_halls();
         match by_halls {
             true => self.list_halls().await,
             false => self.list_gateways(None).await,
@@ -69,7 +69,7 @@
             decisions_port: Some(i32::from(self.decisions_port)),
         };
         let value = schema::encode(&row).unwrap_or_default();
-        let by_halls = self.known.borrow().topology.has_halls();
+        let by_halls = self.known.borrow().topology.has_several_halls();
         let hall = by_halls.then_some(settings.zone.as_str());
         let mut failures = 0;
         while let Err(error) = self
--- a/components/gateway/src/control/known.rs
+++ b/components/gateway/src/control/known.rs
@@ -107,7 +107,7 @@
     pub fn new(settings: Arc<GatewaySettings>, listening: PeerAddresses, day_us: i64) -> Self {
         let topology = Topology::new(&settings.zone, &settings.region, &settings.halls);
         let peers = first_peers(&settings, &topology, listening);
-        let echoes = topology.has_regions().then(Echoes::default);
+        let echoes = topology.has_several_regions().then(Echoes::default);
         Known {
             lease: Lease::new(lease_terms(&settings)),
             lease_held_since: None,
@@ -183,7 +183,7 @@
         decisions: Some(listening.decisions),
     });
     peers.set_topology(topology.clone());
-    if topology.has_halls() {
+    if topology.has_several_halls() {
         peers.expect_halls(topology.halls());
     }
     for seed in settings.seeds.iter().filter_map(|seed| seed.parse().ok()) {
--- a/components/gateway/src/control/messages.rs
+++ b/components/gateway/src/control/messages.rs
@@ -204,7 +204,7 @@
     /// coordinator of its hall needs no more.
     pub fn looks_for_others(&self, now: Duration) -> bool {
         let is_led = || self.peers.is_led(now) && !self.speaks_for_others(now);
-        !self.topology.has_halls() || !is_led()
+        !self.topology.has_several_halls() || !is_led()
     }
 
     fn due_of_member(&mut self, now: Duration, changed: bool) -> Due {
--- a/components/gateway/src/control/region.rs
+++ b/components/gateway/src/control/region.rs
@@ -19,7 +19,7 @@
 impl Known {
     /// Whether this gateway holds calls at the store, for all others or for those of its region.
     pub fn watches_store(&self, now: Duration) -> bool {
-        match self.topology.has_halls() {
+        match self.topology.has_several_halls() {
             true => self.peers.reads_for_region(now, &self.topology, WATCHERS),
             false => self.peers.is_among_first(now, WATCHERS),
         }
@@ -44,7 +44,7 @@
     /// Whether the store lies behind the link to another region, or may.
     pub fn is_far_from_store(&self) -> bool {
         let is_near = self.store_time.is_some_and(|time| time < NEAR_STORE);
-        self.topology.has_regions() && !is_near
+        self.topology.has_several_regions() && !is_near
     }
 }
 
--- a/components/gateway/src/decisions.rs
+++ b/components/gateway/src/decisions.rs
@@ -245,7 +245,7 @@
         let state = self.state.borrow();
         let topology = state.board.ways().topology();
         let hall = topology.hall().to_string();
-        topology.has_regions().then_some(hall)
+        topology.has_several_regions().then_some(hall)
     }
 
     async fn send_query(&self, by: SocketAddr, query: DecisionQuery) -> Option<DecisionReply> {
@@ -322,7 +322,7 @@
             home_region: query
                 .hall
                 .as_deref()
-                .map_or(0, |hall| topology.place_of(hall)),
+                .map_or(0, |hall| topology.region_index_of(hall)),
         };
         let work = work_of(query);
         let closed = query.closed.as_deref().unwrap_or_default();
--- a/components/quarantine/src/whole.rs
+++ b/components/quarantine/src/whole.rs
@@ -27,16 +27,16 @@
 impl WholeRuns {
     /// Notes a whole run.
     pub fn note(&mut self, now: Duration, content: Fingerprint) {
-        self.places[place_of(content)] = Some((content, now));
+        self.places[region_index_of(content)] = Some((content, now));
     }
 
     /// Whether a content ran whole lately.
     pub fn has(&self, now: Duration, content: Fingerprint) -> bool {
-        let noted = self.places[place_of(content)];
+        let noted = self.places[region_index_of(content)];
         noted.is_some_and(|(noted, at)| noted == content && now < at + SPEAKS_FOR)
     }
 }
 
-fn place_of(content: Fingerprint) -> usize {
+fn region_index_of(content: Fingerprint) -> usize {
     (content.0 % PLACES as u64) as usize
 }
--- a/components/routing/src/placement/board.rs
+++ b/components/routing/src/placement/board.rs
@@ -155,7 +155,7 @@
         slot.speed = speed.unwrap_or_default();
         slot.is_engine = engine.is_some();
         slot.hall = self.place_of_hall(&slot.spec.zone);
-        slot.region = self.ways.topology().place_of(&slot.spec.zone);
+        slot.region = self.ways.topology().region_index_of(&slot.spec.zone);
         let hashes = [endpoint_hash(&id), slot.incarnation()];
         self.hashes.extend(hashes.map(|hash| (hash, id.clone())));
         self.services
--- a/components/routing/src/placement/choice.rs
+++ b/components/routing/src/placement/choice.rs
@@ -142,7 +142,7 @@
             } else {
                 region
             };
-            let name = self.ways.topology().region_at(beyond);
+            let name = self.ways.topology().region_by_index(beyond);
             departure = self.links.decide(now, name, places);
         }
         let leaves = departure == Departure::Leaves;
--- a/components/routing/src/placement/way.rs
+++ b/components/routing/src/placement/way.rs
@@ -90,7 +90,7 @@
     /// The same for a request of a gateway in the region at this place, which nobody there decided. Ways between two
     /// other regions are not measured here.
     pub fn cost_from_ms(&self, home: usize, hall: &str, bytes: u32) -> f64 {
-        let place = self.topology.place_of(hall);
+        let place = self.topology.region_index_of(hall);
         match home {
             OWN_REGION => self.cost_ms(hall, bytes),
             home if home == place => FIRST_OTHER_HALL_MS,
@@ -117,7 +117,7 @@
     }
 
     fn region_ms(&self, place: usize) -> f64 {
-        let halls = self.topology.halls_of(self.topology.region_at(place));
+        let halls = self.topology.halls_of(self.topology.region_by_index(place));
         let times = halls.into_iter().map(|hall| self.round_trip_ms(hall));
         times.fold(f64::INFINITY, f64::min)
     }
--- a/components/routing/tests/regions.rs
+++ b/components/routing/tests/regions.rs
@@ -272,7 +272,7 @@
 fn a_request_of_a_gateway_elsewhere_is_placed_in_that_gateways_region() {
     let mut board = board(&[("a", "a1"), ("b", "b1")]);
     board.set_link_parts(ms(0), &parts(100_000.0));
-    let region_b = topology().place_of("b2");
+    let region_b = topology().region_index_of("b2");
     let work = prompt(2, 300, 1_000);
     let mut rng = ChaCha8Rng::seed_from_u64(7);
     let mut placed = |board: &mut Board| {
--- a/components/topology/src/lib.rs
+++ b/components/topology/src/lib.rs
@@ -82,7 +82,7 @@
     }
 
     /// Place of a hall's region among all: 0 for the own one, then the others by name.
-    pub fn place_of(&self, hall: &str) -> usize {
+    pub fn region_index_of(&self, hall: &str) -> usize {
         let region = self.region_of(hall);
         let others = self.regions();
         let mut others = others.into_iter().filter(|other| *other != self.region);
@@ -95,24 +95,24 @@
     }
 
     /// The region at a place; the own one where there is none.
-    pub fn region_at(&self, place: usize) -> &str {
+    pub fn region_by_index(&self, index: usize) -> &str {
         let mut others = self
             .regions()
             .into_iter()
             .filter(|other| *other != self.region);
-        match place {
+        match index {
             0 => &self.region,
-            place => others.nth(place - 1).unwrap_or(&self.region),
+            index => others.nth(index - 1).unwrap_or(&self.region),
         }
     }
 
     /// Whether there is more than one hall.
-    pub fn has_halls(&self) -> bool {
+    pub fn has_several_halls(&self) -> bool {
         self.halls().len() > 1
     }
 
     /// Whether there is more than one region.
-    pub fn has_regions(&self) -> bool {
+    pub fn has_several_regions(&self) -> bool {
         self.regions().len() > 1
     }
 }
--- a/components/topology/tests/distances.rs
+++ b/components/topology/tests/distances.rs
@@ -14,12 +14,12 @@
 }
 
 #[test]
-fn a_hall_is_as_far_as_its_region() {
+fn the_distance_of_a_hall_follows_from_its_region() {
     let topology = two_regions();
     assert_eq!(topology.distance("a1"), Distance::SameHall);
     assert_eq!(topology.distance("a2"), Distance::SameRegion);
     assert_eq!(topology.distance("b1"), Distance::OtherRegion);
-    assert!(topology.has_regions());
+    assert!(topology.has_several_regions());
     assert_eq!(
         topology.halls_of("b").into_iter().collect::<Vec<_>>(),
         ["b1"]
@@ -27,7 +27,7 @@
 }
 
 #[test]
-fn a_hall_that_no_settings_name_counts_as_one_of_the_own_region() {
+fn a_hall_missing_from_the_settings_counts_as_part_of_the_own_region() {
     assert_eq!(two_regions().distance("new"), Distance::SameRegion);
 }
 
@@ -35,5 +35,5 @@
 fn without_a_list_of_halls_there_is_one_region() {
     let topology = Topology::new("a1", "", &BTreeMap::new());
     assert_eq!(topology.distance("b1"), Distance::SameRegion);
-    assert!(!topology.has_regions());
+    assert!(!topology.has_several_regions());
 }
--- a/src/cmd/check.rs
+++ b/src/cmd/check.rs
@@ -48,7 +48,7 @@
         text += &format!("region {region}{own}: {}\n", halls.join(", "));
     }
     text += &format!("own hall: {}\n", topology.hall());
-    if topology.has_regions() {
+    if topology.has_several_regions() {
         text += &match settings.region_link_kbit {
             0 => "link between regions: rate not known, not bounded\n".to_string(),
             kbit => format!("link between regions: {} Mbit/s each way\n", kbit / 1000),
