--- a/components/engine/src/fit.rs
+++ b/components/engine/src/fit.rs
@@ -4,7 +4,7 @@
 //! nearly the same number of running requests; its weight is that of a handful of samples.
 
 use crate::law::Law;
-use crate::sums::Sums;
+use crate::step_moments::StepMoments;
 
 /// What engines are taken for before anything was seen of them: middling figures of the engines that this was built
 /// with (3 to 5 ms, 0.02 to 0.1 ms, 50 to 150 tokens a millisecond).
@@ -14,31 +14,31 @@
     per_read_ms: 0.015,
 };
 /// Deviation of the prior, in parts of its values.
-const PRIOR_DEVIATION: f64 = 1.0;
+const PRIOR_RELATIVE_STD_DEV: f64 = 1.0;
 /// Samples that say as much as one that stands alone: parts of streams at one engine see the same steps.
-const SAMPLES_ALIKE: f64 = 4.0;
+const CORRELATED_SAMPLES: f64 = 4.0;
 /// Least deviation of a sample, in parts of its time: clocks and the way there always add some.
-const LEAST_DEVIATION: f64 = 0.05;
+const MIN_SAMPLE_RELATIVE_STD_DEV: f64 = 0.05;
 /// Samples before which nothing counts as known.
-const LEAST_SAMPLES: f64 = 40.0;
+const MIN_SAMPLES: f64 = 40.0;
 /// Deviation of the time of a step below which it counts as known, in parts of it.
-const KNOWN_DEVIATION: f64 = 0.1;
+const MAX_STEP_RELATIVE_STD_DEV: f64 = 0.1;
 /// The same for the time of a token that is read: it is a part of what engines do, so it may be less sure.
-const KNOWN_READING_DEVIATION: f64 = 0.2;
+const MAX_PREFILL_RELATIVE_STD_DEV: f64 = 0.2;
 /// The time of a step must be known for this many times the running requests that were seen: what is planned with
 /// the law puts more requests on fewer engines.
-const LOOK_AHEAD: f64 = 2.0;
+const EXTRAPOLATION_FACTOR: f64 = 2.0;
 /// Least time for each token read, in milliseconds, so that a rate is always finite.
-const LEAST_READ_MS: f64 = 0.0005;
+const MIN_PER_READ_MS: f64 = 0.0005;
 /// Least base, in milliseconds.
-const LEAST_BASE_MS: f64 = 0.05;
+const MIN_BASE_MS: f64 = 0.05;
 
 type Vector = [f64; 3];
 type Matrix = [Vector; 3];
 
 /// A law with how sure it is.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Estimate {
+pub struct LawEstimate {
     /// The law; the prior where nothing else was seen.
     pub law: Law,
     // Covariance of its three values.
@@ -47,40 +47,42 @@
     mean_running: f64,
 }
 
-impl Estimate {
+impl LawEstimate {
     /// The law that these sums speak for.
-    pub fn of(sums: &Sums) -> Self {
-        let start = deviation_of_prior(sums);
-        let first = solve(sums, start * start);
-        let deviation = residual(sums, &first.0).max(LEAST_DEVIATION * sums.mean_step_ms());
-        let (values, covariance) = match deviation > 0.0 {
-            true => solve(sums, deviation * deviation),
+    pub fn from_moments(moments: &StepMoments) -> Self {
+        let initial = initial_std_dev_ms(moments);
+        let first = posterior(moments, initial * initial);
+        let std_dev = residual_rms_ms(moments, &first.0)
+            .max(MIN_SAMPLE_RELATIVE_STD_DEV * moments.mean_step_ms());
+        let (values, covariance) = match std_dev > 0.0 {
+            true => posterior(moments, std_dev * std_dev),
             false => first,
         };
-        Estimate {
+        LawEstimate {
             law: Law {
-                base_ms: values[0].max(LEAST_BASE_MS),
+                base_ms: values[0].max(MIN_BASE_MS),
                 per_running_ms: values[1].max(0.0),
-                per_read_ms: values[2].max(LEAST_READ_MS),
+                per_read_ms: values[2].max(MIN_PER_READ_MS),
             },
             covariance,
-            samples: sums.count,
-            mean_running: sums.mean_running(),
+            samples: moments.count,
+            mean_running: moments.mean_running(),
         }
     }
 
     /// The law, once enough was seen to plan with it.
-    pub fn known(&self) -> Option<Law> {
-        let running = self.mean_running * LOOK_AHEAD;
-        let reading = self.covariance[2][2].sqrt();
-        let is_known = self.samples >= LEAST_SAMPLES
-            && self.deviation_ms(running) <= KNOWN_DEVIATION * self.law.step_ms(running)
-            && reading <= KNOWN_READING_DEVIATION * self.law.per_read_ms;
-        is_known.then_some(self.law)
+    pub fn confident_law(&self) -> Option<Law> {
+        let running = self.mean_running * EXTRAPOLATION_FACTOR;
+        let read_std_dev = self.covariance[2][2].sqrt();
+        let is_confident = self.samples >= MIN_SAMPLES
+            && self.decode_step_std_dev_ms(running)
+                <= MAX_STEP_RELATIVE_STD_DEV * self.law.decode_step_ms(running)
+            && read_std_dev <= MAX_PREFILL_RELATIVE_STD_DEV * self.law.per_read_ms;
+        is_confident.then_some(self.law)
     }
 
     /// Deviation of the time of a step that reads nothing, in milliseconds.
-    pub fn deviation_ms(&self, running: f64) -> f64 {
+    pub fn decode_step_std_dev_ms(&self, running: f64) -> f64 {
         let c = &self.covariance;
         (c[0][0] + 2.0 * running * c[0][1] + running * running * c[1][1])
             .max(0.0)
@@ -89,28 +91,33 @@
 }
 
 // A guess at the deviation of samples from what the prior says, for the first pass.
-fn deviation_of_prior(sums: &Sums) -> f64 {
-    let expected = PRIOR.step_ms(sums.mean_running());
-    (LEAST_DEVIATION * 2.0 * sums.mean_step_ms()).max(LEAST_DEVIATION * expected)
+fn initial_std_dev_ms(moments: &StepMoments) -> f64 {
+    let expected = PRIOR.decode_step_ms(moments.mean_running());
+    (MIN_SAMPLE_RELATIVE_STD_DEV * 2.0 * moments.mean_step_ms())
+        .max(MIN_SAMPLE_RELATIVE_STD_DEV * expected)
 }
 
 // Values and their covariance, given the variance of a sample.
-fn solve(sums: &Sums, variance: f64) -> (Vector, Matrix) {
+fn posterior(moments: &StepMoments, variance: f64) -> (Vector, Matrix) {
     let prior = [PRIOR.base_ms, PRIOR.per_running_ms, PRIOR.per_read_ms];
-    let weight = 1.0 / (variance * SAMPLES_ALIKE).max(f64::MIN_POSITIVE);
+    let weight = 1.0 / (variance * CORRELATED_SAMPLES).max(f64::MIN_POSITIVE);
     let mut precision = [
-        [sums.count, sums.running, sums.read],
-        [sums.running, sums.running_running, sums.running_read],
-        [sums.read, sums.running_read, sums.read_read],
+        [moments.count, moments.running, moments.read],
+        [
+            moments.running,
+            moments.running_running,
+            moments.running_read,
+        ],
+        [moments.read, moments.running_read, moments.read_read],
     ];
-    let mut weighted = [sums.step, sums.running_step, sums.read_step];
+    let mut weighted = [moments.step, moments.running_step, moments.read_step];
     for i in 0..3 {
         for value in &mut precision[i] {
             *value *= weight;
         }
-        let own = 1.0 / (prior[i] * PRIOR_DEVIATION).powi(2);
-        precision[i][i] += own;
-        weighted[i] = weighted[i] * weight + own * prior[i];
+        let prior_precision = 1.0 / (prior[i] * PRIOR_RELATIVE_STD_DEV).powi(2);
+        precision[i][i] += prior_precision;
+        weighted[i] = weighted[i] * weight + prior_precision * prior[i];
     }
     let covariance = inverse(&precision);
     let values = covariance.map(|row| row.iter().zip(weighted).map(|(a, b)| a * b).sum());
@@ -118,18 +125,18 @@
 }
 
 // Root of the mean square of what the values leave unexplained.
-fn residual(sums: &Sums, values: &Vector) -> f64 {
-    if sums.count <= 0.0 {
+fn residual_rms_ms(moments: &StepMoments, values: &Vector) -> f64 {
+    if moments.count <= 0.0 {
         return 0.0;
     }
     let [b, n, r] = *values;
-    let squares = sums.step_step
-        - 2.0 * (b * sums.step + n * sums.running_step + r * sums.read_step)
-        + b * b * sums.count
-        + n * n * sums.running_running
-        + r * r * sums.read_read
-        + 2.0 * (b * n * sums.running + b * r * sums.read + n * r * sums.running_read);
-    (squares / sums.count).max(0.0).sqrt()
+    let squares = moments.step_step
+        - 2.0 * (b * moments.step + n * moments.running_step + r * moments.read_step)
+        + b * b * moments.count
+        + n * n * moments.running_running
+        + r * r * moments.read_read
+        + 2.0 * (b * n * moments.running + b * r * moments.read + n * r * moments.running_read);
+    (squares / moments.count).max(0.0).sqrt()
 }
 
 // The prior is part of the matrix, so it has an inverse.
--- a/components/engine/src/law.rs
+++ b/components/engine/src/law.rs
@@ -13,17 +13,17 @@
 
 impl Law {
     /// Time of a step that reads nothing, in milliseconds.
-    pub fn step_ms(&self, running: f64) -> f64 {
+    pub fn decode_step_ms(&self, running: f64) -> f64 {
         self.base_ms + self.per_running_ms * running
     }
 
     /// Time of a step, in milliseconds.
-    pub fn reading_step_ms(&self, running: f64, read_tokens: f64) -> f64 {
-        self.step_ms(running) + self.per_read_ms * read_tokens
+    pub fn step_with_prefill_ms(&self, running: f64, read_tokens: f64) -> f64 {
+        self.decode_step_ms(running) + self.per_read_ms * read_tokens
     }
 
     /// Tokens that are read in a millisecond.
-    pub fn read_per_ms(&self) -> f64 {
+    pub fn prefill_tokens_per_ms(&self) -> f64 {
         1.0 / self.per_read_ms
     }
 }
--- a/components/engine/src/sums.rs
+++ b/components/engine/src/step_moments.rs
@@ -1,7 +1,7 @@
-//! Sums over samples of engines' steps. Sums of several gateways are added like those of one.
+//! StepMoments over samples of engines' steps. StepMoments of several gateways are added like those of one.
 
-/// Values that make up [`Sums`].
-pub const MOMENTS: usize = 10;
+/// Values that make up [`StepMoments`].
+pub const MOMENT_COUNT: usize = 10;
 
 /// What a part of a stream showed of its engine's steps.
 #[derive(Clone, Copy, Debug, PartialEq)]
@@ -16,16 +16,16 @@
 
 impl Sample {
     /// Whether it can be of an engine: its time passed, something ran, and no fewer tokens were read than none.
-    pub fn is_sound(&self) -> bool {
+    pub fn is_valid(&self) -> bool {
         let is_positive = |value: f64| value.is_finite() && value > 0.0;
-        let reads = self.read_tokens.is_finite() && self.read_tokens >= 0.0;
-        is_positive(self.step_ms) && is_positive(self.running) && reads
+        let is_read_valid = self.read_tokens.is_finite() && self.read_tokens >= 0.0;
+        is_positive(self.step_ms) && is_positive(self.running) && is_read_valid
     }
 }
 
 /// Moments of samples.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub struct Sums {
+pub struct StepMoments {
     /// Number of samples.
     pub count: f64,
     /// Sum of the running requests.
@@ -48,11 +48,11 @@
     pub step_step: f64,
 }
 
-impl Sums {
+impl StepMoments {
     /// Adds a sample.
     pub fn add(&mut self, sample: &Sample) {
         let (n, r, s) = (sample.running, sample.read_tokens, sample.step_ms);
-        self.merge(&Sums {
+        self.merge(&StepMoments {
             count: 1.0,
             running: n,
             read: r,
@@ -67,24 +67,20 @@
     }
 
     /// Adds what another gateway saw.
-    pub fn merge(&mut self, other: &Sums) {
-        let mine = self.moments();
-        let both: Vec<f64> = mine
-            .iter()
-            .zip(other.moments())
-            .map(|(a, b)| a + b)
-            .collect();
-        *self = Sums::of(&both);
+    pub fn merge(&mut self, other: &StepMoments) {
+        let own = self.values();
+        let sums: Vec<f64> = own.iter().zip(other.values()).map(|(a, b)| a + b).collect();
+        *self = StepMoments::from_values(&sums);
     }
 
     /// Lets everything so far count for `part` of what it did.
-    pub fn fade(&mut self, part: f64) {
-        let faded = self.moments().map(|moment| moment * part);
-        *self = Sums::of(&faded);
+    pub fn decay(&mut self, factor: f64) {
+        let decayed = self.values().map(|value| value * factor);
+        *self = StepMoments::from_values(&decayed);
     }
 
     /// All values, in the order of the fields.
-    pub fn moments(&self) -> [f64; MOMENTS] {
+    pub fn values(&self) -> [f64; MOMENT_COUNT] {
         [
             self.count,
             self.running,
@@ -99,22 +95,22 @@
         ]
     }
 
-    /// Sums of these values; empty where there are too few or one of them is no number.
-    pub fn of(moments: &[f64]) -> Self {
-        if moments.len() < MOMENTS || !moments.iter().all(|moment| moment.is_finite()) {
-            return Sums::default();
+    /// StepMoments of these values; empty where there are too few or one of them is no number.
+    pub fn from_values(values: &[f64]) -> Self {
+        if values.len() < MOMENT_COUNT || !values.iter().all(|value| value.is_finite()) {
+            return StepMoments::default();
         }
-        Sums {
-            count: moments[0],
-            running: moments[1],
-            read: moments[2],
-            running_running: moments[3],
-            running_read: moments[4],
-            read_read: moments[5],
-            step: moments[6],
-            running_step: moments[7],
-            read_step: moments[8],
-            step_step: moments[9],
+        StepMoments {
+            count: values[0],
+            running: values[1],
+            read: values[2],
+            running_running: values[3],
+            running_read: values[4],
+            read_read: values[5],
+            step: values[6],
+            running_step: values[7],
+            read_step: values[8],
+            step_step: values[9],
         }
     }
 
--- a/components/fleet/src/load.rs
+++ b/components/fleet/src/load.rs
@@ -103,7 +103,7 @@
         let made = self.made_per_ms(law, reading);
         let parts = |most_running: u32| LoadParts {
             reading,
-            making: made * law.step_ms(f64::from(most_running)) / f64::from(most_running),
+            making: made * law.decode_step_ms(f64::from(most_running)) / f64::from(most_running),
             most_running,
         };
         let slots = self.slots.max(1);
@@ -119,13 +119,13 @@
         let endpoints = f64::from(self.endpoints.max(1));
         let running = f64::from(self.requests);
         let making_part = (1.0 - reading / endpoints).clamp(0.0, 1.0);
-        running * making_part / law.step_ms(running / endpoints)
+        running * making_part / law.decode_step_ms(running / endpoints)
     }
 }
 
 // Time for a token at endpoints that are busy all the time, in milliseconds.
 fn busy_pace_ms(parts: &LoadParts, law: Law) -> f64 {
-    let step_ms = law.step_ms(f64::from(parts.most_running));
+    let step_ms = law.decode_step_ms(f64::from(parts.most_running));
     match parts.making > 0.0 {
         true => step_ms * parts.endpoints() / parts.making,
         false => step_ms,
--- a/components/gateway/src/control/engines.rs
+++ b/components/gateway/src/control/engines.rs
@@ -5,7 +5,7 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-use engine::{AllowedPaces, Learnt, Reports, Sums};
+use engine::{EngineStats, PaceHistogram, PeerReports, StepMoments};
 use schema::messages::{EngineReport, Gossip};
 
 use crate::control::Known;
@@ -18,7 +18,7 @@
 /// What other coordinators saw of engines, and when it is this one's turn to tell.
 #[derive(Debug, Default)]
 pub(crate) struct Engines {
-    reports: Reports,
+    reports: PeerReports,
     messages: u32,
 }
 
@@ -30,16 +30,18 @@
         };
         let services = reports.iter().take(MOST_SERVICES);
         let services = services.map(|report| (report.service_name.clone(), learnt_of(report)));
-        let services: BTreeMap<String, Learnt> = services.collect();
+        let services: BTreeMap<String, EngineStats> = services.collect();
         self.reports.receive(now, &gossip.gateway, services);
     }
 }
 
 impl Known {
     /// What all gateways together saw of a service's engines, as far as it is known here.
-    pub fn learnt_of(&self, service: &str) -> Learnt {
+    pub fn learnt_of(&self, service: &str) -> EngineStats {
         let own = self.loads.get(service).map(|load| load.learnt);
-        self.engines.reports.with(own.unwrap_or_default(), service)
+        self.engines
+            .reports
+            .merged_with(own.unwrap_or_default(), service)
     }
 
     /// What was seen here, for a message to coordinators; nothing in most of them.
@@ -56,20 +58,20 @@
     }
 }
 
-fn report_of(service: &str, learnt: &Learnt) -> EngineReport {
-    let allowed = learnt.allowed.counts().iter();
+fn report_of(service: &str, learnt: &EngineStats) -> EngineReport {
+    let allowed = learnt.allowed_paces.counts().iter();
     EngineReport {
         service_name: service.to_string(),
-        steps: learnt.steps.moments().map(Into::into).to_vec(),
+        steps: learnt.steps.values().map(Into::into).to_vec(),
         allowed: allowed.map(|count| (*count).into()).collect(),
     }
 }
 
-fn learnt_of(report: &EngineReport) -> Learnt {
+fn learnt_of(report: &EngineReport) -> EngineStats {
     let steps: Vec<f64> = report.steps.iter().map(|moment| moment.0).collect();
     let allowed: Vec<f64> = report.allowed.iter().map(|count| count.0).collect();
-    Learnt {
-        steps: Sums::of(&steps),
-        allowed: AllowedPaces::of(&allowed),
+    EngineStats {
+        steps: StepMoments::from_values(&steps),
+        allowed_paces: PaceHistogram::from_counts(&allowed),
     }
 }
--- a/components/gateway/src/control/scaling.rs
+++ b/components/gateway/src/control/scaling.rs
@@ -235,8 +235,8 @@
             return Bearing::Slots;
         }
         let learnt = self.learnt_of(service);
-        let pace_ms = learnt.allowed.holding(IN_TIME_SHARE);
-        match (learnt.estimate().known(), pace_ms) {
+        let pace_ms = learnt.allowed_paces.max_pace_ms(IN_TIME_SHARE);
+        match (learnt.estimate().confident_law(), pace_ms) {
             (Some(law), Some(pace_ms)) => Bearing::Engine { law, pace_ms },
             _ => Bearing::Unknown,
         }
--- a/components/gateway/src/tally.rs
+++ b/components/gateway/src/tally.rs
@@ -3,7 +3,7 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-use engine::Learnt;
+use engine::EngineStats;
 use quarantine::Observation;
 use routing::placement::{HallLoad, Sight};
 
@@ -33,7 +33,7 @@
     /// Whether its endpoints are engines.
     pub has_engines: bool,
     /// What this gateway saw of its engines since its start.
-    pub learnt: Learnt,
+    pub learnt: EngineStats,
 }
 
 impl ServiceLoad {
--- a/components/routing/src/placement/engines.rs
+++ b/components/routing/src/placement/engines.rs
@@ -3,7 +3,7 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-use engine::{Learner, Learnt, Sample};
+use engine::{EngineStats, Learner, Sample};
 use limits::SendRate;
 
 use crate::placement::board::{ms, takes_work, Board, Ticket};
@@ -92,13 +92,13 @@
         }
         let by_whole = ms(whole) / (per_event * f64::from(ticket.span.total));
         let by_gap = gap.map_or(f64::MAX, |gap| ms(gap) / per_event);
-        learner.allow(now, by_whole.min(by_gap));
+        learner.add_allowed_pace(now, by_whole.min(by_gap));
     }
 
     /// What was seen of the engines of a service.
-    pub fn learnt(&self, service: &str) -> Learnt {
+    pub fn learnt(&self, service: &str) -> EngineStats {
         let learner = self.learners.get(service);
-        learner.map(|learner| *learner.learnt()).unwrap_or_default()
+        learner.map(|learner| *learner.stats()).unwrap_or_default()
     }
 
     /// Whether the endpoints of a service are engines.
@@ -152,7 +152,7 @@
             running: f64::from(start.running + end.running) / 2.0,
             read_tokens: (end.pushed_tokens - start.pushed_tokens) / steps,
         };
-        learner.note(now, sample);
+        learner.add_sample(now, sample);
     }
 
     // Only engines that prompts were sent to from here are looked at; a gateway that follows no endpoints sees none.
--- a/components/routing/tests/placement.rs
+++ b/components/routing/tests/placement.rs
@@ -250,7 +250,7 @@
     assert!((2.7..=3.3).contains(&law.base_ms), "{law:?}");
     assert!((0.09..=0.11).contains(&law.per_running_ms), "{law:?}");
     // 33 events of one token in 10 s, and pauses of 300 ms.
-    let allowed = learnt.allowed.holding(0.95).unwrap();
+    let allowed = learnt.allowed_paces.max_pace_ms(0.95).unwrap();
     assert!((200.0..=300.0).contains(&allowed), "{allowed}");
 }
 
