--- a/components/fleet/src/offer.rs
+++ b/components/fleet/src/capacity.rs
@@ -5,15 +5,15 @@
 
 /// How endpoints are ordered and what they cost.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Offer {
+pub struct ScalingSpec {
     /// Least endpoints in a hall, both classes together.
-    pub least: u32,
+    pub min_per_hall: u32,
     /// Most endpoints in a hall, both classes together.
-    pub most: u32,
+    pub max_per_hall: u32,
     /// Time until an ordered endpoint serves.
-    pub boot: Duration,
+    pub boot_time: Duration,
     /// Price of a reclaimable one as a part of an on-demand one's, if there are any.
-    pub reclaimable_price: Option<f64>,
+    pub relative_reclaimable_price: Option<f64>,
     /// Price of an on-demand endpoint a second, by hall.
     pub hall_prices: BTreeMap<String, f64>,
 }
@@ -28,14 +28,14 @@
 }
 
 impl Held {
-    pub(crate) fn of(&mut self, reclaimable: bool) -> &mut u32 {
+    pub(crate) fn count_mut(&mut self, reclaimable: bool) -> &mut u32 {
         match reclaimable {
             true => &mut self.reclaimable,
             false => &mut self.firm,
         }
     }
 
-    pub(crate) fn get(self, reclaimable: bool) -> u32 {
+    pub(crate) fn count(self, reclaimable: bool) -> u32 {
         match reclaimable {
             true => self.reclaimable,
             false => self.firm,
@@ -62,28 +62,31 @@
 }
 
 /// On-demand endpoints of all halls.
-pub(crate) fn firm_of(fleet: &Fleet) -> u32 {
+pub(crate) fn total_firm(fleet: &Fleet) -> u32 {
     fleet.values().map(|h| h.firm).sum()
 }
 
 /// Endpoints of all halls.
-pub(crate) fn total_of(fleet: &Fleet) -> u32 {
+pub(crate) fn total_endpoints(fleet: &Fleet) -> u32 {
     fleet.values().map(|held| held.total()).sum()
 }
 
 /// Reclaimable endpoints by hall.
-pub(crate) fn reclaimable_of(fleet: &Fleet) -> Vec<u32> {
+pub(crate) fn reclaimable_by_hall(fleet: &Fleet) -> Vec<u32> {
     fleet.values().map(|h| h.reclaimable).collect()
 }
 
 /// Adds on-demand endpoints until there are `firm` and each hall holds its least.
-pub(crate) fn raise_firm(offer: &Offer, wanted: &mut Fleet, firm: u32) {
+pub(crate) fn add_firm(spec: &ScalingSpec, wanted: &mut Fleet, firm: u32) {
     for held in wanted.values_mut() {
-        held.firm += offer.least.saturating_sub(held.total());
+        held.firm += spec.min_per_hall.saturating_sub(held.total());
     }
-    while firm_of(wanted) < firm {
-        let free = wanted.iter().filter(|(_, held)| held.total() < offer.most);
-        let Some((hall, _)) = free.min_by_key(|(hall, held)| (price_order(offer, hall), held.firm))
+    while total_firm(wanted) < firm {
+        let with_room = wanted
+            .iter()
+            .filter(|(_, held)| held.total() < spec.max_per_hall);
+        let Some((hall, _)) =
+            with_room.min_by_key(|(hall, held)| (price_micros(spec, hall), held.firm))
         else {
             return;
         };
@@ -93,12 +96,12 @@
 }
 
 /// Gives on-demand endpoints back, the dearest first, until there are `firm`.
-pub(crate) fn lower_firm(offer: &Offer, wanted: &mut Fleet, firm: u32) {
-    while firm_of(wanted) > firm {
-        let spare = wanted
+pub(crate) fn remove_firm(spec: &ScalingSpec, wanted: &mut Fleet, firm: u32) {
+    while total_firm(wanted) > firm {
+        let surplus = wanted
             .iter()
-            .filter(|(_, held)| held.firm > 0 && held.total() > offer.least);
-        let Some((hall, _)) = spare.max_by_key(|(hall, _)| price_order(offer, hall)) else {
+            .filter(|(_, held)| held.firm > 0 && held.total() > spec.min_per_hall);
+        let Some((hall, _)) = surplus.max_by_key(|(hall, _)| price_micros(spec, hall)) else {
             return;
         };
         let hall = hall.clone();
@@ -106,8 +109,8 @@
     }
 }
 
-fn price_order(offer: &Offer, hall: &str) -> u64 {
-    const MICRO: f64 = 1e6;
-    let price = offer.hall_prices.get(hall).copied().unwrap_or_default();
-    (price * MICRO) as u64
+fn price_micros(spec: &ScalingSpec, hall: &str) -> u64 {
+    const MICROS_PER_UNIT: f64 = 1e6;
+    let price = spec.hall_prices.get(hall).copied().unwrap_or_default();
+    (price * MICROS_PER_UNIT) as u64
 }
--- a/components/fleet/src/lib.rs
+++ b/components/fleet/src/lib.rs
@@ -1,16 +1,16 @@
 //! Which VMs to hold, and how work moves before a reclaim lands. Pure.
 
+mod capacity;
 mod holding;
 mod load;
 mod moves;
-mod offer;
 mod purchase;
 mod scaling;
-mod staffing;
+mod sizing;
 
+pub use capacity::{Fleet, Held, ScalingOrder, ScalingSpec};
 pub use holding::{plan_holding, Bid, Change, HallOffer, Holding, HoldingPlanner, PoolNeed};
 pub use load::{Bearing, Load, LoadParts};
 pub use moves::{plan_moves, wait_before_moves, Move, MoveRates, Plan, Stream, Target};
-pub use offer::{Fleet, Held, Offer, ScalingOrder};
 pub use purchase::{Listed, PurchaseAction, PurchaseEvent, Purchases};
 pub use scaling::Scaler;
--- a/components/fleet/tests/load.rs
+++ b/components/fleet/tests/load.rs
@@ -11,35 +11,37 @@
 const PACE_MS: f64 = 12.0;
 
 /// Steps that grow from 3.1 to 9.6 ms as 64 requests run, much made beside much that is read.
-const MUCH_MAKING_BESIDE_READING: Law = Law {
+const HEAVY_DECODE_AND_PREFILL: Law = Law {
     base_ms: 3.09,
     per_running_ms: 0.102,
     per_read_ms: 1.0 / 56.9,
 };
 /// Steps that hardly grow with what runs: slots bind first.
-const STEPS_THAT_HARDLY_GROW: Law = Law {
+const NEARLY_CONSTANT_STEP_TIME: Law = Law {
     base_ms: 2.97,
     per_running_ms: 0.0222,
     per_read_ms: 1.0 / 101.0,
 };
 
 /// Steps that do not grow with what runs, of engines with many slots: reading is most of the load.
-const STEPS_THAT_DO_NOT_GROW: Law = Law {
+const CONSTANT_STEP_TIME: Law = Law {
     base_ms: 4.23,
     per_running_ms: 0.0008,
     per_read_ms: 1.0 / 64.2,
 };
 
 /// A load as gateways see it at so many endpoints, where `made` tokens are made and `read` ones read in a ms.
-fn seen(law: Law, slots: u32, endpoints: u32, made: f64, read: f64) -> Load {
-    let spread = f64::from(endpoints);
-    let free = 1.0 - read * law.per_read_ms / spread - made * law.per_running_ms / spread;
+fn observed_load(law: Law, slots: u32, endpoints: u32, generated: f64, read: f64) -> Load {
+    let endpoint_count = f64::from(endpoints);
+    let free = 1.0
+        - read * law.per_read_ms / endpoint_count
+        - generated * law.per_running_ms / endpoint_count;
     Load {
-        tokens_per_s: read * 1000.0,
-        requests: (made * law.base_ms / free).round() as u32,
+        prompt_tokens_per_s: read * 1000.0,
+        requests: (generated * law.base_ms / free).round() as u32,
         endpoints,
         slots,
-        limited: 0.0,
+        limited_endpoints: 0.0,
         bearing: Bearing::Engine {
             law,
             pace_ms: PACE_MS,
@@ -52,18 +54,26 @@
 }
 
 #[test]
-fn what_is_read_and_what_is_made_add_up() {
+fn prefill_and_decode_load_add_up() {
     // 27.5 million prompt tokens in 52 s and 61 tokens made in a millisecond.
-    let seen = parts(seen(MUCH_MAKING_BESIDE_READING, 64, 60, 61.0, 529.0));
-    assert!((seen.reading - 9.3).abs() < 0.05, "{seen:?}");
+    let computed = parts(observed_load(HEAVY_DECODE_AND_PREFILL, 64, 60, 61.0, 529.0));
+    assert!((computed.prefill - 9.3).abs() < 0.05, "{computed:?}");
     // At 35 running a step takes 6.66 ms, and 12 with what is read beside: 61 x 6.66 / 35 engines make the tokens.
-    assert!((33..=37).contains(&seen.most_running), "{seen:?}");
-    assert!((11.2..=12.0).contains(&seen.making), "{seen:?}");
+    assert!((33..=37).contains(&computed.max_running), "{computed:?}");
+    assert!((11.2..=12.0).contains(&computed.decode), "{computed:?}");
 }
 
 #[test]
-fn the_load_is_the_same_however_many_endpoints_it_is_spread_over() {
-    let at = |endpoints| parts(seen(MUCH_MAKING_BESIDE_READING, 64, endpoints, 61.0, 529.0));
+fn the_load_does_not_depend_on_the_number_of_endpoints() {
+    let at = |endpoints| {
+        parts(observed_load(
+            HEAVY_DECODE_AND_PREFILL,
+            64,
+            endpoints,
+            61.0,
+            529.0,
+        ))
+    };
     let wide = at(60).endpoints();
     for endpoints in [24, 30, 45] {
         let near = at(endpoints).endpoints();
@@ -75,59 +85,68 @@
 }
 
 #[test]
-fn where_steps_hardly_grow_the_slots_bind() {
+fn slots_are_the_limit_where_the_step_time_hardly_grows() {
     // 1.2 million prompt tokens read in a second, 99 tokens made in a millisecond.
-    let seen = parts(seen(STEPS_THAT_HARDLY_GROW, 32, 60, 99.0, 1200.0));
-    assert_eq!(seen.most_running, 32, "{seen:?}");
-    assert!((23.0..=24.0).contains(&seen.endpoints()), "{seen:?}");
+    let computed = parts(observed_load(
+        NEARLY_CONSTANT_STEP_TIME,
+        32,
+        60,
+        99.0,
+        1200.0,
+    ));
+    assert_eq!(computed.max_running, 32, "{computed:?}");
+    assert!(
+        (23.0..=24.0).contains(&computed.endpoints()),
+        "{computed:?}"
+    );
 }
 
 #[test]
-fn where_steps_do_not_grow_reading_is_most_of_the_load() {
+fn prefill_is_most_of_the_load_where_the_step_time_does_not_grow() {
     // 450,000 prompt tokens read in a second, 40 tokens made in a millisecond; 64 requests share each step.
     // 730 tokens in 14 s allow 19 ms a token.
     let bearing = Bearing::Engine {
-        law: STEPS_THAT_DO_NOT_GROW,
+        law: CONSTANT_STEP_TIME,
         pace_ms: 19.0,
     };
-    let load = seen(STEPS_THAT_DO_NOT_GROW, 64, 40, 40.0, 450.0);
-    let seen = parts(Load { bearing, ..load });
-    assert_eq!(seen.most_running, 64, "{seen:?}");
-    assert!((seen.reading - 7.0).abs() < 0.05, "{seen:?}");
-    assert!((2.5..=2.8).contains(&seen.making), "{seen:?}");
+    let load = observed_load(CONSTANT_STEP_TIME, 64, 40, 40.0, 450.0);
+    let computed = parts(Load { bearing, ..load });
+    assert_eq!(computed.max_running, 64, "{computed:?}");
+    assert!((computed.prefill - 7.0).abs() < 0.05, "{computed:?}");
+    assert!((2.5..=2.8).contains(&computed.decode), "{computed:?}");
 }
 
 #[test]
-fn tighter_bounds_of_streams_ask_for_more_endpoints() {
-    let load = seen(MUCH_MAKING_BESIDE_READING, 64, 60, 61.0, 529.0);
+fn tighter_stream_bounds_require_more_endpoints() {
+    let load = observed_load(HEAVY_DECODE_AND_PREFILL, 64, 60, 61.0, 529.0);
     let with = |pace_ms| {
         let bearing = Bearing::Engine {
-            law: MUCH_MAKING_BESIDE_READING,
+            law: HEAVY_DECODE_AND_PREFILL,
             pace_ms,
         };
         parts(Load { bearing, ..load })
     };
-    assert_eq!(with(1000.0).most_running, 64);
+    assert_eq!(with(1000.0).max_running, 64);
     assert!(with(8.0).endpoints() > with(12.0).endpoints());
     assert!(with(12.0).endpoints() > with(1000.0).endpoints());
     // Bounds that no engine could hold do not ask for endless ones.
-    assert_eq!(with(0.1).most_running, 8);
+    assert_eq!(with(0.1).max_running, 8);
 }
 
 #[test]
-fn while_nothing_is_known_of_the_engines_the_load_is_not_known() {
+fn the_load_is_unknown_while_the_engines_are_unknown() {
     let load = Load {
-        tokens_per_s: 1000.0,
+        prompt_tokens_per_s: 1000.0,
         requests: 10,
         endpoints: 4,
         slots: 16,
-        limited: 0.0,
+        limited_endpoints: 0.0,
         bearing: Bearing::Unknown,
     };
     assert_eq!(load.parts(), None);
     // Nothing asked is no load, whatever the engines bear.
     let idle = Load {
-        tokens_per_s: 0.0,
+        prompt_tokens_per_s: 0.0,
         requests: 0,
         ..load
     };
@@ -135,13 +154,13 @@
 }
 
 #[test]
-fn requests_that_hold_slots_of_plain_endpoints_are_a_load_before_all_are_taken() {
+fn requests_at_slot_limited_endpoints_are_a_load_before_all_slots_are_taken() {
     let load = Load {
-        tokens_per_s: 0.0,
+        prompt_tokens_per_s: 0.0,
         requests: 160,
         endpoints: 20,
         slots: 16,
-        limited: 0.0,
+        limited_endpoints: 0.0,
         bearing: Bearing::Slots,
     };
     let endpoints = parts(load).endpoints();
@@ -150,7 +169,7 @@
 
 // Guards against a plan that counts an endpoint under a limit as a whole one.
 #[test]
-fn what_limits_take_away_of_endpoints_is_needed_beside_a_load_and_not_without_one() {
+fn capacity_lost_to_rate_limits_is_added_to_a_load_but_not_without_one() {
     let load = Load {
         requests: 160,
         endpoints: 20,
@@ -158,14 +177,14 @@
         ..Load::default()
     };
     let limited = Load {
-        limited: 1.5,
+        limited_endpoints: 1.5,
         ..load
     };
-    let more = limited.needed().unwrap() - load.needed().unwrap();
+    let more = limited.endpoints_needed().unwrap() - load.endpoints_needed().unwrap();
     assert!((more - 1.5).abs() < 1e-9, "{more}");
     let idle = Load {
         requests: 0,
         ..limited
     };
-    assert_eq!(idle.needed(), Some(0.0));
+    assert_eq!(idle.endpoints_needed(), Some(0.0));
 }
--- a/components/fleet/tests/promises.rs
+++ b/components/fleet/tests/promises.rs
@@ -90,7 +90,7 @@
 }
 
 #[test]
-fn the_most_urgent_get_the_last_free_slots() {
+fn the_most_urgent_streams_get_the_last_free_slots() {
     let mut rng = ChaCha8Rng::seed_from_u64(3);
     let mut streams: Vec<Stream> = (0..4).map(|i| stream(i, &mut rng)).collect();
     for (i, s) in streams.iter_mut().enumerate() {
@@ -114,7 +114,7 @@
 }
 
 #[test]
-fn kv_is_imported_while_the_link_has_time_and_recomputed_after() {
+fn kv_cache_is_imported_while_the_link_has_time_and_recomputed_after() {
     let rates = MoveRates::default();
     let streams: Vec<Stream> = (0..40)
         .map(|id| Stream {
@@ -205,7 +205,7 @@
 }
 
 #[test]
-fn a_refused_hall_is_left_alone_for_a_while_and_others_are_tried() {
+fn a_refused_start_backs_off_and_other_halls_are_tried() {
     let mut rng = ChaCha8Rng::seed_from_u64(5);
     let offers = offers(&mut rng, 3);
     let need = PoolNeed {
@@ -231,7 +231,7 @@
 }
 
 #[test]
-fn moving_prices_make_few_changes_beside_following_each_price() {
+fn price_movements_cause_fewer_changes_than_following_each_price() {
     let (mut changes, mut following) = (0, 0);
     for seed in 0..40 {
         let mut rng = ChaCha8Rng::seed_from_u64(seed);
--- a/components/fleet/tests/purchases.rs
+++ b/components/fleet/tests/purchases.rs
@@ -176,7 +176,7 @@
 }
 
 #[test]
-fn no_vm_is_forgotten() {
+fn every_vm_is_listed_and_no_intent_is_left() {
     check(12, |seed| {
         let world = run(seed, true);
         // Each is on the list, and the row has nothing left to settle.
@@ -186,7 +186,7 @@
 }
 
 #[test]
-fn a_start_that_is_refused_everywhere_does_not_spin() {
+fn a_start_that_is_refused_everywhere_does_not_cause_a_busy_loop() {
     let mut world = World::new(1, CALM);
     world.refuse = true;
     (0..6000).for_each(|step| world.step(STEP * step));
--- a/components/fleet/tests/scaling.rs
+++ b/components/fleet/tests/scaling.rs
@@ -3,15 +3,15 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-use fleet::{Fleet, Held, Offer, Scaler, ScalingOrder};
+use fleet::{Fleet, Held, Scaler, ScalingOrder, ScalingSpec};
 
-fn offer() -> Offer {
+fn spec() -> ScalingSpec {
     let prices = [("a", 1.0), ("b", 0.8), ("c", 1.25), ("d", 0.9)];
-    Offer {
-        least: 1,
-        most: 6,
-        boot: Duration::from_secs(4),
-        reclaimable_price: Some(0.2),
+    ScalingSpec {
+        min_per_hall: 1,
+        max_per_hall: 6,
+        boot_time: Duration::from_secs(4),
+        relative_reclaimable_price: Some(0.2),
         hall_prices: prices.iter().map(|(z, p)| (z.to_string(), *p)).collect(),
     }
 }
@@ -33,10 +33,10 @@
 
 fn plan(scaler: &mut Scaler, now: u64, held: &Fleet, load: f64) -> Vec<ScalingOrder> {
     scaler.observe(at(now), held, load);
-    scaler.plan(at(now), &offer())
+    scaler.plan(at(now), &spec())
 }
 
-fn carry_out(held: &mut Fleet, order: ScalingOrder) {
+fn apply_order(held: &mut Fleet, order: ScalingOrder) {
     let hall = held.entry(order.hall).or_default();
     match order.reclaimable {
         true => hall.reclaimable = order.count,
@@ -45,7 +45,7 @@
 }
 
 /// Carries orders out at once, but for reclaimable ones in closed halls, which are refused.
-fn settle_with_closed(
+fn run_with_closed_halls(
     scaler: &mut Scaler,
     held: &mut Fleet,
     load: f64,
@@ -59,26 +59,26 @@
                 continue;
             }
             scaler.accepted(&order);
-            carry_out(held, order);
+            apply_order(held, order);
         }
     }
 }
 
-fn settle(scaler: &mut Scaler, held: &mut Fleet, load: f64, secs: (u64, u64)) {
-    settle_with_closed(scaler, held, load, secs, &[]);
+fn run(scaler: &mut Scaler, held: &mut Fleet, load: f64, secs: (u64, u64)) {
+    run_with_closed_halls(scaler, held, load, secs, &[]);
 }
 
-fn sums(held: &BTreeMap<String, Held>) -> (u32, u32) {
+fn totals(held: &BTreeMap<String, Held>) -> (u32, u32) {
     let firm = held.values().map(|h| h.firm).sum();
     (firm, held.values().map(|h| h.reclaimable).sum())
 }
 
 #[test]
-fn reclaimable_ones_are_spread_so_that_two_halls_may_vanish() {
+fn reclaimable_endpoints_are_spread_so_that_two_halls_may_vanish() {
     let mut scaler = Scaler::default();
     let mut held = held(&[("a", 3, 0), ("b", 2, 0), ("c", 2, 0), ("d", 2, 0)]);
-    settle(&mut scaler, &mut held, 3.0, (0, 60));
-    let (firm, reclaimable) = sums(&held);
+    run(&mut scaler, &mut held, 3.0, (0, 60));
+    let (firm, reclaimable) = totals(&held);
     let each: Vec<u32> = held.values().map(|h| h.reclaimable).collect();
     assert!(each.iter().all(|count| *count == each[0]), "{held:?}");
     assert!(firm + reclaimable / 2 >= 5, "{held:?}");
@@ -90,106 +90,106 @@
 }
 
 #[test]
-fn a_few_on_demand_ones_stay_however_cheap_the_others_are() {
+fn a_few_on_demand_endpoints_stay_however_cheap_reclaimable_ones_are() {
     let mut scaler = Scaler::default();
     let mut held = held(&[("a", 5, 0), ("b", 5, 0), ("c", 4, 0), ("d", 4, 0)]);
-    settle(&mut scaler, &mut held, 6.0, (0, 60));
-    assert_eq!(sums(&held).0, 3, "{held:?}");
+    run(&mut scaler, &mut held, 6.0, (0, 60));
+    assert_eq!(totals(&held).0, 3, "{held:?}");
     // The cheapest hall has them.
     assert_eq!(held["b"].firm, 3, "{held:?}");
 }
 
 #[test]
-fn nothing_on_demand_is_given_back_while_endpoints_still_record_themselves() {
+fn no_on_demand_endpoint_is_given_back_while_endpoints_still_register() {
     let mut scaler = Scaler::default();
-    let mut found = Fleet::new();
+    let mut registered = Fleet::new();
     for (now, hall) in ["a", "b", "c", "d"].iter().enumerate() {
-        found.insert(
+        registered.insert(
             hall.to_string(),
             Held {
                 firm: 4,
                 reclaimable: 4,
             },
         );
-        let orders = plan(&mut scaler, now as u64, &found, 0.0);
-        assert!(!lowers(&orders, &found), "{orders:?}");
+        let orders = plan(&mut scaler, now as u64, &registered, 0.0);
+        assert!(!gives_back_on_demand(&orders, &registered), "{orders:?}");
     }
 }
 
-fn lowers(orders: &[ScalingOrder], held: &Fleet) -> bool {
+fn gives_back_on_demand(orders: &[ScalingOrder], held: &Fleet) -> bool {
     let firm = |hall: &str| held.get(hall).map_or(0, |h| h.firm);
     let mut orders = orders.iter();
     orders.any(|o| !o.reclaimable && o.count < firm(&o.hall))
 }
 
 #[test]
-fn nothing_is_given_back_before_reclaimable_ones_serve_in_its_place() {
+fn no_on_demand_endpoint_is_given_back_before_reclaimable_ones_replace_it() {
     let mut scaler = Scaler::default();
     let start = held(&[("a", 2, 0), ("b", 2, 0), ("c", 1, 0), ("d", 1, 0)]);
     for now in 0..30 {
         let load = if now < 12 { 0.0 } else { 4.0 };
         let orders = plan(&mut scaler, now, &start, load);
-        assert!(!lowers(&orders, &start), "{orders:?}");
+        assert!(!gives_back_on_demand(&orders, &start), "{orders:?}");
     }
 }
 
 #[test]
-fn what_is_found_is_replaced_by_reclaimable_ones_before_any_load() {
+fn endpoints_found_at_the_start_are_replaced_by_reclaimable_ones_before_any_load() {
     let mut scaler = Scaler::default();
     let mut held = held(&[("a", 3, 0), ("b", 2, 0), ("c", 2, 0), ("d", 2, 0)]);
-    settle(&mut scaler, &mut held, 0.0, (0, 20));
-    let (firm, reclaimable) = sums(&held);
+    run(&mut scaler, &mut held, 0.0, (0, 20));
+    let (firm, reclaimable) = totals(&held);
     assert!(firm + reclaimable >= 9 && firm <= 2, "{held:?}");
     // The reclaimable ones do not count as found in turn.
-    settle(&mut scaler, &mut held, 0.0, (20, 60));
-    assert_eq!(sums(&held), (firm, reclaimable));
+    run(&mut scaler, &mut held, 0.0, (20, 60));
+    assert_eq!(totals(&held), (firm, reclaimable));
 }
 
 #[test]
-fn on_demand_ones_take_the_place_of_halls_that_are_closed() {
+fn on_demand_endpoints_replace_those_of_closed_halls() {
     let mut scaler = Scaler::default();
     let mut state = held(&[("a", 1, 0), ("b", 1, 0), ("c", 0, 0), ("d", 0, 0)]);
-    settle(&mut scaler, &mut state, 5.0, (0, 60));
+    run(&mut scaler, &mut state, 5.0, (0, 60));
     state.values_mut().for_each(|held| held.reclaimable = 0);
     let all = ["a", "b", "c", "d"];
-    settle_with_closed(&mut scaler, &mut state, 5.0, (60, 64), &all);
-    let (firm, reclaimable) = sums(&state);
+    run_with_closed_halls(&mut scaler, &mut state, 5.0, (60, 64), &all);
+    let (firm, reclaimable) = totals(&state);
     assert_eq!(reclaimable, 0);
     // 5 endpoints that would be busy all the time, used at 0.82.
     assert!(firm >= 7, "{state:?}");
     // Once the halls are open, the reclaimable ones come back and the others go.
-    settle(&mut scaler, &mut state, 5.0, (64, 120));
-    let (firm, reclaimable) = sums(&state);
+    run(&mut scaler, &mut state, 5.0, (64, 120));
+    let (firm, reclaimable) = totals(&state);
     assert!(firm <= 3 && reclaimable >= 8, "{state:?}");
 }
 
 #[test]
-fn a_closed_hall_counts_as_empty_until_an_order_is_taken_there() {
+fn a_closed_hall_counts_as_empty_until_an_order_is_accepted_there() {
     let mut scaler = Scaler::default();
     let mut state = held(&[("a", 1, 0), ("b", 1, 0), ("c", 0, 0), ("d", 0, 0)]);
-    settle(&mut scaler, &mut state, 5.0, (0, 60));
+    run(&mut scaler, &mut state, 5.0, (0, 60));
     for hall in ["c", "d"] {
         state.entry(hall.into()).or_default().reclaimable = 0;
     }
-    settle_with_closed(&mut scaler, &mut state, 5.0, (60, 90), &["c", "d"]);
-    let steady = sums(&state);
+    run_with_closed_halls(&mut scaler, &mut state, 5.0, (60, 90), &["c", "d"]);
+    let steady = totals(&state);
     // Looks at the closed halls change nothing else.
     for now in 90..110 {
         for order in plan(&mut scaler, now, &state, 5.0) {
             assert!(order.reclaimable && ["c", "d"].contains(&order.hall.as_str()));
             scaler.refused(at(now), &order);
         }
-        assert_eq!(sums(&state), steady);
+        assert_eq!(totals(&state), steady);
     }
 }
 
 #[test]
-fn a_load_that_dips_for_a_moment_gives_nothing_back() {
+fn a_short_dip_of_the_load_gives_nothing_back() {
     let mut scaler = Scaler::default();
     let mut state = held(&[("a", 1, 0), ("b", 1, 0), ("c", 1, 0), ("d", 1, 0)]);
-    settle(&mut scaler, &mut state, 6.0, (0, 60));
+    run(&mut scaler, &mut state, 6.0, (0, 60));
     let steady = state.clone();
-    settle(&mut scaler, &mut state, 2.0, (60, 72));
+    run(&mut scaler, &mut state, 2.0, (60, 72));
     assert_eq!(state, steady);
 }
 
@@ -201,18 +201,18 @@
         scaler.observe(at(now), &fleet, 3.0);
     }
     let orders = plan(&mut scaler, 20, &fleet, 3.0);
-    assert!(lowers(&orders, &fleet), "{orders:?}");
+    assert!(gives_back_on_demand(&orders, &fleet), "{orders:?}");
     orders
         .into_iter()
-        .for_each(|order| carry_out(&mut fleet, order));
-    assert!(sums(&fleet).0 <= 3, "{fleet:?}");
+        .for_each(|order| apply_order(&mut fleet, order));
+    assert!(totals(&fleet).0 <= 3, "{fleet:?}");
 }
 
 #[test]
-fn every_hall_keeps_its_least() {
+fn every_hall_keeps_its_minimum() {
     let mut scaler = Scaler::default();
     let mut held = held(&[("a", 1, 0), ("b", 1, 0), ("c", 1, 0), ("d", 1, 0)]);
-    settle(&mut scaler, &mut held, 0.1, (0, 60));
+    run(&mut scaler, &mut held, 0.1, (0, 60));
     assert!(
         held.values().all(|h| h.firm + h.reclaimable >= 1),
         "{held:?}"
@@ -220,70 +220,70 @@
 }
 
 #[test]
-fn a_large_fleet_without_reclaimable_ones_is_not_used_to_its_limit() {
-    let offer = Offer {
-        most: 46,
-        reclaimable_price: None,
-        ..offer()
+fn a_large_fleet_without_reclaimable_endpoints_keeps_headroom() {
+    let large_spec = ScalingSpec {
+        max_per_hall: 46,
+        relative_reclaimable_price: None,
+        ..spec()
     };
     let mut scaler = Scaler::default();
     let mut state = held(&[("a", 9, 0), ("b", 9, 0), ("c", 9, 0), ("d", 9, 0)]);
     for now in 0..30 {
         scaler.observe(at(now), &state, 30.0);
-        for order in scaler.plan(at(now), &offer) {
-            carry_out(&mut state, order);
+        for order in scaler.plan(at(now), &large_spec) {
+            apply_order(&mut state, order);
         }
     }
-    let (firm, reclaimable) = sums(&state);
+    let (firm, reclaimable) = totals(&state);
     assert_eq!(reclaimable, 0);
     assert!((48..=60).contains(&firm), "{firm}");
 }
 
 #[test]
-fn nothing_on_demand_is_given_back_while_a_hall_is_closed() {
+fn no_on_demand_endpoint_is_given_back_while_a_hall_is_closed() {
     let mut scaler = Scaler::default();
     let mut state = held(&[("a", 1, 0), ("b", 1, 0), ("c", 0, 0), ("d", 0, 0)]);
-    settle(&mut scaler, &mut state, 8.0, (0, 60));
+    run(&mut scaler, &mut state, 8.0, (0, 60));
     state.entry("d".into()).or_default().reclaimable = 0;
-    settle_with_closed(&mut scaler, &mut state, 8.0, (60, 64), &["d"]);
+    run_with_closed_halls(&mut scaler, &mut state, 8.0, (60, 64), &["d"]);
     let before = state.clone();
-    settle_with_closed(&mut scaler, &mut state, 2.0, (64, 100), &["d"]);
+    run_with_closed_halls(&mut scaler, &mut state, 2.0, (64, 100), &["d"]);
     assert_eq!(state, before);
 }
 
 #[test]
-fn once_all_halls_are_closed_the_on_demand_ones_are_not_used_to_their_limit() {
+fn on_demand_endpoints_keep_headroom_once_all_halls_are_closed() {
     let mut scaler = Scaler::default();
     let mut state = held(&[("a", 1, 0), ("b", 1, 0), ("c", 0, 0), ("d", 0, 0)]);
-    settle(&mut scaler, &mut state, 5.0, (0, 60));
+    run(&mut scaler, &mut state, 5.0, (0, 60));
     state.values_mut().for_each(|held| held.reclaimable = 0);
-    settle_with_closed(
+    run_with_closed_halls(
         &mut scaler,
         &mut state,
         5.0,
         (60, 64),
         &["a", "b", "c", "d"],
     );
-    assert!(sums(&state).0 >= 8, "{state:?}");
+    assert!(totals(&state).0 >= 8, "{state:?}");
 }
 
 #[test]
-fn nothing_on_demand_is_given_back_while_the_list_of_endpoints_is_old() {
+fn no_on_demand_endpoint_is_given_back_while_the_list_of_endpoints_is_stale() {
     let mut scaler = Scaler::default();
     let known = held(&[("a", 4, 4), ("b", 4, 4), ("c", 4, 4), ("d", 4, 4)]);
     scaler.observe_as_of(at(2), at(2), &known, 0.0);
     scaler.observe_as_of(at(5), at(2), &known, 0.0);
-    assert!(!lowers(&scaler.plan(at(5), &offer()), &known));
+    assert!(!gives_back_on_demand(&scaler.plan(at(5), &spec()), &known));
     scaler.observe_as_of(at(6), at(6), &known, 0.0);
-    assert!(lowers(&scaler.plan(at(6), &offer()), &known));
+    assert!(gives_back_on_demand(&scaler.plan(at(6), &spec()), &known));
 }
 
 #[test]
-fn nothing_on_demand_is_ordered_in_halls_whose_endpoints_may_not_be_listed_yet() {
+fn no_on_demand_endpoint_is_ordered_in_halls_whose_endpoints_may_not_be_listed_yet() {
     let mut scaler = Scaler::default();
-    let only_on_demand = Offer {
-        reclaimable_price: None,
-        ..offer()
+    let only_on_demand = ScalingSpec {
+        relative_reclaimable_price: None,
+        ..spec()
     };
     // The other halls hold some too: an order of one would give those back.
     let known = held(&[("a", 3, 0)]);
@@ -296,7 +296,7 @@
 
 /// One region's halls hold what its own wave asks for, whatever the other region's wave does.
 #[test]
-fn regions_whose_waves_are_out_of_step_are_planned_by_themselves() {
+fn regions_with_loads_out_of_phase_are_planned_separately() {
     // Waves of 0.42 about 8 with a period of 40 s, half a period apart; a boot takes 4 s, so the highest load of the
     // last 16 s counts.
     let load = |now: u64, phase: f64| {
@@ -312,8 +312,8 @@
         .collect();
     for now in 0..200 {
         for (scaler, state, phase) in &mut regions {
-            settle(scaler, state, load(now, *phase), (now, now + 1));
-            let (firm, reclaimable) = sums(state);
+            run(scaler, state, load(now, *phase), (now, now + 1));
+            let (firm, reclaimable) = totals(state);
             let serving = f64::from(firm + reclaimable);
             assert!(serving * 0.7 >= load(now, *phase), "{now} {state:?}");
         }
@@ -326,66 +326,66 @@
 /// Two regions with a load of 9 each: what both hold for scatter is what one fleet of 18 would, and each still carries
 /// its load when half of its halls vanish, which is three of the six of both.
 #[test]
-fn regions_that_lend_each_other_room_hold_less_for_scatter_and_as_much_for_a_loss() {
+fn regions_that_share_headroom_hold_less_for_load_variation_and_as_much_for_a_loss() {
     let hold = |scaler: &mut Scaler| {
         let mut state = held(&[("a", 3, 7), ("b", 3, 7), ("c", 3, 7), ("d", 0, 0)]);
-        settle(scaler, &mut state, 9.0, (0, 120));
+        run(scaler, &mut state, 9.0, (0, 120));
         state
     };
     let alone = hold(&mut Scaler::default());
-    let lending = hold(&mut Scaler::among(2));
-    let total = |state: &Fleet| sums(state).0 + sums(state).1;
-    assert!(total(&lending) < total(&alone), "{lending:?} {alone:?}");
-    assert!(f64::from(total(&lending)) >= 9.0 / 0.5, "{lending:?}");
-    let mut reclaimable: Vec<u32> = lending.values().map(|held| held.reclaimable).collect();
+    let sharing = hold(&mut Scaler::for_regions(2));
+    let total = |state: &Fleet| totals(state).0 + totals(state).1;
+    assert!(total(&sharing) < total(&alone), "{sharing:?} {alone:?}");
+    assert!(f64::from(total(&sharing)) >= 9.0 / 0.5, "{sharing:?}");
+    let mut reclaimable: Vec<u32> = sharing.values().map(|held| held.reclaimable).collect();
     reclaimable.sort_unstable();
     let left: u32 = reclaimable[..2].iter().sum();
     assert!(
-        f64::from(left + sums(&lending).0) * 0.9 >= 9.0,
-        "{lending:?}"
+        f64::from(left + totals(&sharing).0) * 0.9 >= 9.0,
+        "{sharing:?}"
     );
 }
 
 #[test]
-fn what_is_held_stays_while_it_is_not_known_what_an_endpoint_bears() {
+fn on_demand_endpoints_stay_while_the_capacity_of_an_endpoint_is_unknown() {
     let mut scaler = Scaler::default();
-    let found = held(&[("a", 15, 0), ("b", 15, 0), ("c", 15, 0), ("d", 15, 0)]);
+    let registered = held(&[("a", 15, 0), ("b", 15, 0), ("c", 15, 0), ("d", 15, 0)]);
     for now in 0..30 {
-        scaler.observe_unknown(at(now), &found);
-        let orders = scaler.plan(at(now), &offer());
-        assert!(!lowers(&orders, &found), "{orders:?}");
+        scaler.observe_unknown_load(at(now), &registered);
+        let orders = scaler.plan(at(now), &spec());
+        assert!(!gives_back_on_demand(&orders, &registered), "{orders:?}");
     }
-    assert!(scaler.keeps(at(30)).is_some());
+    assert!(scaler.scale_down_block_reason(at(30)).is_some());
 }
 
 #[test]
-fn reclaimable_ones_stay_too_while_it_is_not_known_what_an_endpoint_bears() {
+fn reclaimable_endpoints_stay_while_the_capacity_of_an_endpoint_is_unknown() {
     let mut scaler = Scaler::default();
-    let found = held(&[("a", 1, 6), ("b", 1, 6), ("c", 1, 6), ("d", 0, 6)]);
+    let registered = held(&[("a", 1, 6), ("b", 1, 6), ("c", 1, 6), ("d", 0, 6)]);
     for now in 0..30 {
-        scaler.observe_unknown(at(now), &found);
-        let orders = scaler.plan(at(now), &offer());
-        let lowered = orders.iter().any(|o| o.reclaimable && o.count < 6);
-        assert!(!lowered, "{orders:?}");
+        scaler.observe_unknown_load(at(now), &registered);
+        let orders = scaler.plan(at(now), &spec());
+        let is_lowered = orders.iter().any(|o| o.reclaimable && o.count < 6);
+        assert!(!is_lowered, "{orders:?}");
     }
 }
 
 #[test]
-fn much_that_is_not_needed_is_given_back_in_steps_that_show_their_effect() {
-    let many = Offer {
-        most: 30,
-        ..offer()
+fn a_large_surplus_is_given_back_in_steps_with_a_cooldown() {
+    let many = ScalingSpec {
+        max_per_hall: 30,
+        ..spec()
     };
     let mut scaler = Scaler::default();
     let mut state = held(&[("a", 3, 13), ("b", 3, 13), ("c", 3, 13), ("d", 3, 13)]);
-    let total = |state: &Fleet| sums(state).0 + sums(state).1;
-    let mut lowered_at: Option<u64> = None;
+    let total = |state: &Fleet| totals(state).0 + totals(state).1;
+    let mut scaled_down_at: Option<u64> = None;
     for now in 0..60 {
         let before = total(&state);
         scaler.observe(at(now), &state, 4.0);
         for order in scaler.plan(at(now), &many) {
             scaler.accepted(&order);
-            carry_out(&mut state, order);
+            apply_order(&mut state, order);
         }
         let after = total(&state);
         if after < before {
@@ -393,100 +393,100 @@
                 f64::from(after) >= f64::from(before) * 0.7,
                 "{now} {before} {after}"
             );
-            assert!(lowered_at.is_none_or(|last| now >= last + 4), "{now}");
-            lowered_at = Some(now);
+            assert!(scaled_down_at.is_none_or(|last| now >= last + 4), "{now}");
+            scaled_down_at = Some(now);
         }
     }
     assert!(total(&state) <= 24, "{state:?}");
 }
 
 #[test]
-fn a_load_that_grows_is_ordered_for_at_once_though_some_were_just_given_back() {
-    let many = Offer {
-        most: 30,
-        ..offer()
+fn a_growing_load_is_ordered_for_at_once_even_after_a_scale_down() {
+    let many = ScalingSpec {
+        max_per_hall: 30,
+        ..spec()
     };
     let mut scaler = Scaler::default();
     let mut state = held(&[("a", 3, 13), ("b", 3, 13), ("c", 3, 13), ("d", 3, 13)]);
-    let total = |state: &Fleet| sums(state).0 + sums(state).1;
+    let total = |state: &Fleet| totals(state).0 + totals(state).1;
     let mut now = 0;
     while total(&state) == 64 {
         scaler.observe(at(now), &state, 4.0);
         for order in scaler.plan(at(now), &many) {
-            carry_out(&mut state, order);
+            apply_order(&mut state, order);
         }
         now += 1;
         assert!(now < 30);
     }
     scaler.observe(at(now), &state, 40.0);
     for order in scaler.plan(at(now), &many) {
-        carry_out(&mut state, order);
+        apply_order(&mut state, order);
     }
     assert!(total(&state) >= 80, "{state:?}");
 }
 
 #[test]
-fn what_is_lost_is_ordered_again_though_it_is_not_known_what_an_endpoint_bears() {
+fn lost_endpoints_are_ordered_again_while_the_capacity_of_an_endpoint_is_unknown() {
     let mut scaler = Scaler::default();
     let mut state = held(&[("a", 2, 6), ("b", 2, 6), ("c", 1, 6), ("d", 1, 6)]);
     for now in 0..6 {
-        scaler.observe_unknown(at(now), &state);
-        for order in scaler.plan(at(now), &offer()) {
-            carry_out(&mut state, order);
+        scaler.observe_unknown_load(at(now), &state);
+        for order in scaler.plan(at(now), &spec()) {
+            apply_order(&mut state, order);
         }
     }
-    let total = |state: &Fleet| sums(state).0 + sums(state).1;
+    let total = |state: &Fleet| totals(state).0 + totals(state).1;
     let before = total(&state);
     assert!(before <= 32, "{state:?}");
     for hall in ["c", "d"] {
         state.entry(hall.into()).or_default().reclaimable = 0;
     }
     for now in 6..16 {
-        scaler.observe_unknown(at(now), &state);
-        for order in scaler.plan(at(now), &offer()) {
+        scaler.observe_unknown_load(at(now), &state);
+        for order in scaler.plan(at(now), &spec()) {
             if order.reclaimable && ["c", "d"].contains(&order.hall.as_str()) {
                 scaler.refused(at(now), &order);
                 continue;
             }
             scaler.accepted(&order);
-            carry_out(&mut state, order);
+            apply_order(&mut state, order);
         }
     }
     // 12 reclaimable ones are left: on-demand ones take the place of most that were lost.
-    assert!(total(&state) >= 18 && sums(&state).0 > 6, "{state:?}");
+    assert!(total(&state) >= 18 && totals(&state).0 > 6, "{state:?}");
 }
 
 /// Halls of a fleet of thousands, each with so many reclaimable endpoints.
-fn thousands(each: u32) -> Fleet {
+fn fleet_of_thousands(each: u32) -> Fleet {
     held(&["a", "b", "c", "d"].map(|hall| (hall, 1, each)))
 }
 
-fn offer_of_thousands() -> Offer {
-    Offer {
-        most: 5_000,
-        ..offer()
+fn spec_for_thousands() -> ScalingSpec {
+    ScalingSpec {
+        max_per_hall: 5_000,
+        ..spec()
     }
 }
 
 /// Endpoints that are held once a load was seen for as long as it has to be, carried out at once.
-fn held_after(secs: u64, each: u32, load: f64) -> u32 {
+fn endpoints_held_after(secs: u64, each: u32, load: f64) -> u32 {
     let mut scaler = Scaler::default();
-    let mut held = thousands(each);
+    let mut held = fleet_of_thousands(each);
     for now in 0..=secs {
         scaler.observe(at(now), &held, load);
-        for order in scaler.plan(at(now), &offer_of_thousands()) {
+        for order in scaler.plan(at(now), &spec_for_thousands()) {
             scaler.accepted(&order);
-            carry_out(&mut held, order);
+            apply_order(&mut held, order);
         }
     }
-    let (firm, reclaimable) = sums(&held);
+    let (firm, reclaimable) = totals(&held);
     firm + reclaimable
 }
 
 #[test]
-fn of_thousands_found_beside_a_load_of_a_hundred_nearly_all_are_given_back_at_once() {
+fn nearly_all_of_thousands_are_given_back_at_once_at_a_load_of_a_hundred() {
     // A step of a quarter would leave thousands.
-    let left = held_after(5, 2_500, 100.0);
+    let left = endpoints_held_after(5, 2_500, 100.0);
     assert!(left < 800, "{left}");
     // What would carry the load if it were twice as high is still there.
     assert!(left > 400, "{left}");
@@ -494,13 +494,13 @@
 
 #[test]
 fn half_of_a_fleet_of_a_hundred_is_given_back_in_steps() {
-    let left = held_after(5, 25, 30.0);
+    let left = endpoints_held_after(5, 25, 30.0);
     assert!(left >= 75, "{left}");
 }
 
 #[test]
-fn a_load_that_was_taken_for_half_of_what_it_is_still_finds_room() {
+fn a_load_underestimated_by_half_still_fits_after_a_scale_down() {
     let (seen, load) = (100.0, 200.0);
-    let left = held_after(5, 2_500, seen);
+    let left = endpoints_held_after(5, 2_500, seen);
     assert!(f64::from(left) > 1.5 * load, "{left}");
 }
--- a/components/gateway/src/control/scaling.rs
+++ b/components/gateway/src/control/scaling.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use directory::{Configuration, Scaling};
-use fleet::{Bearing, Fleet, Load, Offer, Scaler, ScalingOrder};
+use fleet::{Bearing, Fleet, Load, Scaler, ScalingOrder, ScalingSpec};
 use rollout::Order;
 use routing::placement::incarnation;
 use slog::{info, warn};
@@ -135,12 +135,12 @@
         let loads = known.region_loads(now);
         for asked in &loads {
             let scaler = known.scalers.entry(asked.key.clone());
-            let scaler = scaler.or_insert_with(|| Scaler::among(asked.regions));
-            match asked.load.needed() {
+            let scaler = scaler.or_insert_with(|| Scaler::for_regions(asked.regions));
+            match asked.load.endpoints_needed() {
                 Some(needed) => scaler.observe_as_of(now, as_of, &asked.held, needed),
                 None => {
                     self.metrics.count(Counter::PlansUnknown);
-                    scaler.observe_unknown(as_of, &asked.held);
+                    scaler.observe_unknown_load(as_of, &asked.held);
                 }
             }
         }
@@ -167,19 +167,19 @@
             return None;
         }
         let scaler = known.scalers.get_mut(&asked.key)?;
-        let keeps = scaler.keeps(now);
+        let keeps = scaler.scale_down_block_reason(now);
         let orders = scaler.plan(now, &asked.offer);
         if orders.is_empty() {
             return None;
         }
-        let back = orders.iter().filter(|order| scaler.gives_back(order));
+        let back = orders.iter().filter(|order| scaler.is_scale_down(order));
         self.metrics.add(Counter::GivenBack, back.count() as u64);
         let parts = asked.load.parts().unwrap_or_default();
         info!(self.log, "endpoints planned"; "service" => service, "region" => region,
-            "load_milli" => milli(scaler.newest_load()),
-            "highest_milli" => milli(scaler.highest_load(now, &asked.offer)),
-            "reading_milli" => milli(parts.reading), "making_milli" => milli(parts.making),
-            "limited_milli" => milli(asked.load.limited), "most_running" => parts.most_running, "running" => asked.load.requests,
+            "load_milli" => milli(scaler.latest_load()),
+            "highest_milli" => milli(scaler.peak_load(now, &asked.offer)),
+            "reading_milli" => milli(parts.prefill), "making_milli" => milli(parts.decode),
+            "limited_milli" => milli(asked.load.limited_endpoints), "most_running" => parts.max_running, "running" => asked.load.requests,
             "bearing" => ?asked.load.bearing, "held" => ?scaler.held(),
             "keeps" => keeps.unwrap_or("nothing"));
         Some((service.clone(), orders))
@@ -251,7 +251,7 @@
     regions: usize,
     load: Load,
     held: Fleet,
-    offer: Offer,
+    offer: ScalingSpec,
 }
 
 // The data halls of one region.
@@ -283,14 +283,14 @@
     services.filter_map(|(name, service)| Some((name, service.scaling.as_ref()?)))
 }
 
-fn offer_of(scaling: &Scaling, halls: Halls) -> Offer {
+fn offer_of(scaling: &Scaling, halls: Halls) -> ScalingSpec {
     let prices = scaling.zone_prices.iter();
     let prices = prices.filter(|(hall, _)| halls.has(hall));
-    Offer {
-        least: scaling.least,
-        most: scaling.most,
-        boot: scaling.boot,
-        reclaimable_price: scaling.reclaimable_price,
+    ScalingSpec {
+        min_per_hall: scaling.least,
+        max_per_hall: scaling.most,
+        boot_time: scaling.boot,
+        relative_reclaimable_price: scaling.reclaimable_price,
         hall_prices: prices.map(|(hall, price)| (hall.clone(), *price)).collect(),
     }
 }
@@ -327,11 +327,11 @@
         load.requests += hall.requests;
         load.endpoints += hall.endpoints;
         load.slots = hall.slots / hall.endpoints.max(1);
-        load.limited += f64::from(hall.limited_milli) / 1000.0;
+        load.limited_endpoints += f64::from(hall.limited_milli) / 1000.0;
     }
     let of_service = known.endpoints.values().filter(|e| e.service == service);
     let read = of_service.filter(|e| halls.has(&e.zone));
     let read = read.filter_map(|e| tokens.get(&incarnation(&e.id, e.born_ms)));
-    load.tokens_per_s = read.sum();
+    load.prompt_tokens_per_s = read.sum();
     load
 }
