--- a/components/fleet/src/lib.rs
+++ b/components/fleet/src/lib.rs
@@ -11,6 +11,6 @@
 pub use capacity::{Fleet, Held, ScalingOrder, ScalingSpec};
 pub use holding::{plan_holding, Bid, Change, HallOffer, Holding, HoldingPlanner, PoolNeed};
 pub use load::{Bearing, Load, LoadParts};
-pub use moves::{plan_moves, wait_before_moves, Move, MoveRates, Plan, Stream, Target};
+pub use moves::{delay_before_moves, plan_moves, Move, MovePlan, MoveRates, Stream, Target};
 pub use purchase::{Listed, PurchaseAction, PurchaseEvent, Purchases};
 pub use scaling::Scaler;
--- a/components/fleet/src/moves.rs
+++ b/components/fleet/src/moves.rs
@@ -8,11 +8,11 @@
 use schema::settings::Priority;
 
 /// Time kept free at the end of a notice.
-const MARGIN: Duration = Duration::from_millis(500);
+const NOTICE_END_MARGIN: Duration = Duration::from_millis(500);
 /// Time before the end of a notice that moves need beside the export of KV cache.
-const LEAD: Duration = Duration::from_millis(1500);
+const MOVE_LEAD_TIME: Duration = Duration::from_millis(1500);
 /// Weight of a target in a data hall that is in the same wave, in thousandths.
-const SAME_WAVE_MILLI: u64 = 50;
+const SAME_WAVE_WEIGHT_MILLI: u64 = 50;
 
 /// A stream on an endpoint that leaves.
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -28,7 +28,7 @@
     /// Tokens of its prompt and of the answer so far.
     pub context_tokens: u64,
     /// Most tokens still to come.
-    pub left_tokens: u64,
+    pub remaining_tokens: u64,
     /// Whether it may run a second time.
     pub repeatable: bool,
 }
@@ -92,23 +92,23 @@
 }
 
 /// The plan for a wave: each stream with its move, in the order to carry them out.
-pub type Plan = Vec<(u64, Move)>;
+pub type MovePlan = Vec<(u64, Move)>;
 
 /// How long to let the streams of one leaving endpoint run on before they are moved. Until then they
 /// give tokens where they are, and those that end need no move at all.
-pub fn wait_before_moves(streams: &[Stream], left: Duration, rates: MoveRates) -> Duration {
+pub fn delay_before_moves(streams: &[Stream], time_left: Duration, rates: MoveRates) -> Duration {
     let exports: Duration = streams.iter().map(|s| rates.export_time(s)).sum();
-    left.saturating_sub(exports + LEAD)
+    time_left.saturating_sub(exports + MOVE_LEAD_TIME)
 }
 
 /// Plans a whole wave. `left` gives the time left to each leaving endpoint.
 pub fn plan_moves(
     now: Duration,
     streams: &[Stream],
-    left: &BTreeMap<String, Duration>,
+    time_left: &BTreeMap<String, Duration>,
     targets: &[Target],
     rates: MoveRates,
-) -> Plan {
+) -> MovePlan {
     let mut ordered: Vec<&Stream> = streams.iter().collect();
     ordered.sort_by_key(|s| (s.priority, s.deadline, s.id));
     let mut planner = Planner {
@@ -119,8 +119,8 @@
     ordered
         .into_iter()
         .map(|stream| {
-            let left = left.get(&stream.endpoint).copied().unwrap_or_default();
-            (stream.id, planner.plan(now, stream, left))
+            let time_left = time_left.get(&stream.endpoint).copied().unwrap_or_default();
+            (stream.id, planner.plan(now, stream, time_left))
         })
         .collect()
 }
@@ -133,41 +133,48 @@
 }
 
 impl Planner {
-    fn plan(&mut self, now: Duration, stream: &Stream, left: Duration) -> Move {
-        let usable = left.saturating_sub(MARGIN);
-        let whole = self.rates.token_interval * stream.left_tokens.min(u64::from(u32::MAX)) as u32;
-        if !stream.repeatable || whole <= usable {
+    fn plan(&mut self, now: Duration, stream: &Stream, time_left: Duration) -> Move {
+        let usable_time = time_left.saturating_sub(NOTICE_END_MARGIN);
+        let finish_time =
+            self.rates.token_interval * stream.remaining_tokens.min(u64::from(u32::MAX)) as u32;
+        if !stream.repeatable || finish_time <= usable_time {
             return Move::Finish;
         }
-        let export = self.rates.export_time(stream);
-        let busy = self
+        let export_time = self.rates.export_time(stream);
+        let link_busy_for = self
             .link_busy
             .get(&stream.endpoint)
             .copied()
             .unwrap_or_default();
-        let imported = busy + export;
-        let in_time = imported <= usable && now + imported < stream.deadline;
-        let Some(target) = self.take_target(stream.id) else {
+        let imported_after = link_busy_for + export_time;
+        let is_import_in_time =
+            imported_after <= usable_time && now + imported_after < stream.deadline;
+        let Some(target) = self.reserve_target(stream.id) else {
             return Move::Requeue;
         };
-        if !in_time {
+        if !is_import_in_time {
             return Move::Recompute { target };
         }
-        self.link_busy.insert(stream.endpoint.clone(), imported);
+        self.link_busy
+            .insert(stream.endpoint.clone(), imported_after);
         Move::Import { target }
     }
 
     // Weighted rendezvous: nodes that plan the same wave without a message spread alike, and no
     // target gets a herd.
-    fn take_target(&mut self, id: u64) -> Option<String> {
+    fn reserve_target(&mut self, id: u64) -> Option<String> {
         let score = |t: &Target| {
-            let wave = if t.same_wave { SAME_WAVE_MILLI } else { 1000 };
-            let draw = (weight(id, &t.endpoint) >> 11) as f64 / (1u64 << 53) as f64;
-            let weight = (u64::from(t.free_slots) * wave) as f64;
-            weight / -draw.max(f64::MIN_POSITIVE).ln()
+            let wave_weight_milli = if t.same_wave {
+                SAME_WAVE_WEIGHT_MILLI
+            } else {
+                1000
+            };
+            let uniform = (weight(id, &t.endpoint) >> 11) as f64 / (1u64 << 53) as f64;
+            let slot_weight = (u64::from(t.free_slots) * wave_weight_milli) as f64;
+            slot_weight / -uniform.max(f64::MIN_POSITIVE).ln()
         };
-        let free = self.targets.iter_mut().filter(|t| t.free_slots > 0);
-        let best = free.max_by(|a, b| score(a).total_cmp(&score(b)))?;
+        let with_free_slots = self.targets.iter_mut().filter(|t| t.free_slots > 0);
+        let best = with_free_slots.max_by(|a, b| score(a).total_cmp(&score(b)))?;
         best.free_slots -= 1;
         Some(best.endpoint.clone())
     }
--- a/components/fleet/tests/promises.rs
+++ b/components/fleet/tests/plans.rs
@@ -28,7 +28,7 @@
         priority: Priority(rng.random_range(0..3)),
         deadline: Duration::from_secs(rng.random_range(1..60)),
         context_tokens: rng.random_range(10..4000),
-        left_tokens: rng.random_range(1..600),
+        remaining_tokens: rng.random_range(1..600),
         repeatable: rng.random_bool(0.9),
     }
 }
@@ -96,7 +96,7 @@
     for (i, s) in streams.iter_mut().enumerate() {
         s.priority = Priority(2 - (i as i32).min(2));
         s.repeatable = true;
-        s.left_tokens = 10_000;
+        s.remaining_tokens = 10_000;
     }
     let plan = plan_moves(
         Duration::ZERO,
@@ -123,7 +123,7 @@
             priority: Priority::STANDARD,
             deadline: Duration::from_secs(60),
             context_tokens: 2000,
-            left_tokens: 5000,
+            remaining_tokens: 5000,
             repeatable: true,
         })
         .collect();
@@ -148,7 +148,7 @@
     let streams: Vec<Stream> = (0..200)
         .map(|i| Stream {
             repeatable: true,
-            left_tokens: 10_000,
+            remaining_tokens: 10_000,
             ..stream(i, &mut rng)
         })
         .collect();
--- a/components/node/src/moves.rs
+++ b/components/node/src/moves.rs
@@ -4,7 +4,7 @@
 use std::sync::atomic::Ordering;
 use std::time::Duration;
 
-use fleet::{plan_moves, wait_before_moves, MoveRates, Stream, Target};
+use fleet::{delay_before_moves, plan_moves, MoveRates, Stream, Target};
 use routing::EndpointState;
 
 use crate::attempt::RunEvent;
@@ -20,7 +20,7 @@
     /// Takes an endpoint that leaves after `left`. Its streams run on as long as they can.
     pub fn add(&mut self, now: Duration, traffic: &Traffic, endpoint: &str, left: Duration) {
         let streams: Vec<Stream> = streams_on(traffic, endpoint).map(|(_, s)| s).collect();
-        let wait = wait_before_moves(&streams, left, MoveRates::default());
+        let wait = delay_before_moves(&streams, left, MoveRates::default());
         self.due.insert(endpoint.to_string(), now + wait);
     }
 
@@ -83,7 +83,7 @@
         priority: live.priority,
         deadline: live.deadline,
         context_tokens: live.prompt_tokens + given,
-        left_tokens: live.max_tokens.saturating_sub(given),
+        remaining_tokens: live.max_tokens.saturating_sub(given),
         repeatable: live.repeatable,
     }
 }
--- a/components/replay/src/world/reclaim.rs
+++ b/components/replay/src/world/reclaim.rs
@@ -3,7 +3,7 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-use fleet::{plan_moves, wait_before_moves, Move, Stream as Moving, Target};
+use fleet::{delay_before_moves, plan_moves, Move, Stream as Moving, Target};
 use schema::settings::{PriceClass, Priority};
 use session::{Event, Failure};
 
@@ -55,7 +55,7 @@
         for endpoint in endpoints {
             let streams = self.moving(node, *endpoint);
             let left = gone_at.saturating_sub(self.now);
-            let wait = wait_before_moves(&streams, left, rates());
+            let wait = delay_before_moves(&streams, left, rates());
             let happening = Happening::MoveStreams {
                 node,
                 endpoint: *endpoint,
@@ -98,7 +98,7 @@
                 priority: Priority(request.line.class),
                 deadline: request.deadline(),
                 context_tokens: u64::from(request.line.prompt_tokens) + request.parts,
-                left_tokens: u64::from(request.line.tokens) - request.parts,
+                remaining_tokens: u64::from(request.line.tokens) - request.parts,
                 repeatable: request.line.repeatable,
             });
         }
