--- a/components/fleet/src/holding.rs
+++ b/components/fleet/src/holding.rs
@@ -7,13 +7,13 @@
 use std::time::Duration;
 
 /// Saving, in thousandths of the price, below which a VM is not exchanged for a cheaper one.
-const EXCHANGE_FROM_MILLI: u64 = 150;
+const MIN_SAVING_MILLI: u64 = 150;
 /// First pause after a refused start; it doubles with each one.
-const FIRST_PAUSE: Duration = Duration::from_secs(5);
+const INITIAL_BACKOFF: Duration = Duration::from_secs(5);
 /// Longest pause after a refused start.
-const MAX_PAUSE: Duration = Duration::from_secs(300);
+const MAX_BACKOFF: Duration = Duration::from_secs(300);
 /// How long more VMs than needed must be held before one is given back.
-const SURPLUS_FOR: Duration = Duration::from_secs(120);
+const SURPLUS_DELAY: Duration = Duration::from_secs(120);
 
 /// What a data hall offers for a pool.
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -41,7 +41,7 @@
 
 /// VMs of one class in one hall.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub struct Bid {
+pub struct VmClass {
     /// Data hall.
     pub hall: String,
     /// Whether on demand.
@@ -49,100 +49,104 @@
 }
 
 /// VMs held, by hall and class.
-pub type Holding = BTreeMap<Bid, u64>;
+pub type Holding = BTreeMap<VmClass, u64>;
 
 /// One change to make.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Change {
+pub enum HoldingChange {
     /// Buy one VM.
-    Buy(Bid),
+    Buy(VmClass),
     /// Give one VM back.
-    GiveBack(Bid),
+    GiveBack(VmClass),
 }
 
 /// The cheapest holding that keeps `firm` VMs after the loss of any one hall, and `all` without
 /// a loss. Reclaimable VMs of a hall go together, so a hall counts as lost whole.
 pub fn plan_holding(need: PoolNeed, offers: &[HallOffer]) -> Holding {
     let mut ordered: Vec<&HallOffer> = offers.iter().collect();
-    ordered.sort_by_key(|o| (cost(o, need), o.hall.clone()));
+    ordered.sort_by_key(|o| (reclaimable_cost(o, need), o.hall.clone()));
     let best = (1..=ordered.len())
-        .map(|halls| spread(need, &ordered[..halls]))
-        .min_by_key(|holding| price(holding, offers, need));
+        .map(|halls| spread_evenly(need, &ordered[..halls]))
+        .min_by_key(|holding| total_cost(holding, offers, need));
     best.unwrap_or_default()
 }
 
 // An equal spread over the cheapest halls: losing one of h halls leaves (h - 1) / h of it.
-fn spread(need: PoolNeed, halls: &[&HallOffer]) -> Holding {
+fn spread_evenly(need: PoolNeed, halls: &[&HallOffer]) -> Holding {
     let count = halls.len() as u64;
-    let for_loss = match count {
+    let total_for_loss = match count {
         0 | 1 => 0,
         count => (need.firm * count).div_ceil(count - 1),
     };
-    let total = need.all.max(for_loss);
+    let total = need.all.max(total_for_loss);
     let mut holding = Holding::new();
     for (i, offer) in halls.iter().enumerate() {
         let share = total / count + u64::from((i as u64) < total % count);
-        let bid = Bid {
+        let class = VmClass {
             hall: offer.hall.clone(),
             on_demand: false,
         };
-        holding.insert(bid, share);
+        holding.insert(class, share);
     }
     if count == 1 {
         // One hall alone: the firm part must not be reclaimable.
-        let bid = |on_demand| Bid {
+        let class = |on_demand| VmClass {
             hall: halls[0].hall.clone(),
             on_demand,
         };
-        holding.insert(bid(true), need.firm);
-        holding.insert(bid(false), need.all.saturating_sub(need.firm));
+        holding.insert(class(true), need.firm);
+        holding.insert(class(false), need.all.saturating_sub(need.firm));
     }
     holding.retain(|_, vms| *vms > 0);
     holding
 }
 
-fn cost(offer: &HallOffer, need: PoolNeed) -> u64 {
+fn reclaimable_cost(offer: &HallOffer, need: PoolNeed) -> u64 {
     offer.reclaimable_milli + offer.reclaims_milli * need.reclaim_cost_milli / 1000
 }
 
-fn price(holding: &Holding, offers: &[HallOffer], need: PoolNeed) -> u64 {
-    let each = |bid: &Bid| {
-        let offer = offers.iter().find(|o| o.hall == bid.hall);
-        offer.map_or(u64::MAX / 1_000_000, |o| match bid.on_demand {
+fn total_cost(holding: &Holding, offers: &[HallOffer], need: PoolNeed) -> u64 {
+    let cost_per_vm = |class: &VmClass| {
+        let offer = offers.iter().find(|o| o.hall == class.hall);
+        offer.map_or(u64::MAX / 1_000_000, |o| match class.on_demand {
             true => o.on_demand_milli,
-            false => cost(o, need),
+            false => reclaimable_cost(o, need),
         })
     };
-    holding.iter().map(|(bid, vms)| each(bid) * vms).sum()
+    holding
+        .iter()
+        .map(|(class, vms)| cost_per_vm(class) * vms)
+        .sum()
 }
 
 #[derive(Clone, Copy, Debug)]
-struct Refusal {
+struct Backoff {
     until: Duration,
-    pause: Duration,
+    delay: Duration,
 }
 
 /// Turns the difference between wanted and held VMs into changes, with pauses and margins.
 #[derive(Debug, Default)]
 pub struct HoldingPlanner {
-    refused: BTreeMap<Bid, Refusal>,
+    backoffs: BTreeMap<VmClass, Backoff>,
     surplus_since: Option<Duration>,
 }
 
 impl HoldingPlanner {
     /// Notes that a start was refused.
-    pub fn refused(&mut self, now: Duration, bid: &Bid) {
-        let pause = self
-            .refused
-            .get(bid)
-            .map_or(FIRST_PAUSE, |r| (r.pause * 2).min(MAX_PAUSE));
-        let until = now + pause;
-        self.refused.insert(bid.clone(), Refusal { until, pause });
+    pub fn refused(&mut self, now: Duration, class: &VmClass) {
+        let delay = self
+            .backoffs
+            .get(class)
+            .map_or(INITIAL_BACKOFF, |r| (r.delay * 2).min(MAX_BACKOFF));
+        let until = now + delay;
+        self.backoffs
+            .insert(class.clone(), Backoff { until, delay });
     }
 
     /// Notes that a start succeeded.
-    pub fn started(&mut self, bid: &Bid) {
-        self.refused.remove(bid);
+    pub fn started(&mut self, class: &VmClass) {
+        self.backoffs.remove(class);
     }
 
     /// The changes to make now: starts first, and a VM is given back only once the rest stands.
@@ -152,62 +156,65 @@
         need: PoolNeed,
         offers: &[HallOffer],
         held: &Holding,
-    ) -> Vec<Change> {
+    ) -> Vec<HoldingChange> {
         let open: Vec<HallOffer> = offers
             .iter()
             .filter(|o| self.is_open(now, o))
             .cloned()
             .collect();
         let wanted = plan_holding(need, &open);
-        let buys = missing(&wanted, held);
+        let buys = shortfall(&wanted, held);
         let total: u64 = held.values().sum();
-        let enough = total >= wanted.values().sum();
-        if !enough {
+        let is_enough_held = total >= wanted.values().sum();
+        if !is_enough_held {
             self.surplus_since = None;
-            return buys.into_iter().map(Change::Buy).collect();
+            return buys.into_iter().map(HoldingChange::Buy).collect();
         }
-        self.settle(now, need, offers, held, &wanted)
+        self.rebalance(now, need, offers, held, &wanted)
     }
 
     fn is_open(&self, now: Duration, offer: &HallOffer) -> bool {
-        let bid = Bid {
+        let class = VmClass {
             hall: offer.hall.clone(),
             on_demand: false,
         };
-        self.refused.get(&bid).is_none_or(|r| now >= r.until)
+        self.backoffs.get(&class).is_none_or(|r| now >= r.until)
     }
 
     // Enough is held, perhaps not in the wanted places.
-    fn settle(
+    fn rebalance(
         &mut self,
         now: Duration,
         need: PoolNeed,
         offers: &[HallOffer],
         held: &Holding,
         wanted: &Holding,
-    ) -> Vec<Change> {
-        let extra = missing(held, wanted);
-        let buys = missing(wanted, held);
-        let (now_price, then_price) = (price(held, offers, need), price(wanted, offers, need));
-        let saves = now_price * (1000 - EXCHANGE_FROM_MILLI) > then_price * 1000;
-        let exposed = survivors(held) < need.firm && survivors(wanted) >= need.firm;
-        if extra.is_empty() || !(saves || exposed) {
+    ) -> Vec<HoldingChange> {
+        let surplus = shortfall(held, wanted);
+        let buys = shortfall(wanted, held);
+        let (current_cost, planned_cost) = (
+            total_cost(held, offers, need),
+            total_cost(wanted, offers, need),
+        );
+        let is_saving = current_cost * (1000 - MIN_SAVING_MILLI) > planned_cost * 1000;
+        let restores_redundancy = survivors(held) < need.firm && survivors(wanted) >= need.firm;
+        if surplus.is_empty() || !(is_saving || restores_redundancy) {
             self.surplus_since = None;
             return Vec::new();
         }
-        if exposed && !buys.is_empty() {
-            return buys.into_iter().map(Change::Buy).collect();
+        if restores_redundancy && !buys.is_empty() {
+            return buys.into_iter().map(HoldingChange::Buy).collect();
         }
         let since = *self.surplus_since.get_or_insert(now);
-        if now.saturating_sub(since) < SURPLUS_FOR {
+        if now.saturating_sub(since) < SURPLUS_DELAY {
             return Vec::new();
         }
         match buys.first() {
-            Some(bid) => vec![Change::Buy(bid.clone())],
-            None => extra
+            Some(class) => vec![HoldingChange::Buy(class.clone())],
+            None => surplus
                 .first()
                 .cloned()
-                .map(Change::GiveBack)
+                .map(HoldingChange::GiveBack)
                 .into_iter()
                 .collect(),
         }
@@ -218,17 +225,17 @@
 fn survivors(holding: &Holding) -> u64 {
     let total: u64 = holding.values().sum();
     let mut by_hall: BTreeMap<&str, u64> = BTreeMap::new();
-    for (bid, vms) in holding.iter().filter(|(bid, _)| !bid.on_demand) {
-        *by_hall.entry(&bid.hall).or_default() += vms;
+    for (class, vms) in holding.iter().filter(|(class, _)| !class.on_demand) {
+        *by_hall.entry(&class.hall).or_default() += vms;
     }
     total - by_hall.values().max().copied().unwrap_or(0)
 }
 
 // One bid for each VM that `wanted` has more than `held`.
-fn missing(wanted: &Holding, held: &Holding) -> Vec<Bid> {
-    let lack = |(bid, vms): (&Bid, &u64)| {
-        let lacking = vms.saturating_sub(held.get(bid).copied().unwrap_or(0));
-        vec![bid.clone(); lacking as usize]
+fn shortfall(wanted: &Holding, held: &Holding) -> Vec<VmClass> {
+    let lacking_vms = |(class, vms): (&VmClass, &u64)| {
+        let lacking = vms.saturating_sub(held.get(class).copied().unwrap_or(0));
+        vec![class.clone(); lacking as usize]
     };
-    wanted.iter().flat_map(lack).collect()
+    wanted.iter().flat_map(lacking_vms).collect()
 }
--- a/components/fleet/src/lib.rs
+++ b/components/fleet/src/lib.rs
@@ -9,8 +9,10 @@
 mod sizing;
 
 pub use capacity::{Fleet, Held, ScalingOrder, ScalingSpec};
-pub use holding::{plan_holding, Bid, Change, HallOffer, Holding, HoldingPlanner, PoolNeed};
+pub use holding::{
+    plan_holding, HallOffer, Holding, HoldingChange, HoldingPlanner, PoolNeed, VmClass,
+};
 pub use load::{Bearing, Load, LoadParts};
 pub use moves::{delay_before_moves, plan_moves, Move, MovePlan, MoveRates, Stream, Target};
-pub use purchase::{Listed, PurchaseAction, PurchaseEvent, Purchases};
+pub use purchase::{ListedVm, PurchaseAction, PurchaseEvent, Purchases};
 pub use scaling::Scaler;
--- a/components/fleet/src/purchase.rs
+++ b/components/fleet/src/purchase.rs
@@ -11,24 +11,24 @@
 use schema::messages::{Intent, IntentsRow};
 use state::{Reply, Row, TableCall, Write, ABSENT};
 
-use crate::holding::{Bid, Change, HallOffer, Holding, HoldingPlanner, PoolNeed};
+use crate::holding::{HallOffer, Holding, HoldingChange, HoldingPlanner, PoolNeed, VmClass};
 
 /// Purchases under way at once, those that the list has not shown for long included.
 const MAX_INTENTS: usize = 32;
 /// How long the list must show a VM before its intent is dropped.
 const SETTLE_AFTER: Duration = Duration::from_secs(60);
 /// Longest time for which the list may not show a VM that runs.
-const LONGEST_LAG: Duration = Duration::from_secs(300);
+const MAX_LIST_LAG: Duration = Duration::from_secs(300);
 /// Pause before the cloud is asked again about the same VM.
-const ASK_AGAIN: Duration = Duration::from_secs(2);
+const RETRY_DELAY: Duration = Duration::from_secs(2);
 
 /// A VM on the platform's list.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Listed {
+pub struct ListedVm {
     /// Name.
     pub name: String,
     /// Where and how it runs.
-    pub bid: Bid,
+    pub class: VmClass,
     /// Whether it is leaving.
     pub leaving: bool,
 }
@@ -41,7 +41,7 @@
         /// The epoch.
         epoch: i64,
         /// The newest list, or `None` if there is none newer than the last.
-        listed: Option<Vec<Listed>>,
+        listed: Option<Vec<ListedVm>>,
     },
     /// A table call came back; only the one asked for last counts.
     Table {
@@ -55,7 +55,7 @@
     /// The cloud took a VM back, or did not answer.
     Returned(String, bool),
     /// The lease is gone: stop.
-    Lost,
+    LeaseLost,
 }
 
 /// What the purchases ask for. Cloud calls are orders: they go out only while the lease holds.
@@ -84,12 +84,12 @@
     planner: HoldingPlanner,
     row: Option<(u64, IntentsRow)>,
     // The row as it will stand once the write under way is confirmed.
-    writing: Option<IntentsRow>,
-    waiting: bool,
-    listed: Option<Vec<Listed>>,
-    asked: BTreeMap<String, Duration>,
+    pending_row: Option<IntentsRow>,
+    is_call_in_flight: bool,
+    listed: Option<Vec<ListedVm>>,
+    called_at: BTreeMap<String, Duration>,
     // Whether the list shows the VM of an intent, and since when.
-    seen: BTreeMap<String, (bool, Duration)>,
+    list_status: BTreeMap<String, (bool, Duration)>,
     call: u32,
 }
 
@@ -103,11 +103,11 @@
             offers,
             planner: HoldingPlanner::default(),
             row: None,
-            writing: None,
-            waiting: false,
+            pending_row: None,
+            is_call_in_flight: false,
             listed: None,
-            asked: BTreeMap::new(),
-            seen: BTreeMap::new(),
+            called_at: BTreeMap::new(),
+            list_status: BTreeMap::new(),
             call: 0,
         }
     }
@@ -123,21 +123,21 @@
         match event {
             PurchaseEvent::Tick { epoch, listed } => self.tick(now, epoch, listed),
             PurchaseEvent::Table { call, .. } if call != self.call => Vec::new(),
-            PurchaseEvent::Table { reply, .. } => self.take_reply(reply),
-            PurchaseEvent::Bought(vm, answer) => self.bought(now, &vm, answer),
-            PurchaseEvent::Returned(vm, done) => self.returned(&vm, done),
-            PurchaseEvent::Lost => self.forget(),
+            PurchaseEvent::Table { reply, .. } => self.handle_reply(reply),
+            PurchaseEvent::Bought(vm, answer) => self.record_bought(now, &vm, answer),
+            PurchaseEvent::Returned(vm, done) => self.record_returned(&vm, done),
+            PurchaseEvent::LeaseLost => self.reset(),
         }
     }
 
     // Another holder may change the row: a new term starts by reading it.
-    fn forget(&mut self) -> Vec<PurchaseAction> {
+    fn reset(&mut self) -> Vec<PurchaseAction> {
         self.row = None;
-        self.writing = None;
-        self.waiting = false;
+        self.pending_row = None;
+        self.is_call_in_flight = false;
         self.listed = None;
-        self.asked.clear();
-        self.seen.clear();
+        self.called_at.clear();
+        self.list_status.clear();
         // A reply to a call of the former term is not taken for one of the next.
         self.call += 1;
         Vec::new()
@@ -147,10 +147,10 @@
         &mut self,
         now: Duration,
         epoch: i64,
-        listed: Option<Vec<Listed>>,
+        listed: Option<Vec<ListedVm>>,
     ) -> Vec<PurchaseAction> {
         self.listed = listed.or(self.listed.take());
-        if self.waiting {
+        if self.is_call_in_flight {
             return Vec::new();
         }
         let Some((_, row)) = self.row.clone() else {
@@ -159,11 +159,11 @@
         if row.epoch > epoch {
             return Vec::new();
         }
-        let settled = self.settled(now, &row);
-        if settled != row {
-            return self.write(IntentsRow { epoch, ..settled });
+        let remaining = self.without_completed(now, &row);
+        if remaining != row {
+            return self.write(IntentsRow { epoch, ..remaining });
         }
-        let actions = self.ask(now, &row);
+        let actions = self.due_calls(now, &row);
         match actions.is_empty() {
             true => self.plan(now, epoch, row),
             false => actions,
@@ -171,24 +171,24 @@
     }
 
     fn read(&mut self) -> Vec<PurchaseAction> {
-        self.waiting = true;
-        self.number(TableCall::Read(self.key.clone()))
+        self.is_call_in_flight = true;
+        self.numbered_call(TableCall::Read(self.key.clone()))
     }
 
     fn write(&mut self, row: IntentsRow) -> Vec<PurchaseAction> {
         let expect = self.row.as_ref().map_or(ABSENT, |(version, _)| *version);
         let value = schema::encode(&row).unwrap_or_default();
-        self.writing = Some(row);
-        self.waiting = true;
+        self.pending_row = Some(row);
+        self.is_call_in_flight = true;
         let write = Write {
             key: self.key.clone(),
             expect,
             value,
         };
-        self.number(TableCall::Transact(vec![write]))
+        self.numbered_call(TableCall::Transact(vec![write]))
     }
 
-    fn number(&mut self, table: TableCall) -> Vec<PurchaseAction> {
+    fn numbered_call(&mut self, table: TableCall) -> Vec<PurchaseAction> {
         self.call += 1;
         vec![PurchaseAction::Call {
             call: self.call,
@@ -196,12 +196,12 @@
         }]
     }
 
-    fn take_reply(&mut self, reply: Reply) -> Vec<PurchaseAction> {
-        if !std::mem::take(&mut self.waiting) {
+    fn handle_reply(&mut self, reply: Reply) -> Vec<PurchaseAction> {
+        if !std::mem::take(&mut self.is_call_in_flight) {
             return Vec::new();
         }
-        match (reply, self.writing.take()) {
-            (Reply::Row(row), _) => self.take_row(row),
+        match (reply, self.pending_row.take()) {
+            (Reply::Row(row), _) => self.set_row(row),
             (Reply::Committed { .. }, Some(written)) => {
                 let version = self.row.as_ref().map_or(ABSENT, |(version, _)| *version) + 1;
                 self.row = Some((version, written));
@@ -212,7 +212,7 @@
         Vec::new()
     }
 
-    fn take_row(&mut self, row: Option<Row>) {
+    fn set_row(&mut self, row: Option<Row>) {
         let version = row.as_ref().map_or(ABSENT, |r| r.version);
         let empty = IntentsRow {
             epoch: 0,
@@ -227,70 +227,77 @@
     // Intents whose VM the list has shown for long are done: the list of the next holder may lag
     // further. So are those whose VM it has not shown for longer than it lags: the VM is gone.
     // Returns are done when the list shows the VM no more.
-    fn settled(&mut self, now: Duration, row: &IntentsRow) -> IntentsRow {
-        let mut settled = row.clone();
+    fn without_completed(&mut self, now: Duration, row: &IntentsRow) -> IntentsRow {
+        let mut remaining = row.clone();
         let Some(listed) = &self.listed else {
-            return settled;
+            return remaining;
         };
         let shows = |name: &String| listed.iter().any(|vm| vm.name == *name);
         for intent in row.intents.iter().filter(|i| i.started) {
-            let seen = self
-                .seen
+            let status = self
+                .list_status
                 .entry(intent.vm.clone())
                 .or_insert((shows(&intent.vm), now));
-            if seen.0 != shows(&intent.vm) {
-                *seen = (shows(&intent.vm), now);
+            if status.0 != shows(&intent.vm) {
+                *status = (shows(&intent.vm), now);
             }
         }
-        let done = |vm: &String| match self.seen.get(vm) {
+        let is_complete = |vm: &String| match self.list_status.get(vm) {
             Some((true, since)) => now >= *since + SETTLE_AFTER,
-            Some((false, since)) => now >= *since + LONGEST_LAG,
+            Some((false, since)) => now >= *since + MAX_LIST_LAG,
             None => false,
         };
-        settled.intents.retain(|i| !(i.started && done(&i.vm)));
-        settled.returning.retain(&shows);
-        settled
+        remaining
+            .intents
+            .retain(|i| !(i.started && is_complete(&i.vm)));
+        remaining.returning.retain(&shows);
+        remaining
     }
 
     // Calls about intents that are not confirmed, and VMs that are being given back.
-    fn ask(&mut self, now: Duration, row: &IntentsRow) -> Vec<PurchaseAction> {
+    fn due_calls(&mut self, now: Duration, row: &IntentsRow) -> Vec<PurchaseAction> {
         let mut actions = Vec::new();
         for intent in row.intents.iter().filter(|i| !i.started) {
-            if self.may_ask(now, &intent.vm) {
+            if self.take_due_call(now, &intent.vm) {
                 actions.push(PurchaseAction::Buy(intent.clone()));
             }
         }
         for vm in &row.returning {
-            if self.may_ask(now, vm) {
+            if self.take_due_call(now, vm) {
                 actions.push(PurchaseAction::GiveBack(vm.clone()));
             }
         }
         actions
     }
 
-    fn may_ask(&mut self, now: Duration, vm: &str) -> bool {
-        let due = self.asked.get(vm).is_none_or(|at| now >= *at + ASK_AGAIN);
-        if due {
-            self.asked.insert(vm.to_string(), now);
+    fn take_due_call(&mut self, now: Duration, vm: &str) -> bool {
+        let is_due = self
+            .called_at
+            .get(vm)
+            .is_none_or(|at| now >= *at + RETRY_DELAY);
+        if is_due {
+            self.called_at.insert(vm.to_string(), now);
         }
-        due
+        is_due
     }
 
     fn plan(&mut self, now: Duration, epoch: i64, row: IntentsRow) -> Vec<PurchaseAction> {
-        let busy = !row.returning.is_empty() || row.intents.len() >= MAX_INTENTS;
-        let (false, Some(listed)) = (busy, self.listed.clone()) else {
+        let is_busy = !row.returning.is_empty() || row.intents.len() >= MAX_INTENTS;
+        let (false, Some(listed)) = (is_busy, self.listed.clone()) else {
             return Vec::new();
         };
-        let held = held(&listed, &row);
+        let held = held_vms(&listed, &row);
         let changes = self.planner.changes(now, self.need, &self.offers, &held);
         let mut next = IntentsRow { epoch, ..row };
         for change in changes {
             match change {
-                Change::Buy(bid) if next.intents.len() < MAX_INTENTS => self.intend(&mut next, bid),
-                Change::Buy(_) => {}
-                Change::GiveBack(bid) => {
-                    let gone = listed.iter().find(|vm| vm.bid == bid && !vm.leaving);
-                    if let Some(vm) = gone {
+                HoldingChange::Buy(class) if next.intents.len() < MAX_INTENTS => {
+                    self.add_intent(&mut next, class)
+                }
+                HoldingChange::Buy(_) => {}
+                HoldingChange::GiveBack(class) => {
+                    let returned = listed.iter().find(|vm| vm.class == class && !vm.leaving);
+                    if let Some(vm) = returned {
                         next.intents.retain(|i| i.vm != vm.name);
                         next.returning.push(vm.name.clone());
                     }
@@ -307,64 +314,70 @@
         }
     }
 
-    fn intend(&self, row: &mut IntentsRow, bid: Bid) {
+    fn add_intent(&self, row: &mut IntentsRow, class: VmClass) {
         row.counter += 1;
         row.intents.push(Intent {
-            vm: format!("{}-{}-{}", self.pool, bid.hall, row.counter),
-            hall: bid.hall,
+            vm: format!("{}-{}-{}", self.pool, class.hall, row.counter),
+            hall: class.hall,
             pool: self.pool.clone(),
-            on_demand: bid.on_demand,
+            on_demand: class.on_demand,
             started: false,
         });
     }
 
-    fn bought(&mut self, now: Duration, vm: &str, answer: Option<bool>) -> Vec<PurchaseAction> {
-        let (Some((_, row)), Some(started), false) = (&self.row, answer, self.waiting) else {
+    fn record_bought(
+        &mut self,
+        now: Duration,
+        vm: &str,
+        answer: Option<bool>,
+    ) -> Vec<PurchaseAction> {
+        let (Some((_, row)), Some(started), false) = (&self.row, answer, self.is_call_in_flight)
+        else {
             return Vec::new();
         };
         let mut next = row.clone();
         let Some(intent) = next.intents.iter_mut().find(|i| i.vm == vm) else {
             return Vec::new();
         };
-        let bid = Bid {
+        let class = VmClass {
             hall: intent.hall.clone(),
             on_demand: intent.on_demand,
         };
         if started {
             intent.started = true;
-            self.planner.started(&bid);
+            self.planner.started(&class);
         } else {
             next.intents.retain(|i| i.vm != vm);
-            self.planner.refused(now, &bid);
+            self.planner.refused(now, &class);
         }
         self.write(next)
     }
 
-    fn returned(&mut self, vm: &str, done: bool) -> Vec<PurchaseAction> {
+    fn record_returned(&mut self, vm: &str, done: bool) -> Vec<PurchaseAction> {
         if done {
             // The list will show it no more; until then it is asked about again, which is harmless.
-            self.asked
+            self.called_at
                 .entry(vm.to_string())
-                .and_modify(|at| *at += ASK_AGAIN * 4);
+                .and_modify(|at| *at += RETRY_DELAY * 4);
         }
         Vec::new()
     }
 }
 
 // What counts as held: what is listed and stays, and what is intended and not listed yet.
-fn held(listed: &[Listed], row: &IntentsRow) -> Holding {
+fn held_vms(listed: &[ListedVm], row: &IntentsRow) -> Holding {
     let mut held = Holding::new();
-    let stays = |vm: &&Listed| !vm.leaving && !row.returning.contains(&vm.name);
-    for vm in listed.iter().filter(stays) {
-        *held.entry(vm.bid.clone()).or_default() += 1;
+    let is_staying = |vm: &&ListedVm| !vm.leaving && !row.returning.contains(&vm.name);
+    for vm in listed.iter().filter(is_staying) {
+        *held.entry(vm.class.clone()).or_default() += 1;
     }
     for intent in &row.intents {
         if !listed.iter().any(|vm| vm.name == intent.vm) {
-            let bid = Bid {
+            let class = VmClass {
                 hall: intent.hall.clone(),
                 on_demand: intent.on_demand,
             };
-            *held.entry(bid).or_default() += 1;
+            *held.entry(class).or_default() += 1;
         }
     }
     held
--- a/components/fleet/tests/plans.rs
+++ b/components/fleet/tests/plans.rs
@@ -4,8 +4,8 @@
 use std::time::Duration;
 
 use fleet::{
-    plan_holding, plan_moves, Bid, Change, HallOffer, Holding, HoldingPlanner, Move, MoveRates,
-    PoolNeed, Stream, Target,
+    plan_holding, plan_moves, HallOffer, Holding, HoldingChange, HoldingPlanner, Move, MoveRates,
+    PoolNeed, Stream, Target, VmClass,
 };
 use quickcheck::{Gen, QuickCheck, Testable};
 use rand::{RngExt, SeedableRng};
@@ -215,14 +215,14 @@
     };
     let mut planner = HoldingPlanner::default();
     let first = planner.changes(Duration::ZERO, need, &offers, &Holding::new());
-    let Change::Buy(refused) = first[0].clone() else {
+    let HoldingChange::Buy(refused) = first[0].clone() else {
         panic!("expected a start")
     };
     planner.refused(Duration::ZERO, &refused);
-    let buys = |changes: &[Change]| {
+    let buys = |changes: &[HoldingChange]| {
         changes
             .iter()
-            .filter(|c| matches!(c, Change::Buy(b) if *b == refused))
+            .filter(|c| matches!(c, HoldingChange::Buy(b) if *b == refused))
             .count()
     };
     let soon = planner.changes(Duration::from_secs(1), need, &offers, &Holding::new());
@@ -232,7 +232,7 @@
 
 #[test]
 fn price_movements_cause_fewer_changes_than_following_each_price() {
-    let (mut changes, mut following) = (0, 0);
+    let (mut changes, mut follow_changes) = (0, 0);
     for seed in 0..40 {
         let mut rng = ChaCha8Rng::seed_from_u64(seed);
         let mut offers = offers(&mut rng, 4);
@@ -243,7 +243,7 @@
         };
         let mut planner = HoldingPlanner::default();
         let mut held = plan_holding(need, &offers);
-        let mut followed = held.clone();
+        let mut follower_held = held.clone();
         for minute in 0..240 {
             for offer in &mut offers {
                 let price = offer.reclaimable_milli;
@@ -254,25 +254,28 @@
                 apply(&mut held, &change);
             }
             let wanted = plan_holding(need, &offers);
-            following += difference(&followed, &wanted);
-            followed = wanted;
+            follow_changes += difference(&follower_held, &wanted);
+            follower_held = wanted;
         }
     }
     assert!(
-        changes * 3 < following,
-        "{changes} changes, {following} by following"
+        changes * 3 < follow_changes,
+        "{changes} changes, {follow_changes} by following"
     );
 }
 
 fn difference(a: &Holding, b: &Holding) -> u64 {
-    let bids: std::collections::BTreeSet<&Bid> = a.keys().chain(b.keys()).collect();
-    let at = |h: &Holding, bid: &Bid| h.get(bid).copied().unwrap_or(0);
-    bids.iter().map(|bid| at(a, bid).abs_diff(at(b, bid))).sum()
+    let classes: std::collections::BTreeSet<&VmClass> = a.keys().chain(b.keys()).collect();
+    let at = |h: &Holding, class: &VmClass| h.get(class).copied().unwrap_or(0);
+    classes
+        .iter()
+        .map(|class| at(a, class).abs_diff(at(b, class)))
+        .sum()
 }
 
-fn apply(held: &mut Holding, change: &Change) {
+fn apply(held: &mut Holding, change: &HoldingChange) {
     match change {
-        Change::Buy(bid) => *held.entry(bid.clone()).or_default() += 1,
-        Change::GiveBack(bid) => *held.entry(Bid::clone(bid)).or_default() -= 1,
+        HoldingChange::Buy(class) => *held.entry(class.clone()).or_default() += 1,
+        HoldingChange::GiveBack(class) => *held.entry(VmClass::clone(class)).or_default() -= 1,
     }
 }
--- a/components/fleet/tests/purchases.rs
+++ b/components/fleet/tests/purchases.rs
@@ -4,27 +4,27 @@
 use std::time::Duration;
 
 use fakes::{check, FakeTable, Faults, CALM, ROUGH};
-use fleet::{Bid, HallOffer, Listed, PoolNeed, PurchaseAction, PurchaseEvent, Purchases};
+use fleet::{HallOffer, ListedVm, PoolNeed, PurchaseAction, PurchaseEvent, Purchases, VmClass};
 use rand::RngExt;
 use schema::messages::{Intent, IntentsRow};
 
 const KEY: &str = "intents/home/chat";
-const STEP: Duration = Duration::from_millis(100);
+const STEP_TIME: Duration = Duration::from_millis(100);
 const HOLDERS: usize = 2;
 /// The list shows the cloud as it was so many steps before.
-const LIST_LAG: usize = 100;
+const LIST_LAG_STEPS: usize = 100;
 
-struct World {
+struct Simulation {
     table: FakeTable,
     purchases: Vec<Purchases>,
     holder: usize,
     epoch: i64,
-    vms: BTreeMap<String, Bid>,
+    vms: BTreeMap<String, VmClass>,
     // Starts so far, to find a VM bought twice.
     starts: BTreeMap<String, u32>,
-    seen: VecDeque<BTreeMap<String, Bid>>,
-    refuse: bool,
-    most_held: usize,
+    vm_history: VecDeque<BTreeMap<String, VmClass>>,
+    is_refusing: bool,
+    max_held: usize,
 }
 
 fn offers() -> Vec<HallOffer> {
@@ -46,33 +46,33 @@
     }
 }
 
-impl World {
+impl Simulation {
     fn new(seed: u64, faults: Faults) -> Self {
         let purchases = || Purchases::new(KEY, "chat", need(6, 8), offers());
-        World {
+        Simulation {
             table: FakeTable::new(seed, faults),
             purchases: (0..HOLDERS).map(|_| purchases()).collect(),
             holder: 0,
             epoch: 1,
             vms: BTreeMap::new(),
             starts: BTreeMap::new(),
-            seen: VecDeque::new(),
-            refuse: false,
-            most_held: 0,
+            vm_history: VecDeque::new(),
+            is_refusing: false,
+            max_held: 0,
         }
     }
 
-    fn listed(&self) -> Vec<Listed> {
-        let vms = self.seen.front().into_iter().flatten();
-        vms.map(|(name, bid)| Listed {
+    fn listed(&self) -> Vec<ListedVm> {
+        let vms = self.vm_history.front().into_iter().flatten();
+        vms.map(|(name, class)| ListedVm {
             name: name.clone(),
-            bid: bid.clone(),
+            class: class.clone(),
             leaving: false,
         })
         .collect()
     }
 
-    fn event(&mut self, now: Duration, n: usize, event: PurchaseEvent) {
+    fn handle_event(&mut self, now: Duration, n: usize, event: PurchaseEvent) {
         for action in self.purchases[n].step(now, event) {
             match action {
                 PurchaseAction::Call { call, table } => self.table.call(now, n, call, table),
@@ -80,7 +80,7 @@
                 PurchaseAction::GiveBack(vm) => {
                     self.vms.remove(&vm);
                     let answered = !self.table.rng.random_ratio(1, 4);
-                    self.event(now, n, PurchaseEvent::Returned(vm, answered));
+                    self.handle_event(now, n, PurchaseEvent::Returned(vm, answered));
                 }
             }
         }
@@ -88,43 +88,43 @@
 
     // A start may be refused, lost, or made without an answer; a name is started once.
     fn buy(&mut self, now: Duration, n: usize, intent: Intent) {
-        let rough = self.table.faults.lost > 0;
-        let lost = rough && self.table.rng.random_ratio(1, 6);
-        if lost {
-            return self.event(now, n, PurchaseEvent::Bought(intent.vm, None));
+        let has_faults = self.table.faults.lost > 0;
+        let is_lost = has_faults && self.table.rng.random_ratio(1, 6);
+        if is_lost {
+            return self.handle_event(now, n, PurchaseEvent::Bought(intent.vm, None));
         }
         let exists = self.starts.contains_key(&intent.vm);
-        let refused = !exists && self.refuse;
+        let refused = !exists && self.is_refusing;
         if !exists && !refused {
             self.starts.insert(intent.vm.clone(), 1);
-            let bid = Bid {
+            let class = VmClass {
                 hall: intent.hall.clone(),
                 on_demand: intent.on_demand,
             };
-            self.vms.insert(intent.vm.clone(), bid);
+            self.vms.insert(intent.vm.clone(), class);
         }
-        let unanswered = rough && self.table.rng.random_ratio(1, 4);
+        let unanswered = has_faults && self.table.rng.random_ratio(1, 4);
         let answer = (!unanswered).then_some(!refused);
-        self.event(now, n, PurchaseEvent::Bought(intent.vm, answer));
+        self.handle_event(now, n, PurchaseEvent::Bought(intent.vm, answer));
     }
 
     fn step(&mut self, now: Duration) {
         for (n, call, reply) in self.table.advance(now) {
-            self.event(now, n, PurchaseEvent::Table { call, reply });
+            self.handle_event(now, n, PurchaseEvent::Table { call, reply });
         }
-        self.seen.push_back(self.vms.clone());
-        if self.seen.len() > LIST_LAG {
-            self.seen.pop_front();
+        self.vm_history.push_back(self.vms.clone());
+        if self.vm_history.len() > LIST_LAG_STEPS {
+            self.vm_history.pop_front();
         }
-        let listed = Some(self.listed()).filter(|_| self.seen.len() == LIST_LAG);
+        let listed = Some(self.listed()).filter(|_| self.vm_history.len() == LIST_LAG_STEPS);
         let epoch = self.epoch;
-        self.event(now, self.holder, PurchaseEvent::Tick { epoch, listed });
-        self.most_held = self.most_held.max(self.vms.len());
+        self.handle_event(now, self.holder, PurchaseEvent::Tick { epoch, listed });
+        self.max_held = self.max_held.max(self.vms.len());
     }
 
     // The holder loses its lease in the midst of anything.
     fn change_holder(&mut self, now: Duration) {
-        self.event(now, self.holder, PurchaseEvent::Lost);
+        self.handle_event(now, self.holder, PurchaseEvent::LeaseLost);
         self.holder = 1 - self.holder;
         self.epoch += 1;
     }
@@ -138,27 +138,27 @@
 }
 
 // Faults for the first 400 s, then more than ten minutes without.
-fn run(seed: u64, refusals: bool) -> World {
-    let mut world = World::new(seed, ROUGH);
+fn run(seed: u64, refusals: bool) -> Simulation {
+    let mut simulation = Simulation::new(seed, ROUGH);
     for step in 0..12_000 {
-        let now = STEP * step;
-        if step < 4000 && world.table.rng.random_ratio(1, 150) {
-            world.change_holder(now);
+        let now = STEP_TIME * step;
+        if step < 4000 && simulation.table.rng.random_ratio(1, 150) {
+            simulation.change_holder(now);
         }
-        if refusals && step < 4000 && world.table.rng.random_ratio(1, 200) {
-            world.refuse = !world.refuse;
+        if refusals && step < 4000 && simulation.table.rng.random_ratio(1, 200) {
+            simulation.is_refusing = !simulation.is_refusing;
         }
         if step == 4000 {
-            world.refuse = false;
-            world.table.faults = CALM;
+            simulation.is_refusing = false;
+            simulation.table.faults = CALM;
         }
-        world.step(now);
+        simulation.step(now);
     }
-    world
+    simulation
 }
 
 // Six firm VMs must survive the loss of one of three halls: nine are wanted.
-const WANTED: usize = 9;
+const PLANNED_VMS: usize = 9;
 
 #[test]
 fn the_wanted_vms_are_held_once_the_faults_stop() {
@@ -166,46 +166,46 @@
     let held = |seed| run(seed, true).vms.len();
     assert!((0..12)
         .map(held)
-        .all(|vms| vms == WANTED || vms == WANTED + 1));
+        .all(|vms| vms == PLANNED_VMS || vms == PLANNED_VMS + 1));
 }
 
 // While a hall refuses, the others must hold more: this is about lost answers and new holders.
 #[test]
 fn no_vm_is_bought_twice_for_one_need() {
-    check(12, |seed| run(seed, false).most_held == WANTED);
+    check(12, |seed| run(seed, false).max_held == PLANNED_VMS);
 }
 
 #[test]
 fn every_vm_is_listed_and_no_intent_is_left() {
     check(12, |seed| {
-        let world = run(seed, true);
+        let simulation = run(seed, true);
         // Each is on the list, and the row has nothing left to settle.
-        let listed = world.listed().len();
-        listed == world.vms.len() && world.row().is_some_and(|r| r.intents.is_empty())
+        let listed = simulation.listed().len();
+        listed == simulation.vms.len() && simulation.row().is_some_and(|r| r.intents.is_empty())
     });
 }
 
 #[test]
 fn a_start_that_is_refused_everywhere_does_not_cause_a_busy_loop() {
-    let mut world = World::new(1, CALM);
-    world.refuse = true;
-    (0..6000).for_each(|step| world.step(STEP * step));
-    assert!(world.vms.is_empty());
+    let mut simulation = Simulation::new(1, CALM);
+    simulation.is_refusing = true;
+    (0..6000).for_each(|step| simulation.step(STEP_TIME * step));
+    assert!(simulation.vms.is_empty());
     assert!(
-        world.table.calls < 600,
+        simulation.table.calls < 600,
         "{} table calls in ten minutes",
-        world.table.calls
+        simulation.table.calls
     );
 }
 
 #[test]
 fn vms_that_are_not_needed_are_given_back_after_a_while() {
-    let mut world = World::new(1, CALM);
-    (0..3000).for_each(|step| world.step(STEP * step));
-    assert_eq!(world.vms.len(), WANTED);
-    for purchases in &mut world.purchases {
+    let mut simulation = Simulation::new(1, CALM);
+    (0..3000).for_each(|step| simulation.step(STEP_TIME * step));
+    assert_eq!(simulation.vms.len(), PLANNED_VMS);
+    for purchases in &mut simulation.purchases {
         purchases.update(need(2, 3), offers());
     }
-    (3000..30_000).for_each(|step| world.step(STEP * step));
-    assert_eq!(world.vms.len(), 3);
+    (3000..30_000).for_each(|step| simulation.step(STEP_TIME * step));
+    assert_eq!(simulation.vms.len(), 3);
 }
