--- a/components/engine/src/fit.rs
+++ b/components/engine/src/fit.rs
@@ -1,68 +1,73 @@
-//! The law that sums of samples speak for: a regression that starts from a prior.
+//! Estimates the step time law of engines from the moments of samples, by Bayesian linear
+//! regression.
 //!
-//! The prior keeps the estimate in bounds while the samples say little, above all while all of them were taken at
-//! nearly the same number of running requests; its weight is that of a handful of samples.
+//! The prior bounds the estimate while the samples carry little information, in particular while
+//! all of them have nearly the same number of running requests. It weighs as much as a handful of
+//! samples.
 
 use crate::law::Law;
 use crate::step_moments::StepMoments;
 
-/// What engines are taken for before anything was seen of them: middling figures of the engines that this was built
-/// with (3 to 5 ms, 0.02 to 0.1 ms, 50 to 150 tokens a millisecond).
+/// Law assumed without samples: mid-range values of the engines known at design time (3 to 5 ms,
+/// 0.02 to 0.1 ms, 50 to 150 tokens per millisecond).
 const PRIOR: Law = Law {
     base_ms: 4.0,
     per_running_ms: 0.06,
     per_read_ms: 0.015,
 };
-/// Deviation of the prior, in parts of its values.
+/// Standard deviation of the prior, relative to its values.
 const PRIOR_RELATIVE_STD_DEV: f64 = 1.0;
-/// Samples that say as much as one that stands alone: parts of streams at one engine see the same steps.
-const CORRELATED_SAMPLES: f64 = 4.0;
-/// Least deviation of a sample, in parts of its time: clocks and the way there always add some.
+/// Number of samples that carry as much information as one independent sample: samples of streams
+/// at the same engine cover the same steps.
+const SAMPLES_PER_INDEPENDENT_SAMPLE: f64 = 4.0;
+/// Minimum standard deviation of a sample, relative to its step time, because clocks and the
+/// network always add noise.
 const MIN_SAMPLE_RELATIVE_STD_DEV: f64 = 0.05;
-/// Samples before which nothing counts as known.
+/// Minimum number of samples for a confident estimate.
 const MIN_SAMPLES: f64 = 40.0;
-/// Deviation of the time of a step below which it counts as known, in parts of it.
+/// Maximum relative standard deviation of the step time for a confident estimate.
 const MAX_STEP_RELATIVE_STD_DEV: f64 = 0.1;
-/// The same for the time of a token that is read: it is a part of what engines do, so it may be less sure.
+/// The same for the time per prompt token read. It may be less certain, because reading is only a
+/// part of the work of an engine.
 const MAX_PREFILL_RELATIVE_STD_DEV: f64 = 0.2;
-/// The time of a step must be known for this many times the running requests that were seen: what is planned with
-/// the law puts more requests on fewer engines.
+/// The step time must be confident up to this multiple of the observed mean number of running
+/// requests, because plans based on the law put more requests on fewer engines.
 const EXTRAPOLATION_FACTOR: f64 = 2.0;
-/// Least time for each token read, in milliseconds, so that a rate is always finite.
+/// Minimum time per prompt token read, in milliseconds, so that the read rate is always finite.
 const MIN_PER_READ_MS: f64 = 0.0005;
-/// Least base, in milliseconds.
+/// Minimum base time of a step, in milliseconds.
 const MIN_BASE_MS: f64 = 0.05;
 
 type Vector = [f64; 3];
 type Matrix = [Vector; 3];
 
-/// A law with how sure it is.
+/// An estimated law with its covariance.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct LawEstimate {
-    /// The law; the prior where nothing else was seen.
+    /// The estimated law; without samples, the prior.
     pub law: Law,
-    // Covariance of its three values.
+    // Covariance of the three coefficients of the law.
     covariance: Matrix,
     samples: f64,
     mean_running: f64,
 }
 
 impl LawEstimate {
-    /// The law that these sums speak for.
+    /// Estimates the law from the moments of samples.
     pub fn from_moments(moments: &StepMoments) -> Self {
         let initial = initial_std_dev_ms(moments);
-        let first = posterior(moments, initial * initial);
-        let std_dev = residual_rms_ms(moments, &first.0)
+        let first_pass = posterior(moments, initial * initial);
+        let std_dev = residual_rms_ms(moments, &first_pass.0)
             .max(MIN_SAMPLE_RELATIVE_STD_DEV * moments.mean_step_ms());
-        let (values, covariance) = match std_dev > 0.0 {
+        let (coefficients, covariance) = match std_dev > 0.0 {
             true => posterior(moments, std_dev * std_dev),
-            false => first,
+            false => first_pass,
         };
         LawEstimate {
             law: Law {
-                base_ms: values[0].max(MIN_BASE_MS),
-                per_running_ms: values[1].max(0.0),
-                per_read_ms: values[2].max(MIN_PER_READ_MS),
+                base_ms: coefficients[0].max(MIN_BASE_MS),
+                per_running_ms: coefficients[1].max(0.0),
+                per_read_ms: coefficients[2].max(MIN_PER_READ_MS),
             },
             covariance,
             samples: moments.count,
@@ -70,7 +75,7 @@
         }
     }
 
-    /// The law, once enough was seen to plan with it.
+    /// The law, if the estimate is confident enough for planning.
     pub fn confident_law(&self) -> Option<Law> {
         let running = self.mean_running * EXTRAPOLATION_FACTOR;
         let read_std_dev = self.covariance[2][2].sqrt();
@@ -81,7 +86,7 @@
         is_confident.then_some(self.law)
     }
 
-    /// Deviation of the time of a step that reads nothing, in milliseconds.
+    /// Standard deviation of the step time without prefill, in milliseconds.
     pub fn decode_step_std_dev_ms(&self, running: f64) -> f64 {
         let c = &self.covariance;
         (c[0][0] + 2.0 * running * c[0][1] + running * running * c[1][1])
@@ -90,17 +95,17 @@
     }
 }
 
-// A guess at the deviation of samples from what the prior says, for the first pass.
+// Initial value for the standard deviation of a sample, used in the first pass.
 fn initial_std_dev_ms(moments: &StepMoments) -> f64 {
     let expected = PRIOR.decode_step_ms(moments.mean_running());
     (MIN_SAMPLE_RELATIVE_STD_DEV * 2.0 * moments.mean_step_ms())
         .max(MIN_SAMPLE_RELATIVE_STD_DEV * expected)
 }
 
-// Values and their covariance, given the variance of a sample.
+// Posterior mean and covariance of the coefficients, given the variance of a sample.
 fn posterior(moments: &StepMoments, variance: f64) -> (Vector, Matrix) {
     let prior = [PRIOR.base_ms, PRIOR.per_running_ms, PRIOR.per_read_ms];
-    let weight = 1.0 / (variance * CORRELATED_SAMPLES).max(f64::MIN_POSITIVE);
+    let weight = 1.0 / (variance * SAMPLES_PER_INDEPENDENT_SAMPLE).max(f64::MIN_POSITIVE);
     let mut precision = [
         [moments.count, moments.running, moments.read],
         [
@@ -120,16 +125,16 @@
         weighted[i] = weighted[i] * weight + prior_precision * prior[i];
     }
     let covariance = inverse(&precision);
-    let values = covariance.map(|row| row.iter().zip(weighted).map(|(a, b)| a * b).sum());
-    (values, covariance)
+    let coefficients = covariance.map(|row| row.iter().zip(weighted).map(|(a, b)| a * b).sum());
+    (coefficients, covariance)
 }
 
-// Root of the mean square of what the values leave unexplained.
-fn residual_rms_ms(moments: &StepMoments, values: &Vector) -> f64 {
+// Root mean square of the residuals.
+fn residual_rms_ms(moments: &StepMoments, coefficients: &Vector) -> f64 {
     if moments.count <= 0.0 {
         return 0.0;
     }
-    let [b, n, r] = *values;
+    let [b, n, r] = *coefficients;
     let squares = moments.step_step
         - 2.0 * (b * moments.step + n * moments.running_step + r * moments.read_step)
         + b * b * moments.count
@@ -139,7 +144,7 @@
     (squares / moments.count).max(0.0).sqrt()
 }
 
-// The prior is part of the matrix, so it has an inverse.
+// The prior adds to the diagonal, so the matrix is always invertible.
 fn inverse(m: &Matrix) -> Matrix {
     let minor = |r: usize, c: usize| {
         let (r1, r2) = ((r + 1) % 3, (r + 2) % 3);
--- a/components/engine/src/law.rs
+++ b/components/engine/src/law.rs
@@ -1,28 +1,28 @@
-//! The time of an engine's step.
+//! Linear model of the step time of an engine.
 
-/// How long a step of an engine takes, by what it does.
+/// How long a step of an engine takes, as a linear function of its work.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Law {
-    /// Time of a step beside all else, in milliseconds.
+    /// Constant part of the step time, in milliseconds.
     pub base_ms: f64,
-    /// Time for each request that runs, in milliseconds.
+    /// Time for each running request, in milliseconds.
     pub per_running_ms: f64,
-    /// Time for each token of a prompt that is read, in milliseconds.
+    /// Time for each prompt token read, in milliseconds.
     pub per_read_ms: f64,
 }
 
 impl Law {
-    /// Time of a step that reads nothing, in milliseconds.
+    /// Time of a step without prefill, in milliseconds.
     pub fn decode_step_ms(&self, running: f64) -> f64 {
         self.base_ms + self.per_running_ms * running
     }
 
-    /// Time of a step, in milliseconds.
+    /// Time of a step that also reads `read_tokens` prompt tokens, in milliseconds.
     pub fn step_with_prefill_ms(&self, running: f64, read_tokens: f64) -> f64 {
         self.decode_step_ms(running) + self.per_read_ms * read_tokens
     }
 
-    /// Tokens that are read in a millisecond.
+    /// Prompt tokens read per millisecond.
     pub fn prefill_tokens_per_ms(&self) -> f64 {
         1.0 / self.per_read_ms
     }
--- a/components/engine/src/learner.rs
+++ b/components/engine/src/learner.rs
@@ -1,4 +1,4 @@
-//! What one gateway learns of a service's engines.
+//! Collects the observations of one gateway about the engines of a service.
 
 use std::time::Duration;
 
@@ -6,39 +6,39 @@
 use crate::pace_histogram::PaceHistogram;
 use crate::step_moments::{Sample, StepMoments};
 
-/// Time after which a sample counts for half: versions and VMs change within minutes.
+/// Half-life of a sample. It is short because versions and VMs change within minutes.
 const HALF_LIFE: Duration = Duration::from_secs(60);
-/// Pause between fadings; in between nothing is multiplied.
+/// Minimum time between two applications of the decay.
 const DECAY_INTERVAL: Duration = Duration::from_secs(1);
-/// Samples between estimates: one costs about as much as ten samples.
+/// Number of samples between two estimates. An estimate costs about as much as adding ten samples.
 const SAMPLES_PER_ESTIMATE: u32 = 16;
-/// Longest and shortest time of a sample that is taken as it is, in parts of what the law says: beyond, the engine did
-/// something that is not known here, or the caller did not read.
+/// Range to which the step time of a sample is clipped, relative to the estimate. Beyond it, the
+/// engine did work that this gateway does not know of, or the caller did not read its stream.
 const ACCEPTED_STEP_RATIO: std::ops::RangeInclusive<f64> = 0.6..=1.6;
 
-/// StepMoments of one or several gateways.
+/// Observations of one or several gateways.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct EngineStats {
-    /// What was seen of steps.
+    /// Moments of the step samples.
     pub steps: StepMoments,
-    /// What streams allow.
+    /// Paces that the streams allow.
     pub allowed_paces: PaceHistogram,
 }
 
 impl EngineStats {
-    /// Adds what another gateway saw.
+    /// Adds the observations of another gateway.
     pub fn merge(&mut self, other: &EngineStats) {
         self.steps.merge(&other.steps);
         self.allowed_paces.merge(&other.allowed_paces);
     }
 
-    /// The law that they speak for.
+    /// Estimates the law of the engines.
     pub fn estimate(&self) -> LawEstimate {
         LawEstimate::from_moments(&self.steps)
     }
 }
 
-/// Takes samples of one service.
+/// Collects samples of one service.
 #[derive(Clone, Debug, Default)]
 pub struct Learner {
     stats: EngineStats,
@@ -48,7 +48,7 @@
 }
 
 impl Learner {
-    /// Notes what a part of a stream showed; what cannot be of an engine is passed over.
+    /// Adds a sample; invalid ones are ignored.
     pub fn add_sample(&mut self, now: Duration, sample: Sample) {
         if !sample.is_valid() {
             return;
@@ -65,13 +65,13 @@
         }
     }
 
-    /// Notes a stream that allows so many milliseconds a token.
+    /// Adds a stream that allows at most `pace_ms` milliseconds per token.
     pub fn add_allowed_pace(&mut self, now: Duration, pace_ms: f64) {
         self.decay(now);
         self.stats.allowed_paces.add(pace_ms);
     }
 
-    /// What was learnt so far.
+    /// Observations so far, with exponential decay.
     pub fn stats(&self) -> &EngineStats {
         &self.stats
     }
@@ -87,7 +87,7 @@
         self.stats.allowed_paces.decay(factor);
     }
 
-    // Its time, no further from the law than can be explained.
+    // Step time of the sample, clipped to the accepted range around the estimate.
     fn clipped_step_ms(&self, sample: &Sample) -> f64 {
         let law = self.estimate.and_then(|estimate| estimate.confident_law());
         law.map_or(sample.step_ms, |law| {
--- a/components/engine/src/lib.rs
+++ b/components/engine/src/lib.rs
@@ -1,9 +1,12 @@
-//! What model engines can bear, learnt from the streams that they make. Pure.
+//! Estimates the capacity of model engines from the timing of their streams. The code does no I/O
+//! and reads no clock.
 //!
-//! An engine works in steps: one makes a token for each request that runs and reads a piece of the prompts that
-//! wait. A step takes a base, a part for each running request and the time of what it reads ([`Law`]). Gateways see
-//! how long the events of a stream take ([`Sample`]) and add up what they see ([`StepMoments`]); sums of several gateways
-//! are added in turn, so whoever has the reports of all knows the law as if it had seen every stream itself.
+//! An engine works in steps. Each step generates a token for every running request and reads a part
+//! of the waiting prompts. Its time is the sum of a base time, a time per running request and a
+//! time per prompt token read ([`Law`]). Gateways measure the time between the events of a stream
+//! ([`Sample`]) and keep moments of these samples ([`StepMoments`]). The moments of several
+//! gateways can be added, so a gateway that has all reports gets the same estimate as if it had
+//! observed every stream itself.
 
 mod fit;
 mod law;
--- a/components/engine/src/pace_histogram.rs
+++ b/components/engine/src/pace_histogram.rs
@@ -1,39 +1,42 @@
-//! The pace of tokens that streams allow: by their pauses' aims and their routes' time-outs.
+//! Histogram of the paces that streams allow. A pace is a time per generated token. A stream's
+//! limit follows from the target pause between its events and the time-out of its route.
 
-/// Buckets of a pace; one is half a power of two, the first one begins at [`FIRST_MS`].
+/// Number of buckets. Each spans half a power of two; the first begins at [`MIN_PACE_MS`].
 const BUCKET_COUNT: usize = 20;
-/// Shortest pace that is distinguished, in milliseconds a token.
+/// Shortest pace that the histogram distinguishes, in milliseconds per token.
 const MIN_PACE_MS: f64 = 0.5;
-/// Buckets for each doubling.
+/// Buckets per doubling of the pace.
 const BUCKETS_PER_DOUBLING: f64 = 2.0;
 
-/// How many streams allow which time for each of their tokens. Counts of several gateways are added.
+/// Number of streams by the longest time per token that they allow. Histograms of several gateways
+/// are merged by adding them.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct PaceHistogram {
     counts: [f64; BUCKET_COUNT],
 }
 
 impl PaceHistogram {
-    /// Notes a stream that allows so many milliseconds a token.
+    /// Counts a stream that allows at most `pace_ms` milliseconds per token.
     pub fn add(&mut self, pace_ms: f64) {
         let doublings = (pace_ms.max(MIN_PACE_MS) / MIN_PACE_MS).log2();
         let bucket = (doublings * BUCKETS_PER_DOUBLING) as usize;
         self.counts[bucket.min(BUCKET_COUNT - 1)] += 1.0;
     }
 
-    /// Adds what another gateway saw.
+    /// Adds the counts of another gateway.
     pub fn merge(&mut self, other: &PaceHistogram) {
         for (count, others) in self.counts.iter_mut().zip(other.counts) {
             *count += others;
         }
     }
 
-    /// Lets everything so far count for `part` of what it did.
+    /// Multiplies all counts by `factor`.
     pub fn decay(&mut self, factor: f64) {
         self.counts.iter_mut().for_each(|count| *count *= factor);
     }
 
-    /// Pace at which `share` of the streams still hold, in milliseconds a token; `None` if none was seen.
+    /// Longest pace that is within the limits of `share` of the streams, in milliseconds per token;
+    /// `None` without streams.
     pub fn max_pace_ms(&self, share: f64) -> Option<f64> {
         let total: f64 = self.counts.iter().sum();
         if total <= 0.0 {
@@ -44,7 +47,7 @@
             stricter += count;
             stricter > total * (1.0 - share)
         });
-        // The tight end of the bucket: those in it allow at least this.
+        // Take the lower bound of the bucket: its streams allow at least this pace.
         let bucket = bucket.unwrap_or(BUCKET_COUNT - 1) as f64;
         Some(MIN_PACE_MS * (bucket / BUCKETS_PER_DOUBLING).exp2())
     }
@@ -54,7 +57,7 @@
         &self.counts
     }
 
-    /// Counts as another gateway reported them.
+    /// Restores a histogram from the counts that another gateway reported.
     pub fn from_counts(counts: &[f64]) -> Self {
         let mut histogram = PaceHistogram::default();
         for (count, reported) in histogram.counts.iter_mut().zip(counts) {
--- a/components/engine/src/peer_reports.rs
+++ b/components/engine/src/peer_reports.rs
@@ -1,15 +1,16 @@
-//! What the gateways reported to each other of the engines that they saw.
+//! Observations of engines that other gateways report.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
 
 use crate::learner::EngineStats;
 
-/// What a gateway reported is kept for this long: three times the half-life of samples, so it would weigh an eighth by then.
+/// How long a report is kept: three half-lives of a sample, after which it would weigh an eighth.
 const REPORT_RETENTION: Duration = Duration::from_secs(180);
 
-/// What other gateways saw, by service. Each one reports sums over all it saw since its start, so only its newest report
-/// counts: a lost one does no harm, and nothing counts twice.
+/// Observations of other gateways, by service. Each report covers everything that its gateway
+/// observed since its start. Only the newest one of each gateway counts, so a lost report does no
+/// harm and nothing is counted twice.
 #[derive(Debug, Default)]
 pub struct PeerReports {
     reports: BTreeMap<String, Report>,
@@ -22,7 +23,7 @@
 }
 
 impl PeerReports {
-    /// Takes what a gateway reported.
+    /// Stores the report of a gateway and drops expired reports.
     pub fn receive(
         &mut self,
         now: Duration,
@@ -38,7 +39,7 @@
             .retain(|_, report| now < report.received_at + REPORT_RETENTION);
     }
 
-    /// What all gateways saw of a service's engines, `own` among it.
+    /// Merges `own` with the reports of all other gateways about a service.
     pub fn merged_with(&self, own: EngineStats, service: &str) -> EngineStats {
         let mut merged = own;
         let reports = self.reports.values();
--- a/components/engine/src/step_moments.rs
+++ b/components/engine/src/step_moments.rs
@@ -1,21 +1,22 @@
-//! StepMoments over samples of engines' steps. StepMoments of several gateways are added like those of one.
+//! Moments of step samples. Those of several gateways are merged by adding them.
 
-/// Values that make up [`StepMoments`].
+/// Number of values in [`StepMoments`].
 pub const MOMENT_COUNT: usize = 10;
 
-/// What a part of a stream showed of its engine's steps.
+/// Measurement of an engine's steps, taken from a part of a stream.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Sample {
-    /// Mean time of a step, in milliseconds.
+    /// Mean step time, in milliseconds.
     pub step_ms: f64,
-    /// Requests that ran at the engine, the stream among them.
+    /// Requests that ran at the engine, including the measured stream.
     pub running: f64,
-    /// Tokens of prompts that the engine read in each step.
+    /// Prompt tokens that the engine read per step.
     pub read_tokens: f64,
 }
 
 impl Sample {
-    /// Whether it can be of an engine: its time passed, something ran, and no fewer tokens were read than none.
+    /// Whether the sample is possible: step time and running requests are positive, read tokens are
+    /// not negative, and all are finite.
     pub fn is_valid(&self) -> bool {
         let is_positive = |value: f64| value.is_finite() && value > 0.0;
         let is_read_valid = self.read_tokens.is_finite() && self.read_tokens >= 0.0;
@@ -23,28 +24,28 @@
     }
 }
 
-/// Moments of samples.
+/// Sums over samples, sufficient for a linear regression of the step time.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct StepMoments {
     /// Number of samples.
     pub count: f64,
-    /// Sum of the running requests.
+    /// Sum of running requests.
     pub running: f64,
-    /// Sum of the tokens read.
+    /// Sum of tokens read.
     pub read: f64,
-    /// Sum of the squares of the running requests.
+    /// Sum of squared running requests.
     pub running_running: f64,
-    /// Sum of the products of running requests and tokens read.
+    /// Sum of products of running requests and tokens read.
     pub running_read: f64,
-    /// Sum of the squares of the tokens read.
+    /// Sum of squared tokens read.
     pub read_read: f64,
-    /// Sum of the times.
+    /// Sum of step times.
     pub step: f64,
-    /// Sum of the products of running requests and times.
+    /// Sum of products of running requests and step time.
     pub running_step: f64,
-    /// Sum of the products of tokens read and times.
+    /// Sum of products of tokens read and step time.
     pub read_step: f64,
-    /// Sum of the squares of the times.
+    /// Sum of squared step times.
     pub step_step: f64,
 }
 
@@ -66,14 +67,14 @@
         });
     }
 
-    /// Adds what another gateway saw.
+    /// Adds the moments of another gateway.
     pub fn merge(&mut self, other: &StepMoments) {
         let own = self.values();
         let sums: Vec<f64> = own.iter().zip(other.values()).map(|(a, b)| a + b).collect();
         *self = StepMoments::from_values(&sums);
     }
 
-    /// Lets everything so far count for `part` of what it did.
+    /// Multiplies all moments by `factor`.
     pub fn decay(&mut self, factor: f64) {
         let decayed = self.values().map(|value| value * factor);
         *self = StepMoments::from_values(&decayed);
@@ -95,7 +96,7 @@
         ]
     }
 
-    /// StepMoments of these values; empty where there are too few or one of them is no number.
+    /// Restores moments from their values; empty if there are too few or one of them is not finite.
     pub fn from_values(values: &[f64]) -> Self {
         if values.len() < MOMENT_COUNT || !values.iter().all(|value| value.is_finite()) {
             return StepMoments::default();
@@ -114,7 +115,7 @@
         }
     }
 
-    /// Mean number of running requests.
+    /// Mean number of running requests; 0 without samples.
     pub fn mean_running(&self) -> f64 {
         match self.count > 0.0 {
             true => self.running / self.count,
@@ -122,7 +123,7 @@
         }
     }
 
-    /// Mean time of a step, in milliseconds.
+    /// Mean step time, in milliseconds; 0 without samples.
     pub fn mean_step_ms(&self) -> f64 {
         match self.count > 0.0 {
             true => self.step / self.count,
--- a/components/engine/tests/law.rs
+++ b/components/engine/tests/law.rs
@@ -1,4 +1,4 @@
-//! The law of engines is found from what streams show.
+//! Tests the estimate of the law of engines from samples.
 
 use std::time::Duration;
 
@@ -7,10 +7,11 @@
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 
-/// A part of a stream of 32 events of 7 tokens.
+/// Steps of a part of a stream with 32 events of 7 tokens.
 const STEPS_PER_SAMPLE: f64 = 224.0;
 
-// Engines whose steps grow much, little and middling with what runs; 50 to 150 tokens are read in a millisecond.
+// Engines whose step time grows strongly, weakly and moderately with the running requests. They
+// read 50 to 150 prompt tokens per millisecond.
 const LAWS: [Law; 3] = [
     Law {
         base_ms: 3.1,
@@ -29,7 +30,8 @@
     },
 ];
 
-/// Requests that run, tokens read in a step and a time that is a tenth off.
+/// A sample with random load and uniform noise of up to 17 percent, which is a standard deviation
+/// of about a tenth.
 fn sample(rng: &mut ChaCha8Rng, law: &Law, max_running: f64) -> Sample {
     let running = rng.random_range(1.0..max_running);
     let read_tokens = rng.random_range(0.0..300.0);
@@ -71,7 +73,8 @@
         let mut learner = Learner::default();
         for i in 0..2000 {
             let mut observed = sample(&mut rng, law, 32.0);
-            // A prompt of 15,000 tokens that is not known here, beside one stream in twenty.
+            // One stream in twenty runs beside a prompt of 15,000 tokens that the gateway does not
+            // know of.
             if rng.random_bool(0.05) {
                 observed.step_ms += 15_000.0 * law.per_read_ms / STEPS_PER_SAMPLE;
             }
@@ -125,7 +128,7 @@
     for i in 0..1000 {
         learner.add_sample(at_ms(i), sample(&mut rng, &law, 32.0));
     }
-    // Callers that do not read: ten times the time.
+    // Callers that do not read their streams make steps look ten times as long.
     for i in 1000..1030 {
         let mut observed = sample(&mut rng, &law, 32.0);
         observed.step_ms *= 10.0;
@@ -149,7 +152,7 @@
     }
     let estimate = LawEstimate::from_moments(&moments);
     assert_eq!(estimate.confident_law(), None, "{estimate:?}");
-    // What was seen is explained all the same, between the prior's values.
+    // The step time at the observed load is still estimated well.
     let step = estimate.law.decode_step_ms(12.0);
     assert!(
         (step / law.decode_step_ms(12.0) - 1.0).abs() < 0.1,
@@ -164,7 +167,8 @@
     assert!(estimate.law.base_ms > 0.0 && estimate.law.per_read_ms > 0.0);
 }
 
-/// A gateway whose list of endpoints is read anew in the middle of a stream once gave such samples.
+/// Guards against invalid samples. A gateway produced them when its list of endpoints was reloaded
+/// in the middle of a stream.
 #[test]
 fn invalid_samples_are_ignored() {
     let mut rng = ChaCha8Rng::seed_from_u64(7);
@@ -174,16 +178,22 @@
     }
     assert!(learner.stats().estimate().confident_law().is_some());
     let before = *learner.stats();
-    let sound = sample(&mut rng, &LAWS[0], 24.0);
+    let valid_sample = sample(&mut rng, &LAWS[0], 24.0);
     for read_tokens in [-5000.0, f64::NAN, f64::INFINITY] {
         let sample = Sample {
             read_tokens,
-            ..sound
+            ..valid_sample
         };
         learner.add_sample(at_ms(2000), sample);
     }
     for step_ms in [0.0, -1.0, f64::NAN] {
-        learner.add_sample(at_ms(2000), Sample { step_ms, ..sound });
+        learner.add_sample(
+            at_ms(2000),
+            Sample {
+                step_ms,
+                ..valid_sample
+            },
+        );
     }
     assert_eq!(*learner.stats(), before);
 }
--- a/components/engine/tests/reports.rs
+++ b/components/engine/tests/reports.rs
@@ -1,4 +1,4 @@
-//! What a gateway knows of engines that others saw.
+//! Tests how a gateway merges the observations of other gateways.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -9,7 +9,7 @@
     Duration::from_secs(secs)
 }
 
-// Steps of 3 ms and 0.1 ms for each running request, and 0.02 ms for each token read.
+// Steps take 3 ms, plus 0.1 ms per running request and 0.02 ms per prompt token read.
 fn observed(samples: u32, offset: u32) -> EngineStats {
     let mut stats = EngineStats::default();
     for i in 0..samples {
--- a/components/fleet/src/capacity.rs
+++ b/components/fleet/src/capacity.rs
@@ -1,29 +1,30 @@
-//! Endpoints by hall and price class, and what they cost.
+//! Endpoint counts by hall and price class, with limits and prices.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-/// How endpoints are ordered and what they cost.
+/// Limits, boot time and prices of a service's endpoints.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ScalingSpec {
-    /// Least endpoints in a hall, both classes together.
+    /// Minimum number of endpoints in a hall, both price classes together.
     pub min_per_hall: u32,
-    /// Most endpoints in a hall, both classes together.
+    /// Maximum number of endpoints in a hall, both price classes together.
     pub max_per_hall: u32,
-    /// Time until an ordered endpoint serves.
+    /// Time from an order until the endpoint serves.
     pub boot_time: Duration,
-    /// Price of a reclaimable one as a part of an on-demand one's, if there are any.
+    /// Price of a reclaimable endpoint relative to an on-demand one; `None` if reclaimable
+    /// endpoints are not offered.
     pub relative_reclaimable_price: Option<f64>,
-    /// Price of an on-demand endpoint a second, by hall.
+    /// Price of an on-demand endpoint per second, by hall.
     pub hall_prices: BTreeMap<String, f64>,
 }
 
-/// Endpoints that take work, by price class.
+/// Serving endpoints by price class.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Held {
-    /// On demand.
+    /// On-demand endpoints.
     pub firm: u32,
-    /// Reclaimable.
+    /// Reclaimable endpoints.
     pub reclaimable: u32,
 }
 
@@ -47,41 +48,42 @@
     }
 }
 
-/// Endpoints by hall.
+/// Endpoint counts by hall.
 pub type Fleet = BTreeMap<String, Held>;
 
-/// An order: so many endpoints of one class in one hall.
+/// An order that sets the number of endpoints of one price class in one hall.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ScalingOrder {
     /// Data hall.
     pub hall: String,
-    /// Class.
+    /// Whether the order is for reclaimable endpoints.
     pub reclaimable: bool,
-    /// Count to hold from now on.
+    /// Number of endpoints to hold.
     pub count: u32,
 }
 
-/// On-demand endpoints of all halls.
-pub(crate) fn total_firm(fleet: &Fleet) -> u32 {
+/// Number of on-demand endpoints in all halls.
+pub(crate) fn total_on_demand(fleet: &Fleet) -> u32 {
     fleet.values().map(|h| h.firm).sum()
 }
 
-/// Endpoints of all halls.
+/// Number of endpoints in all halls.
 pub(crate) fn total_endpoints(fleet: &Fleet) -> u32 {
     fleet.values().map(|held| held.total()).sum()
 }
 
-/// Reclaimable endpoints by hall.
+/// Number of reclaimable endpoints in each hall.
 pub(crate) fn reclaimable_by_hall(fleet: &Fleet) -> Vec<u32> {
     fleet.values().map(|h| h.reclaimable).collect()
 }
 
-/// Adds on-demand endpoints until there are `firm` and each hall holds its least.
-pub(crate) fn add_firm(spec: &ScalingSpec, wanted: &mut Fleet, firm: u32) {
+/// Adds on-demand endpoints until each hall has its minimum and there are `on_demand` in total.
+/// Cheap halls are filled first.
+pub(crate) fn add_on_demand(spec: &ScalingSpec, wanted: &mut Fleet, on_demand: u32) {
     for held in wanted.values_mut() {
         held.firm += spec.min_per_hall.saturating_sub(held.total());
     }
-    while total_firm(wanted) < firm {
+    while total_on_demand(wanted) < on_demand {
         let with_room = wanted
             .iter()
             .filter(|(_, held)| held.total() < spec.max_per_hall);
@@ -95,9 +97,10 @@
     }
 }
 
-/// Gives on-demand endpoints back, the dearest first, until there are `firm`.
-pub(crate) fn remove_firm(spec: &ScalingSpec, wanted: &mut Fleet, firm: u32) {
-    while total_firm(wanted) > firm {
+/// Removes on-demand endpoints, the most expensive first, until `on_demand` are left. No hall goes
+/// below its minimum.
+pub(crate) fn remove_on_demand(spec: &ScalingSpec, wanted: &mut Fleet, on_demand: u32) {
+    while total_on_demand(wanted) > on_demand {
         let surplus = wanted
             .iter()
             .filter(|(_, held)| held.firm > 0 && held.total() > spec.min_per_hall);
--- a/components/fleet/src/holding.rs
+++ b/components/fleet/src/holding.rs
@@ -1,57 +1,59 @@
-//! How many VMs of which price class to hold in which data hall.
+//! Decides how many VMs of each price class to hold in each data hall.
 //!
-//! The firm part of a pool must survive the loss of any one data hall; the rest is bought where it
-//! is cheapest. Changes wait for a margin, so that prices do not make the fleet thrash.
+//! Enough VMs of a pool must be left after the loss of any one data hall; the others are bought
+//! where they are cheapest. VMs are exchanged only for a minimum saving, so that price movements do
+//! not cause constant changes.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-/// Saving, in thousandths of the price, below which a VM is not exchanged for a cheaper one.
+/// Minimum saving, in thousandths of the current cost, for which VMs are exchanged for cheaper
+/// ones.
 const MIN_SAVING_MILLI: u64 = 150;
-/// First pause after a refused start; it doubles with each one.
+/// Backoff after the first refused start; it doubles with each further refusal.
 const INITIAL_BACKOFF: Duration = Duration::from_secs(5);
-/// Longest pause after a refused start.
+/// Maximum backoff after a refused start.
 const MAX_BACKOFF: Duration = Duration::from_secs(300);
-/// How long more VMs than needed must be held before one is given back.
+/// How long an exchange or surplus must persist before VMs are exchanged or given back.
 const SURPLUS_DELAY: Duration = Duration::from_secs(120);
 
-/// What a data hall offers for a pool.
+/// Prices and reclaim rate of a data hall.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct HallOffer {
     /// Data hall.
     pub hall: String,
-    /// Price of a reclaimable VM, in thousandths of the currency unit an hour.
+    /// Price of a reclaimable VM, in thousandths of the currency unit per hour.
     pub reclaimable_milli: u64,
-    /// Price of a VM on demand.
+    /// Price of an on-demand VM, in the same unit.
     pub on_demand_milli: u64,
-    /// Reclaims seen per VM in a thousand hours.
+    /// Observed reclaims per VM in 1,000 hours.
     pub reclaims_milli: u64,
 }
 
-/// What a pool needs.
+/// Number of VMs that a pool needs.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct PoolNeed {
-    /// VMs needed for the firm classes.
-    pub firm: u64,
-    /// VMs needed for everything.
+    /// VMs that must be left after the loss of any one hall.
+    pub after_loss: u64,
+    /// VMs needed for all work.
     pub all: u64,
-    /// Extra cost of one reclaim, in thousandths of the currency unit: work computed again.
+    /// Cost of the work recomputed after one reclaim, in thousandths of the currency unit.
     pub reclaim_cost_milli: u64,
 }
 
-/// VMs of one class in one hall.
+/// Data hall and price class of a VM.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct VmClass {
     /// Data hall.
     pub hall: String,
-    /// Whether on demand.
+    /// Whether the VM is on demand rather than reclaimable.
     pub on_demand: bool,
 }
 
-/// VMs held, by hall and class.
+/// Number of VMs held of each class.
 pub type Holding = BTreeMap<VmClass, u64>;
 
-/// One change to make.
+/// A change of the holding.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum HoldingChange {
     /// Buy one VM.
@@ -60,8 +62,9 @@
     GiveBack(VmClass),
 }
 
-/// The cheapest holding that keeps `firm` VMs after the loss of any one hall, and `all` without
-/// a loss. Reclaimable VMs of a hall go together, so a hall counts as lost whole.
+/// Returns the cheapest holding that keeps `after_loss` VMs after the loss of any one hall and
+/// `all` VMs without a loss. The reclaimable VMs of a hall are reclaimed together, so a hall counts
+/// as lost as a whole.
 pub fn plan_holding(need: PoolNeed, offers: &[HallOffer]) -> Holding {
     let mut ordered: Vec<&HallOffer> = offers.iter().collect();
     ordered.sort_by_key(|o| (reclaimable_cost(o, need), o.hall.clone()));
@@ -71,12 +74,13 @@
     best.unwrap_or_default()
 }
 
-// An equal spread over the cheapest halls: losing one of h halls leaves (h - 1) / h of it.
+// Spreads VMs evenly over the given halls: with n halls, (n - 1) / n of them survive the loss of
+// one.
 fn spread_evenly(need: PoolNeed, halls: &[&HallOffer]) -> Holding {
     let count = halls.len() as u64;
     let total_for_loss = match count {
         0 | 1 => 0,
-        count => (need.firm * count).div_ceil(count - 1),
+        count => (need.after_loss * count).div_ceil(count - 1),
     };
     let total = need.all.max(total_for_loss);
     let mut holding = Holding::new();
@@ -89,13 +93,13 @@
         holding.insert(class, share);
     }
     if count == 1 {
-        // One hall alone: the firm part must not be reclaimable.
+        // With a single hall, the VMs that must be left after a loss are on demand.
         let class = |on_demand| VmClass {
             hall: halls[0].hall.clone(),
             on_demand,
         };
-        holding.insert(class(true), need.firm);
-        holding.insert(class(false), need.all.saturating_sub(need.firm));
+        holding.insert(class(true), need.after_loss);
+        holding.insert(class(false), need.all.saturating_sub(need.after_loss));
     }
     holding.retain(|_, vms| *vms > 0);
     holding
@@ -125,7 +129,8 @@
     delay: Duration,
 }
 
-/// Turns the difference between wanted and held VMs into changes, with pauses and margins.
+/// Turns the difference between the planned and the held VMs into changes. Refused starts are
+/// retried with exponential backoff, and VMs are exchanged only for a minimum saving.
 #[derive(Debug, Default)]
 pub struct HoldingPlanner {
     backoffs: BTreeMap<VmClass, Backoff>,
@@ -133,7 +138,7 @@
 }
 
 impl HoldingPlanner {
-    /// Notes that a start was refused.
+    /// Records a refused start.
     pub fn refused(&mut self, now: Duration, class: &VmClass) {
         let delay = self
             .backoffs
@@ -144,12 +149,13 @@
             .insert(class.clone(), Backoff { until, delay });
     }
 
-    /// Notes that a start succeeded.
+    /// Records a successful start and resets the backoff.
     pub fn started(&mut self, class: &VmClass) {
         self.backoffs.remove(class);
     }
 
-    /// The changes to make now: starts first, and a VM is given back only once the rest stands.
+    /// Returns the changes to make now. VMs are bought first and given back only when enough are
+    /// held.
     pub fn changes(
         &mut self,
         now: Duration,
@@ -181,7 +187,7 @@
         self.backoffs.get(&class).is_none_or(|r| now >= r.until)
     }
 
-    // Enough is held, perhaps not in the wanted places.
+    // Enough VMs are held, but possibly not where the plan wants them.
     fn rebalance(
         &mut self,
         now: Duration,
@@ -197,7 +203,8 @@
             total_cost(wanted, offers, need),
         );
         let is_saving = current_cost * (1000 - MIN_SAVING_MILLI) > planned_cost * 1000;
-        let restores_redundancy = survivors(held) < need.firm && survivors(wanted) >= need.firm;
+        let restores_redundancy =
+            survivors(held) < need.after_loss && survivors(wanted) >= need.after_loss;
         if surplus.is_empty() || !(is_saving || restores_redundancy) {
             self.surplus_since = None;
             return Vec::new();
@@ -221,7 +228,7 @@
     }
 }
 
-// VMs left when the hall with the most reclaimable ones is lost.
+// VMs left after the loss of the hall with the most reclaimable ones.
 fn survivors(holding: &Holding) -> u64 {
     let total: u64 = holding.values().sum();
     let mut by_hall: BTreeMap<&str, u64> = BTreeMap::new();
@@ -231,7 +238,7 @@
     total - by_hall.values().max().copied().unwrap_or(0)
 }
 
-// One bid for each VM that `wanted` has more than `held`.
+// One entry for each VM that `wanted` has in excess of `held`.
 fn shortfall(wanted: &Holding, held: &Holding) -> Vec<VmClass> {
     let lacking_vms = |(class, vms): (&VmClass, &u64)| {
         let lacking = vms.saturating_sub(held.get(class).copied().unwrap_or(0));
--- a/components/fleet/src/lib.rs
+++ b/components/fleet/src/lib.rs
@@ -1,4 +1,5 @@
-//! Which VMs to hold, and how work moves before a reclaim lands. Pure.
+//! Fleet planning: which VMs to hold, how many endpoints to order, and how to move streams off
+//! endpoints before they are reclaimed. The code does no I/O and reads no clock.
 
 mod capacity;
 mod holding;
--- a/components/fleet/src/load.rs
+++ b/components/fleet/src/load.rs
@@ -1,73 +1,74 @@
-//! The load of a service, in endpoints that would be busy all the time.
+//! Load of a service, as the number of endpoints that it keeps fully busy.
 //!
-//! An engine reads prompts and makes tokens in the same steps, so what the two take of its time adds up. Reading takes
-//! the same time whatever runs beside; making a token takes the less the more requests share its step. So the load is
-//! counted at the most requests that an engine may run: at that number pauses and whole answers are still in time for
-//! nearly all streams while the engine is busy all the time.
+//! An engine reads prompts (prefill) and generates tokens (decode) in the same steps, so the time
+//! for both adds up. Prefill time does not depend on the other requests. Decode time per token
+//! falls as more requests share a step. The load is therefore computed for the largest batch at
+//! which pauses between tokens and whole answers still meet the bounds of nearly all streams on a
+//! fully busy engine.
 
 use engine::Law;
 
-/// Part of the slots of plain endpoints that their requests should need at most: gateways choose by gossip that is a
-/// little old, so some endpoints run full while others have room.
+/// Maximum slot utilization of endpoints that are not engines. Gateways choose endpoints by gossip
+/// that is slightly stale, so some run full while others have free slots.
 const MAX_SLOT_UTILIZATION: f64 = 0.7;
-/// Least part of its slots that an engine is taken to bear: bounds that are tighter than that cannot be held by more
-/// endpoints.
+/// Minimum fraction of an engine's slots that is assumed to be usable. Stream bounds that would
+/// require a smaller fraction cannot be met by adding endpoints.
 const MIN_SLOT_UTILIZATION: f64 = 0.125;
 
-/// What is asked of the endpoints of a service.
+/// Demand on the endpoints of a service.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Load {
-    /// Tokens of prompts that are to be read in a second.
+    /// Prompt tokens to read per second.
     pub prompt_tokens_per_s: f64,
     /// Requests at the endpoints.
     pub requests: u32,
-    /// Endpoints that they are spread over.
+    /// Number of endpoints that the requests are spread over.
     pub endpoints: u32,
-    /// Requests that one endpoint works on at once.
+    /// Number of requests that one endpoint handles concurrently.
     pub slots: u32,
-    /// What the limits that endpoints name take away of them, in endpoints.
+    /// Capacity lost to the rate limits that endpoints announce, in endpoints.
     pub limited_endpoints: f64,
-    /// What the endpoints can bear.
+    /// Capacity of an endpoint.
     pub bearing: Bearing,
 }
 
-/// What endpoints can bear.
+/// How the capacity of an endpoint is determined.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub enum Bearing {
-    /// As many requests as they have slots.
+    /// By its number of slots.
     #[default]
     Slots,
-    /// Engines of which not enough was seen yet.
+    /// The endpoints are engines, and there are too few samples to estimate their step time.
     Unknown,
-    /// Engines that follow a law.
+    /// The endpoints are engines with a known step time.
     Engine {
-        /// Time of their steps.
+        /// Step time of the engines.
         law: Law,
-        /// Longest time for a token that keeps streams within their bounds, in milliseconds.
+        /// Longest time per token that meets the bounds of the streams, in milliseconds.
         pace_ms: f64,
     },
 }
 
-/// A load by its parts, in endpoints that would be busy all the time.
+/// Parts of a load, in fully busy endpoints.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct LoadParts {
-    /// For reading prompts.
+    /// Endpoints for reading prompts.
     pub prefill: f64,
-    /// For making tokens, or for holding requests where nothing is read.
+    /// Endpoints for generating tokens, or for holding requests where there are no engines.
     pub decode: f64,
-    /// Requests that one endpoint bears.
+    /// Maximum number of concurrent requests at one endpoint.
     pub max_running: u32,
 }
 
 impl LoadParts {
-    /// Endpoints that would be busy all the time.
+    /// Number of fully busy endpoints.
     pub fn endpoints(self) -> f64 {
         self.prefill + self.decode
     }
 }
 
 impl Load {
-    /// The load; `None` while it is not known what the endpoints can bear.
+    /// Parts of the load; `None` while the capacity of an endpoint is not known.
     pub fn parts(self) -> Option<LoadParts> {
         if self.requests == 0 && self.prompt_tokens_per_s <= 0.0 {
             return Some(LoadParts::default());
@@ -79,8 +80,8 @@
         }
     }
 
-    /// Endpoints that the load would keep busy all the time, and those that stand in for what limits take away; `None` while
-    /// it is not known what the endpoints can bear.
+    /// Number of fully busy endpoints plus the capacity lost to rate limits; `None` while the
+    /// capacity of an endpoint is not known.
     pub fn endpoints_needed(self) -> Option<f64> {
         let busy = self.parts()?.endpoints();
         Some(match busy > 0.0 {
@@ -116,8 +117,8 @@
             .unwrap_or(parts(min_running))
     }
 
-    // Tokens that all endpoints together make in a millisecond: each running request gets one in each step, and steps
-    // wait while prompts are read.
+    // Tokens that all endpoints together generate in a millisecond. Each running request gets one
+    // per step, and steps pause while prompts are read.
     fn generated_per_ms(self, law: Law, prefill: f64) -> f64 {
         let endpoints = f64::from(self.endpoints.max(1));
         let running = f64::from(self.requests);
@@ -126,7 +127,7 @@
     }
 }
 
-// Time for a token at endpoints that are busy all the time, in milliseconds.
+// Time per token at fully busy endpoints, in milliseconds.
 fn busy_pace_ms(parts: &LoadParts, law: Law) -> f64 {
     let step_ms = law.decode_step_ms(f64::from(parts.max_running));
     match parts.decode > 0.0 {
--- a/components/fleet/src/moves.rs
+++ b/components/fleet/src/moves.rs
@@ -1,5 +1,6 @@
-//! How each stream of a reclaim wave is carried on: no request lost, then fewest tokens
-//! recomputed, then least latency.
+//! Plans what happens to each stream on endpoints that are about to be reclaimed. A wave is a set
+//! of endpoints that leave together. Goals in order: lose no request, recompute as few tokens as
+//! possible, keep latency low.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -7,51 +8,53 @@
 use routing::weight;
 use schema::settings::Priority;
 
-/// Time kept free at the end of a notice.
+/// Safety margin at the end of the notice period, in which nothing is planned to run.
 const NOTICE_END_MARGIN: Duration = Duration::from_millis(500);
-/// Time before the end of a notice that moves need beside the export of KV cache.
+/// Time reserved before the end of the notice period for moves, in addition to the time for KV
+/// cache exports.
 const MOVE_LEAD_TIME: Duration = Duration::from_millis(1500);
-/// Weight of a target in a data hall that is in the same wave, in thousandths.
+/// Weight, in thousandths, of a target that may be reclaimed in the same wave.
 const SAME_WAVE_WEIGHT_MILLI: u64 = 50;
 
-/// A stream on an endpoint that leaves.
+/// A stream that runs on a leaving endpoint.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Stream {
-    /// Number of the request at this node.
+    /// Id of the request on this node.
     pub id: u64,
-    /// Endpoint it runs on.
+    /// Name of the endpoint that the stream runs on.
     pub endpoint: String,
-    /// Its class.
+    /// Priority class of the request.
     pub priority: Priority,
-    /// Its deadline.
+    /// Time by which the request must be complete.
     pub deadline: Duration,
-    /// Tokens of its prompt and of the answer so far.
+    /// Tokens in the KV cache: the prompt and the tokens generated so far.
     pub context_tokens: u64,
-    /// Most tokens still to come.
+    /// Upper limit on the tokens still to be generated.
     pub remaining_tokens: u64,
-    /// Whether it may run a second time.
+    /// Whether the request may be executed a second time.
     pub repeatable: bool,
 }
 
-/// An endpoint that can take a stream.
+/// An endpoint that can take over a stream.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Target {
-    /// Name.
+    /// Name of the endpoint.
     pub endpoint: String,
-    /// Slots free by the latest reading.
+    /// Free slots according to the last load report.
     pub free_slots: u32,
-    /// Whether it may be reclaimed in the same wave: same data hall and price class.
+    /// Whether this endpoint may be reclaimed in the same wave: it is reclaimable and a leaving
+    /// endpoint is in the same data hall.
     pub same_wave: bool,
 }
 
-/// Speeds that the plan reckons with.
+/// Rates that the plan assumes.
 #[derive(Clone, Copy, Debug)]
 pub struct MoveRates {
-    /// Time between tokens.
+    /// Time between two generated tokens.
     pub token_interval: Duration,
-    /// KV cache of one token, in bytes.
+    /// Size of the KV cache for one token, in bytes.
     pub kv_bytes_per_token: u64,
-    /// What an endpoint can export, in bytes a second.
+    /// KV cache export bandwidth of one endpoint, in bytes per second.
     pub link_bytes_per_sec: u64,
 }
 
@@ -72,36 +75,38 @@
     }
 }
 
-/// What becomes of one stream.
+/// What to do with one stream.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Move {
-    /// It ends in time where it is.
+    /// Leave the stream on its endpoint: it ends before the endpoint does, or it must not run a
+    /// second time.
     Finish,
-    /// Its KV cache is imported by the target; nothing is computed again.
+    /// Transfer the KV cache to the target; nothing is recomputed.
     Import {
-        /// Endpoint that goes on.
+        /// Endpoint that continues the stream.
         target: String,
     },
-    /// The target computes prompt and answer again.
+    /// Recompute the prompt and the tokens generated so far on the target.
     Recompute {
-        /// Endpoint that goes on.
+        /// Endpoint that continues the stream.
         target: String,
     },
-    /// No target is free: routing finds one when it can.
+    /// No target has a free slot; the router dispatches the stream again when one becomes free.
     Requeue,
 }
 
-/// The plan for a wave: each stream with its move, in the order to carry them out.
+/// Plan for a wave: stream ids with their moves, in the order in which to carry them out.
 pub type MovePlan = Vec<(u64, Move)>;
 
-/// How long to let the streams of one leaving endpoint run on before they are moved. Until then they
-/// give tokens where they are, and those that end need no move at all.
+/// How long to let the streams of one leaving endpoint continue before moving them. They keep
+/// generating tokens meanwhile, and those that finish need no move.
 pub fn delay_before_moves(streams: &[Stream], time_left: Duration, rates: MoveRates) -> Duration {
     let exports: Duration = streams.iter().map(|s| rates.export_time(s)).sum();
     time_left.saturating_sub(exports + MOVE_LEAD_TIME)
 }
 
-/// Plans a whole wave. `left` gives the time left to each leaving endpoint.
+/// Plans the moves of a whole wave. `time_left` maps each leaving endpoint to the time until it is
+/// gone. Streams are ordered by priority, deadline and id.
 pub fn plan_moves(
     now: Duration,
     streams: &[Stream],
@@ -127,7 +132,7 @@
 
 struct Planner {
     targets: Vec<Target>,
-    // Time for which an endpoint's link is taken by exports planned before.
+    // Time for which an endpoint's link is occupied by the exports planned so far.
     link_busy: BTreeMap<String, Duration>,
     rates: MoveRates,
 }
@@ -160,8 +165,8 @@
         Move::Import { target }
     }
 
-    // Weighted rendezvous: nodes that plan the same wave without a message spread alike, and no
-    // target gets a herd.
+    // Weighted rendezvous hashing: nodes that plan the same wave independently spread streams the
+    // same way, and no single target attracts them all.
     fn reserve_target(&mut self, id: u64) -> Option<String> {
         let score = |t: &Target| {
             let wave_weight_milli = if t.same_wave {
--- a/components/fleet/src/purchase.rs
+++ b/components/fleet/src/purchase.rs
@@ -1,9 +1,9 @@
-//! Carrying out a holding plan: no VM is bought twice, and none is forgotten.
+//! Carries out a holding plan without buying a VM twice or losing track of one.
 //!
-//! Every purchase stands in the region's intents row before the cloud is called, under a name that
-//! is used once. A call without an answer is made again under the same name, which the cloud takes
-//! at most once; a new lease holder reads the row and goes on. A VM counts as held from the moment
-//! its intent stands, whether or not the platform's lagging list shows it yet.
+//! Every purchase is written to the region's intents row before the cloud is called, under a name
+//! that is used only once. A call without a reply is repeated under the same name, which the cloud
+//! accepts at most once. A new lease holder reads the row and continues. A VM counts as held as
+//! soon as its intent is written, even if the platform's list lags and does not show it yet.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -13,55 +13,55 @@
 
 use crate::holding::{HallOffer, Holding, HoldingChange, HoldingPlanner, PoolNeed, VmClass};
 
-/// Purchases under way at once, those that the list has not shown for long included.
+/// Maximum number of intents in the row, including VMs that the list has not shown for long enough.
 const MAX_INTENTS: usize = 32;
 /// How long the list must show a VM before its intent is dropped.
 const SETTLE_AFTER: Duration = Duration::from_secs(60);
-/// Longest time for which the list may not show a VM that runs.
+/// Maximum time for which the list may omit a running VM.
 const MAX_LIST_LAG: Duration = Duration::from_secs(300);
-/// Pause before the cloud is asked again about the same VM.
+/// Delay before the cloud is called again for the same VM.
 const RETRY_DELAY: Duration = Duration::from_secs(2);
 
 /// A VM on the platform's list.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ListedVm {
-    /// Name.
+    /// Name of the VM.
     pub name: String,
-    /// Where and how it runs.
+    /// Hall and price class.
     pub class: VmClass,
-    /// Whether it is leaving.
+    /// Whether the VM is leaving.
     pub leaving: bool,
 }
 
-/// What happens to the purchases.
+/// Input of [`Purchases::step`].
 #[derive(Clone, Debug)]
 pub enum PurchaseEvent {
-    /// Time passed under a lease of this epoch.
+    /// Periodic tick while the lease is held.
     Tick {
-        /// The epoch.
+        /// Epoch of the lease.
         epoch: i64,
-        /// The newest list, or `None` if there is none newer than the last.
+        /// The current list; `None` if it has not changed since the last tick.
         listed: Option<Vec<ListedVm>>,
     },
-    /// A table call came back; only the one asked for last counts.
+    /// Reply to a table call. Only the reply to the latest call is used.
     Table {
         /// Number of the call.
         call: u32,
-        /// Its reply.
+        /// Reply of the table.
         reply: Reply,
     },
-    /// The cloud answered: started, refused, or no answer.
+    /// Result of buying the named VM: whether it was started; `None` without a reply.
     Bought(String, Option<bool>),
-    /// The cloud took a VM back, or did not answer.
+    /// Result of giving the named VM back: whether the cloud confirmed it.
     Returned(String, bool),
-    /// The lease is gone: stop.
+    /// The lease is lost; nothing more may be done.
     LeaseLost,
 }
 
-/// What the purchases ask for. Cloud calls are orders: they go out only while the lease holds.
+/// Output of [`Purchases::step`]. Cloud calls may be made only while the lease is held.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum PurchaseAction {
-    /// Make a table call and hand in its reply.
+    /// Make a table call and pass its reply to [`Purchases::step`].
     Call {
         /// Number of the call.
         call: u32,
@@ -70,11 +70,11 @@
     },
     /// Buy this VM.
     Buy(Intent),
-    /// Give this VM back.
+    /// Give the named VM back.
     GiveBack(String),
 }
 
-/// The purchases of one pool by the holder of a region's lease.
+/// Purchases of one pool, made by the holder of the region's lease.
 #[derive(Debug)]
 pub struct Purchases {
     key: String,
@@ -83,7 +83,7 @@
     offers: Vec<HallOffer>,
     planner: HoldingPlanner,
     row: Option<(u64, IntentsRow)>,
-    // The row as it will stand once the write under way is confirmed.
+    // Contents of the row once the write in flight is confirmed.
     pending_row: Option<IntentsRow>,
     is_call_in_flight: bool,
     listed: Option<Vec<ListedVm>>,
@@ -94,7 +94,7 @@
 }
 
 impl Purchases {
-    /// Purchases for a pool that keep their intents in this row.
+    /// Creates the purchases of a pool, with intents stored in the row `key`.
     pub fn new(key: &str, pool: &str, need: PoolNeed, offers: Vec<HallOffer>) -> Self {
         Purchases {
             key: key.to_string(),
@@ -112,13 +112,13 @@
         }
     }
 
-    /// Takes new prices, reclaim rates and needs.
+    /// Replaces the need, prices and reclaim rates.
     pub fn update(&mut self, need: PoolNeed, offers: Vec<HallOffer>) {
         self.need = need;
         self.offers = offers;
     }
 
-    /// Takes one event and returns what is to be done, in order.
+    /// Handles one event and returns the actions to take, in order.
     pub fn step(&mut self, now: Duration, event: PurchaseEvent) -> Vec<PurchaseAction> {
         match event {
             PurchaseEvent::Tick { epoch, listed } => self.tick(now, epoch, listed),
@@ -130,7 +130,7 @@
         }
     }
 
-    // Another holder may change the row: a new term starts by reading it.
+    // Another holder may change the row, so a new term starts by reading it.
     fn reset(&mut self) -> Vec<PurchaseAction> {
         self.row = None;
         self.pending_row = None;
@@ -138,7 +138,7 @@
         self.listed = None;
         self.called_at.clear();
         self.list_status.clear();
-        // A reply to a call of the former term is not taken for one of the next.
+        // Ignore replies to calls of the previous term.
         self.call += 1;
         Vec::new()
     }
@@ -206,7 +206,8 @@
                 let version = self.row.as_ref().map_or(ABSENT, |(version, _)| *version) + 1;
                 self.row = Some((version, written));
             }
-            // Whether the write stands is seen by reading; nothing was called on its strength.
+            // Whether the write was applied is found out by reading the row. No cloud call was made
+            // on the basis of it.
             _ => self.row = None,
         }
         Vec::new()
@@ -224,9 +225,10 @@
         self.row = Some((version, decoded.unwrap_or(empty)));
     }
 
-    // Intents whose VM the list has shown for long are done: the list of the next holder may lag
-    // further. So are those whose VM it has not shown for longer than it lags: the VM is gone.
-    // Returns are done when the list shows the VM no more.
+    // Drops completed intents and returns. An intent is complete when the list has shown its VM for
+    // a while, since the list of the next holder may lag further, or has omitted it for longer than
+    // the list can lag, which means that the VM is gone. A return is complete when the list no
+    // longer shows the VM.
     fn without_completed(&mut self, now: Duration, row: &IntentsRow) -> IntentsRow {
         let mut remaining = row.clone();
         let Some(listed) = &self.listed else {
@@ -254,7 +256,7 @@
         remaining
     }
 
-    // Calls about intents that are not confirmed, and VMs that are being given back.
+    // Cloud calls that are due for unconfirmed intents and for VMs being given back.
     fn due_calls(&mut self, now: Duration, row: &IntentsRow) -> Vec<PurchaseAction> {
         let mut actions = Vec::new();
         for intent in row.intents.iter().filter(|i| !i.started) {
@@ -355,7 +357,7 @@
 
     fn record_returned(&mut self, vm: &str, done: bool) -> Vec<PurchaseAction> {
         if done {
-            // The list will show it no more; until then it is asked about again, which is harmless.
+            // Delay the next call: the list will soon omit the VM. A repeated call is harmless.
             self.called_at
                 .entry(vm.to_string())
                 .and_modify(|at| *at += RETRY_DELAY * 4);
@@ -364,7 +366,7 @@
     }
 }
 
-// What counts as held: what is listed and stays, and what is intended and not listed yet.
+// Held VMs: listed ones that stay, and intended ones that are not listed yet.
 fn held_vms(listed: &[ListedVm], row: &IntentsRow) -> Holding {
     let mut held = Holding::new();
     let is_staying = |vm: &&ListedVm| !vm.leaving && !row.returning.contains(&vm.name);
--- a/components/fleet/src/scaling.rs
+++ b/components/fleet/src/scaling.rs
@@ -1,47 +1,51 @@
-//! Which endpoints of a service to order in which hall.
+//! Decides how many endpoints of a service to order in each hall.
 //!
-//! Reclaimable endpoints are cheap and may vanish a hall at a time, with none to be had there for a
-//! while. So they are spread over all halls where they are to be had, in such a number that the rest
-//! carries the load when some halls vanish; a few on-demand ones stand beside them, and more are ordered
-//! as soon as halls are closed. What is lost is ordered again at once: the refusal shows that a hall is
-//! closed.
+//! Reclaimable endpoints are cheap, but a whole hall of them may vanish at once, and no new ones
+//! are available there for a while. They are therefore spread over all halls where they are
+//! available, in such a number that the remaining ones carry the load when some halls vanish. A few
+//! on-demand endpoints are held beside them, and more are ordered as soon as halls are closed, that
+//! is, refuse orders of reclaimable endpoints. Lost endpoints are ordered again at once, because a
+//! refusal shows that the hall is closed.
 
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::time::Duration;
 
 use crate::capacity::{
-    add_firm, reclaimable_by_hall, remove_firm, total_endpoints, total_firm, Fleet, ScalingOrder,
-    ScalingSpec,
+    add_on_demand, reclaimable_by_hall, remove_on_demand, total_endpoints, total_on_demand, Fleet,
+    ScalingOrder, ScalingSpec,
 };
 use crate::sizing::{load_for_fleet, Need};
 
-/// On-demand endpoints are given back once no further one was recorded for this long: at the start they
-/// record themselves within about a heartbeat (1.2 s at the users' sites).
+/// On-demand endpoints are given back only when no further one has registered for this long. After
+/// a start, endpoints register within about one heartbeat (1.2 s at the users' sites).
 const REGISTRATION_QUIET_PERIOD: Duration = Duration::from_millis(1300);
-/// How long the load must be known before anything is given back.
+/// How long the load must have been known before endpoints are given back.
 const MIN_LOAD_HISTORY: Duration = Duration::from_secs(4);
-/// Endpoints are added for the highest load over this time.
+/// Endpoints are added for the peak load in this window.
 const SCALE_UP_WINDOW: Duration = Duration::from_secs(5);
-/// Endpoints are given back for the highest load over so many boot times: one that is given back too early
-/// is missing for one, and its price until then is small beside that.
+/// Endpoints are given back for the peak load in a window of this many boot times. An endpoint
+/// given back too early is missing for one boot time, and the price of keeping it until then is
+/// small compared with that.
 const SCALE_DOWN_WINDOW_BOOTS: u32 = 4;
-/// Loads are remembered for this long; no boot time that a deployment may name needs more.
+/// How long load samples are kept. No boot time that the settings allow needs a longer window.
 const LOAD_RETENTION: Duration = Duration::from_secs(240);
-/// Part of the endpoints that is kept when some are given back: the others take their load first, and what that does
-/// to them is seen before more go.
+/// Fraction of the endpoints that one scale-down step keeps. The remaining endpoints take over the
+/// load, and the effect is observed before more are given back.
 const KEPT_FRACTION: f64 = 0.75;
-/// Time after which the effect of giving some back is seen: they end their requests first, and requests run for two
-/// to three seconds.
+/// Minimum time between scale-down steps under load. Endpoints finish their requests first, which
+/// takes two to three seconds.
 const SCALE_DOWN_COOLDOWN: Duration = Duration::from_secs(4);
-/// Pause after a refused order, until it is given again.
+/// Delay before a refused order is repeated.
 const REFUSED_ORDER_DELAY: Duration = Duration::from_secs(3);
-/// Time past its boot after which an order without effect is repeated.
+/// An order without effect is repeated this long after the boot time of its endpoints has passed.
 const ORDER_REPEAT_DELAY: Duration = Duration::from_secs(2);
 
-/// The highest load seen is believed to be off by this factor at most while its effect on fewer endpoints is not seen: what
-/// is learnt of engines counts as known at a tenth, and the load may rise meanwhile.
+/// Assumed upper limit on the factor by which the peak load is underestimated before the effect of
+/// having fewer endpoints is observed. The estimate of the engines' step times counts as confident
+/// at a relative standard deviation of a tenth, and the load may grow meanwhile.
 const MAX_LOAD_ERROR_FACTOR: f64 = 2.0;
-/// Standard deviations of the scatter of a load, beside that.
+/// Number of standard deviations, each the square root of the load, that are added to the peak load
+/// before the error factor is applied.
 const LOAD_STD_DEVS: f64 = 4.0;
 
 #[derive(Clone, Copy, Debug)]
@@ -50,33 +54,34 @@
     placed_at: Duration,
 }
 
-/// The planner of one service. Every gateway observes; only the holder of the lease plans, so a new one
-/// knows as much as the last.
+/// Autoscaler of one service in one region. Every gateway observes, but only the lease holder
+/// plans, so that a new holder starts with the same data.
 #[derive(Debug, Default)]
 pub struct Scaler {
-    // Regions of the service that lend each other room, this one included; 0 counts as one.
+    // Number of regions of the service that share headroom, this one included; 0 counts as 1.
     regions: u32,
     held: Fleet,
-    // Most on-demand endpoints that were held before there was a load, or all that were found beside one, and since
-    // when.
+    // Size of the fleet found at the start: the maximum number of on-demand endpoints observed
+    // before the first load, or, if the load is unknown, all endpoints at that moment.
+    // `baseline_at` is the time of the observation.
     baseline: u32,
     baseline_at: Duration,
-    // When what is held was confirmed last.
+    // Time at which `held` was last confirmed.
     as_of: Duration,
     load_since: Option<Duration>,
-    // Whether there is a load that is not known.
+    // Whether there is a load whose size is not known.
     is_load_unknown: bool,
-    // When endpoints were given back last under a load.
+    // Time of the last scale-down step under load.
     scaled_down_at: Option<Duration>,
     loads: VecDeque<(Duration, f64)>,
     pending_orders: BTreeMap<(String, bool), PendingOrder>,
     refused_until: BTreeMap<(String, bool), Duration>,
-    // Halls where the last order of reclaimable endpoints was refused.
+    // Halls that refused the last order of reclaimable endpoints.
     closed_halls: BTreeSet<String>,
 }
 
 impl Scaler {
-    /// The planner of one of so many regions that lend each other room.
+    /// Creates the autoscaler of one of `regions` regions that share headroom.
     pub fn for_regions(regions: usize) -> Self {
         Scaler {
             regions: regions as u32,
@@ -84,19 +89,21 @@
         }
     }
 
-    /// Takes what is held and asked for now. `load` is in endpoints that would be busy all the time.
+    /// Records the held endpoints and the load. `load` is the number of endpoints that it keeps
+    /// fully busy.
     pub fn observe(&mut self, now: Duration, held: &Fleet, load: f64) {
         self.observe_as_of(now, now, held, load);
     }
 
-    /// The same, where what is held was confirmed at `as_of` only: it may be more by now.
+    /// Like [`Scaler::observe`], for endpoints that were last confirmed at `as_of`: more may exist
+    /// by now.
     pub fn observe_as_of(&mut self, now: Duration, as_of: Duration, held: &Fleet, load: f64) {
         self.drop_ineffective_orders(held);
         self.held = held.clone();
         self.as_of = as_of;
-        let firm = total_firm(held);
-        if firm > self.baseline && self.load_since.is_none() {
-            self.baseline = firm;
+        let on_demand = total_on_demand(held);
+        if on_demand > self.baseline && self.load_since.is_none() {
+            self.baseline = on_demand;
             self.baseline_at = as_of;
         }
         self.is_load_unknown = false;
@@ -107,8 +114,9 @@
         self.loads.retain(|(at, _)| now < *at + LOAD_RETENTION);
     }
 
-    /// The same, where there is a load and it is not known how much of it an endpoint can bear. Whoever starts beside
-    /// a load takes what it finds for what is needed, so that what is lost meanwhile is ordered again.
+    /// Like [`Scaler::observe_as_of`], for a load whose size is not known because the capacity of
+    /// an endpoint is not. If no fleet size is on record, the endpoints found now are taken as
+    /// required, so that lost ones are ordered again.
     pub fn observe_unknown_load(&mut self, as_of: Duration, held: &Fleet) {
         self.drop_ineffective_orders(held);
         self.held = held.clone();
@@ -120,22 +128,22 @@
         }
     }
 
-    /// What was held at the last look.
+    /// Endpoints in the last observation.
     pub fn held(&self) -> &Fleet {
         &self.held
     }
 
-    /// The load at the last look.
+    /// Load in the last observation.
     pub fn latest_load(&self) -> f64 {
         self.loads.back().map_or(0.0, |(_, load)| *load)
     }
 
-    /// The highest load that endpoints are given back against.
+    /// Peak load that scale-down decisions use.
     pub fn peak_load(&self, now: Duration, spec: &ScalingSpec) -> f64 {
         self.max_load(now, spec.boot_time * SCALE_DOWN_WINDOW_BOOTS)
     }
 
-    /// Why nothing may be given back now, if so.
+    /// Why no endpoints may be given back now; `None` if they may.
     pub fn scale_down_block_reason(&self, now: Duration) -> Option<&'static str> {
         if self.is_load_unknown {
             return Some("the capacity of an endpoint is not known");
@@ -158,7 +166,7 @@
         }
     }
 
-    /// The orders to give now.
+    /// Returns the orders to place now.
     pub fn plan(&mut self, now: Duration, spec: &ScalingSpec) -> Vec<ScalingOrder> {
         let expected = self.expected(now, spec);
         let wanted = self.wanted(now, spec, &expected);
@@ -185,14 +193,15 @@
         order.count < held.count(order.reclaimable)
     }
 
-    /// An order was taken.
+    /// Records an accepted order.
     pub fn accepted(&mut self, order: &ScalingOrder) {
         if order.reclaimable {
             self.closed_halls.remove(&order.hall);
         }
     }
 
-    /// An order was refused: none are to be had there now. Returns whether the hall was taken for open.
+    /// Records a refused order: no endpoints of its class are available in the hall. Returns
+    /// whether the hall counted as open until now.
     pub fn refused(&mut self, now: Duration, order: &ScalingOrder) -> bool {
         let key = (order.hall.clone(), order.reclaimable);
         self.pending_orders.remove(&key);
@@ -200,18 +209,18 @@
         order.reclaimable && self.closed_halls.insert(order.hall.clone())
     }
 
-    /// An order got no answer; it is given again.
+    /// Records an order without a reply; it is placed again.
     pub fn unanswered(&mut self, order: &ScalingOrder) {
         let key = (order.hall.clone(), order.reclaimable);
         self.pending_orders.remove(&key);
     }
 
-    /// Forgets the orders given: another gateway gave some since.
+    /// Drops all pending orders, because another gateway has placed some since.
     pub fn forget_orders(&mut self) {
         self.pending_orders.clear();
     }
 
-    // Endpoints that vanish although they were ordered are to be ordered again.
+    // Drops orders whose endpoints vanished, so that they are ordered again.
     fn drop_ineffective_orders(&mut self, held: &Fleet) {
         let before = &self.held;
         self.pending_orders.retain(|(hall, reclaimable), order| {
@@ -221,7 +230,8 @@
         });
     }
 
-    // The highest load of some time; before there was any, the one that the fleet is for.
+    // Peak load within `window`; before the first load, the load that the fleet is assumed to be
+    // meant for.
     fn max_load(&self, now: Duration, window: Duration) -> f64 {
         if self.load_since.is_none() {
             return load_for_fleet(self.baseline, self.regions);
@@ -230,13 +240,13 @@
         recent.map(|(_, load)| *load).fold(0.0, f64::max)
     }
 
-    // Whether the endpoints found at the start are all known. An order names a count, so one for a hall whose
-    // endpoints are not known yet would give them back.
+    // Whether all endpoints that existed at the start are known. An order sets a count, so an order
+    // for a hall whose endpoints are not all known would give the unknown ones back.
     fn is_baseline_complete(&self) -> bool {
         self.as_of >= self.baseline_at + REGISTRATION_QUIET_PERIOD
     }
 
-    // What is held, or will be once the newest orders have had their effect.
+    // Endpoints held once all pending orders have taken effect.
     fn expected(&self, now: Duration, spec: &ScalingSpec) -> Fleet {
         let mut expected = self.held.clone();
         for hall in spec.hall_prices.keys() {
@@ -257,7 +267,7 @@
         let scale_down = self.need(self.scale_down_load(now, spec, expected));
         let scale_up = match self.closed_halls.is_empty() {
             true => self.need(self.max_load(now, SCALE_UP_WINDOW)),
-            // What is missing then cannot be had soon, also not for a load that only paused.
+            // In a closed hall, capacity cannot be replaced soon, even for a load that only pauses.
             false => self.need(self.peak_load(now, spec)),
         };
         let can_scale_down = self.scale_down_block_reason(now).is_none();
@@ -268,19 +278,20 @@
             scale_up,
             can_scale_down.then_some(scale_down),
         );
-        let firm = scale_up.firm_required(&reclaimable_by_hall(&wanted));
-        add_firm(spec, &mut wanted, firm);
+        let on_demand = scale_up.on_demand_required(&reclaimable_by_hall(&wanted));
+        add_on_demand(spec, &mut wanted, on_demand);
         if can_scale_down {
-            remove_firm(
+            remove_on_demand(
                 spec,
                 &mut wanted,
-                self.scale_down_firm(scale_down).max(firm),
+                self.scale_down_on_demand(scale_down).max(on_demand),
             );
         }
         wanted
     }
 
-    // The load that endpoints are kept for: one step gives only some of them back.
+    // Load that endpoints are kept for. It limits how many endpoints one scale-down step gives
+    // back.
     fn scale_down_load(&self, now: Duration, spec: &ScalingSpec, expected: &Fleet) -> f64 {
         let highest = self.peak_load(now, spec);
         if self.load_since.is_none() {
@@ -291,18 +302,18 @@
         highest.max(step.min(load_upper_bound(highest)))
     }
 
-    // Reclaimable endpoints that were ordered and do not serve yet replace nothing.
-    fn scale_down_firm(&self, need: Need) -> u32 {
+    // Reclaimable endpoints that are ordered but do not serve yet replace no on-demand ones.
+    fn scale_down_on_demand(&self, need: Need) -> u32 {
         let serving = reclaimable_by_hall(&self.held);
         let for_all = need.all.saturating_sub(serving.iter().sum());
-        need.firm_required(&serving).max(for_all)
+        need.on_demand_required(&serving).max(for_all)
     }
 
     fn need(&self, load: f64) -> Need {
         Need::for_load(load, self.regions)
     }
 
-    // As many reclaimable endpoints in each open hall as make the whole cheapest.
+    // Sets the cheapest number of reclaimable endpoints in each open hall.
     fn spread_reclaimable(
         &self,
         spec: &ScalingSpec,
@@ -326,7 +337,7 @@
         }
     }
 
-    // Orders that show whether closed halls are open again; nothing is planned upon them.
+    // Orders that test whether closed halls are open again. The plan does not rely on them.
     fn probe_closed_halls(&mut self, now: Duration, spec: &ScalingSpec) -> Vec<ScalingOrder> {
         let Some(price) = spec.relative_reclaimable_price else {
             return Vec::new();
@@ -366,8 +377,9 @@
     }
 }
 
-// What a load may be at most, if so much was seen of it. A fleet that could carry several times that shows nothing by a step
-// of a quarter; it is lowered to what carries this at once, and in steps from there.
+// Upper confidence bound of the load, given the observed peak. A fleet that could carry several
+// times the load shows no effect of giving back a quarter, so it is reduced to what carries this
+// bound at once, and in steps after that.
 fn load_upper_bound(load: f64) -> f64 {
     MAX_LOAD_ERROR_FACTOR * (load + LOAD_STD_DEVS * load.sqrt())
 }
--- a/components/fleet/tests/load.rs
+++ b/components/fleet/tests/load.rs
@@ -1,36 +1,38 @@
-//! What load an engine's law makes of what is asked.
-//!
-//! Each pattern is named by what is heavy in it; its figures are those that such engines show: the time of a step in
-//! milliseconds, the tokens that are read in one, and what callers ask in a second.
+//! Tests the load computed from the step time of engines. The patterns are named after their
+//! dominant part. The figures are typical of such engines: step time in milliseconds, prompt tokens
+//! read per step, and requests per second.
 
 use engine::Law;
 use fleet::{Bearing, Load, LoadParts};
 
-/// Pauses of 600 ms for 7 tokens allow 86 ms a token; of answers, the longest of 95 in 100 have 950 tokens and
-/// 11.4 s between their aim and their time-out.
+/// Pauses of 600 ms for 7 tokens allow 86 ms per token. Whole answers are the tighter bound: the
+/// 95th percentile of their length is 950 tokens, with 11.4 s between their target latency and
+/// their time-out, which allows 12 ms per token.
 const PACE_MS: f64 = 12.0;
 
-/// Steps that grow from 3.1 to 9.6 ms as 64 requests run, much made beside much that is read.
+/// Step time grows from 3.1 to 9.6 ms with 64 running requests; both decode and prefill are heavy.
 const HEAVY_DECODE_AND_PREFILL: Law = Law {
     base_ms: 3.09,
     per_running_ms: 0.102,
     per_read_ms: 1.0 / 56.9,
 };
-/// Steps that hardly grow with what runs: slots bind first.
+/// Step time hardly grows with the running requests, so the slots are the limit.
 const NEARLY_CONSTANT_STEP_TIME: Law = Law {
     base_ms: 2.97,
     per_running_ms: 0.0222,
     per_read_ms: 1.0 / 101.0,
 };
 
-/// Steps that do not grow with what runs, of engines with many slots: reading is most of the load.
+/// Step time does not grow with the running requests, and engines have many slots, so prefill is
+/// most of the load.
 const CONSTANT_STEP_TIME: Law = Law {
     base_ms: 4.23,
     per_running_ms: 0.0008,
     per_read_ms: 1.0 / 64.2,
 };
 
-/// A load as gateways see it at so many endpoints, where `made` tokens are made and `read` ones read in a ms.
+/// The load that gateways observe at `endpoints` endpoints when `generated` tokens are generated
+/// and `read` prompt tokens are read per millisecond.
 fn observed_load(law: Law, slots: u32, endpoints: u32, generated: f64, read: f64) -> Load {
     let endpoint_count = f64::from(endpoints);
     let free = 1.0
@@ -55,10 +57,11 @@
 
 #[test]
 fn prefill_and_decode_load_add_up() {
-    // 27.5 million prompt tokens in 52 s and 61 tokens made in a millisecond.
+    // 27.5 million prompt tokens in 52 s, and 61 tokens generated per millisecond.
     let computed = parts(observed_load(HEAVY_DECODE_AND_PREFILL, 64, 60, 61.0, 529.0));
     assert!((computed.prefill - 9.3).abs() < 0.05, "{computed:?}");
-    // At 35 running a step takes 6.66 ms, and 12 with what is read beside: 61 x 6.66 / 35 engines make the tokens.
+    // With 35 running requests a step takes 6.66 ms without prefill, and a token takes 12 ms with
+    // it. Generating the tokens takes 61 x 6.66 / 35 engines.
     assert!((33..=37).contains(&computed.max_running), "{computed:?}");
     assert!((11.2..=12.0).contains(&computed.decode), "{computed:?}");
 }
@@ -86,7 +89,7 @@
 
 #[test]
 fn slots_are_the_limit_where_the_step_time_hardly_grows() {
-    // 1.2 million prompt tokens read in a second, 99 tokens made in a millisecond.
+    // 1.2 million prompt tokens read per second, 99 tokens generated per millisecond.
     let computed = parts(observed_load(
         NEARLY_CONSTANT_STEP_TIME,
         32,
@@ -103,8 +106,8 @@
 
 #[test]
 fn prefill_is_most_of_the_load_where_the_step_time_does_not_grow() {
-    // 450,000 prompt tokens read in a second, 40 tokens made in a millisecond; 64 requests share each step.
-    // 730 tokens in 14 s allow 19 ms a token.
+    // 450,000 prompt tokens read per second, 40 tokens generated per millisecond; 64 requests share
+    // each step. 730 tokens in 14 s allow 19 ms per token.
     let bearing = Bearing::Engine {
         law: CONSTANT_STEP_TIME,
         pace_ms: 19.0,
@@ -129,7 +132,7 @@
     assert_eq!(with(1000.0).max_running, 64);
     assert!(with(8.0).endpoints() > with(12.0).endpoints());
     assert!(with(12.0).endpoints() > with(1000.0).endpoints());
-    // Bounds that no engine could hold do not ask for endless ones.
+    // Bounds that no engine can meet do not require an unlimited number of endpoints.
     assert_eq!(with(0.1).max_running, 8);
 }
 
@@ -144,7 +147,7 @@
         bearing: Bearing::Unknown,
     };
     assert_eq!(load.parts(), None);
-    // Nothing asked is no load, whatever the engines bear.
+    // Without demand the load is zero, whatever the capacity of the engines.
     let idle = Load {
         prompt_tokens_per_s: 0.0,
         requests: 0,
@@ -167,7 +170,7 @@
     assert!((14.0..=15.0).contains(&endpoints), "{endpoints}");
 }
 
-// Guards against a plan that counts an endpoint under a limit as a whole one.
+// Guards against a plan that counts an endpoint with a rate limit as a whole one.
 #[test]
 fn capacity_lost_to_rate_limits_is_added_to_a_load_but_not_without_one() {
     let load = Load {
--- a/components/fleet/tests/plans.rs
+++ b/components/fleet/tests/plans.rs
@@ -1,4 +1,4 @@
-//! Reclaim plans and holdings, over random waves, prices and refusals.
+//! Tests move plans and holding plans with random waves, prices and refusals.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -127,7 +127,8 @@
             repeatable: true,
         })
         .collect();
-    // 320 MB a stream over 1.25 GB/s are 256 ms each: nine fit in 2.5 s less the margin of 0.2 s.
+    // 320 MB per stream over 1.25 GB/s take 256 ms each: nine fit into 2.4 s, which is the notice
+    // of 2.9 s less the margin of 0.5 s.
     let plan = plan_moves(
         Duration::ZERO,
         &streams,
@@ -179,15 +180,15 @@
 }
 
 #[test]
-fn the_loss_of_any_hall_leaves_the_firm_part() {
+fn the_loss_of_any_hall_leaves_the_required_vms() {
     fn property(seed: u64) -> bool {
         let mut rng = ChaCha8Rng::seed_from_u64(seed);
         let halls = rng.random_range(1..6);
         let offers = offers(&mut rng, halls);
-        let firm = rng.random_range(0..20);
+        let after_loss = rng.random_range(0..20);
         let need = PoolNeed {
-            firm,
-            all: firm + rng.random_range(0..10),
+            after_loss,
+            all: after_loss + rng.random_range(0..10),
             reclaim_cost_milli: 500,
         };
         let holding = plan_holding(need, &offers);
@@ -199,7 +200,7 @@
                 .sum()
         };
         let total: u64 = holding.values().sum();
-        total >= need.all && offers.iter().all(|o| lost(&o.hall) >= need.firm)
+        total >= need.all && offers.iter().all(|o| lost(&o.hall) >= need.after_loss)
     }
     check(property as fn(u64) -> bool);
 }
@@ -209,7 +210,7 @@
     let mut rng = ChaCha8Rng::seed_from_u64(5);
     let offers = offers(&mut rng, 3);
     let need = PoolNeed {
-        firm: 4,
+        after_loss: 4,
         all: 6,
         reclaim_cost_milli: 0,
     };
@@ -237,7 +238,7 @@
         let mut rng = ChaCha8Rng::seed_from_u64(seed);
         let mut offers = offers(&mut rng, 4);
         let need = PoolNeed {
-            firm: 6,
+            after_loss: 6,
             all: 9,
             reclaim_cost_milli: 100,
         };
--- a/components/fleet/tests/purchases.rs
+++ b/components/fleet/tests/purchases.rs
@@ -1,4 +1,5 @@
-//! Purchases with lost answers, refused starts, a lagging list, and holders that change.
+//! Tests purchases with lost replies, refused starts, a lagging list and changes of the lease
+//! holder.
 
 use std::collections::{BTreeMap, VecDeque};
 use std::time::Duration;
@@ -11,7 +12,7 @@
 const KEY: &str = "intents/home/chat";
 const STEP_TIME: Duration = Duration::from_millis(100);
 const HOLDERS: usize = 2;
-/// The list shows the cloud as it was so many steps before.
+/// The list shows the state of the cloud this many steps ago.
 const LIST_LAG_STEPS: usize = 100;
 
 struct Simulation {
@@ -20,7 +21,7 @@
     holder: usize,
     epoch: i64,
     vms: BTreeMap<String, VmClass>,
-    // Starts so far, to find a VM bought twice.
+    // Number of starts by VM name, to detect a VM that is bought twice.
     starts: BTreeMap<String, u32>,
     vm_history: VecDeque<BTreeMap<String, VmClass>>,
     is_refusing: bool,
@@ -38,9 +39,9 @@
         .collect()
 }
 
-fn need(firm: u64, all: u64) -> PoolNeed {
+fn need(after_loss: u64, all: u64) -> PoolNeed {
     PoolNeed {
-        firm,
+        after_loss,
         all,
         reclaim_cost_milli: 100,
     }
@@ -86,7 +87,8 @@
         }
     }
 
-    // A start may be refused, lost, or made without an answer; a name is started once.
+    // A start may be refused, lost, or carried out without a reply. Each name is started at most
+    // once.
     fn buy(&mut self, now: Duration, n: usize, intent: Intent) {
         let has_faults = self.table.faults.lost > 0;
         let is_lost = has_faults && self.table.rng.random_ratio(1, 6);
@@ -122,7 +124,7 @@
         self.max_held = self.max_held.max(self.vms.len());
     }
 
-    // The holder loses its lease in the midst of anything.
+    // The holder loses its lease, possibly in the middle of a purchase.
     fn change_holder(&mut self, now: Duration) {
         self.handle_event(now, self.holder, PurchaseEvent::LeaseLost);
         self.holder = 1 - self.holder;
@@ -137,7 +139,7 @@
     }
 }
 
-// Faults for the first 400 s, then more than ten minutes without.
+// Runs with faults for the first 400 s, then for more than ten minutes without.
 fn run(seed: u64, refusals: bool) -> Simulation {
     let mut simulation = Simulation::new(seed, ROUGH);
     for step in 0..12_000 {
@@ -157,19 +159,20 @@
     simulation
 }
 
-// Six firm VMs must survive the loss of one of three halls: nine are wanted.
+// Six VMs must be left after the loss of one of three halls, which takes nine.
 const PLANNED_VMS: usize = 9;
 
 #[test]
 fn the_wanted_vms_are_held_once_the_faults_stop() {
-    // One VM too many stays: giving it back saves less than the margin of an exchange.
+    // One excess VM may stay: giving it back saves less than the minimum saving for an exchange.
     let held = |seed| run(seed, true).vms.len();
     assert!((0..12)
         .map(held)
         .all(|vms| vms == PLANNED_VMS || vms == PLANNED_VMS + 1));
 }
 
-// While a hall refuses, the others must hold more: this is about lost answers and new holders.
+// Runs without refusals, because the other halls hold more VMs while one refuses. The faults are
+// lost replies and changes of the holder.
 #[test]
 fn no_vm_is_bought_twice_for_one_need() {
     check(12, |seed| run(seed, false).max_held == PLANNED_VMS);
@@ -179,7 +182,7 @@
 fn every_vm_is_listed_and_no_intent_is_left() {
     check(12, |seed| {
         let simulation = run(seed, true);
-        // Each is on the list, and the row has nothing left to settle.
+        // The list shows every VM, and the row has no intents left.
         let listed = simulation.listed().len();
         listed == simulation.vms.len() && simulation.row().is_some_and(|r| r.intents.is_empty())
     });
--- a/components/fleet/tests/scaling.rs
+++ b/components/fleet/tests/scaling.rs
@@ -1,4 +1,4 @@
-//! What is ordered where.
+//! Tests the orders of the autoscaler.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -17,9 +17,9 @@
 }
 
 fn held(list: &[(&str, u32, u32)]) -> BTreeMap<String, Held> {
-    let held = |(hall, firm, reclaimable): &(&str, u32, u32)| {
+    let held = |(hall, on_demand, reclaimable): &(&str, u32, u32)| {
         let held = Held {
-            firm: *firm,
+            firm: *on_demand,
             reclaimable: *reclaimable,
         };
         (hall.to_string(), held)
@@ -44,7 +44,7 @@
     }
 }
 
-/// Carries orders out at once, but for reclaimable ones in closed halls, which are refused.
+/// Applies orders at once, except that orders of reclaimable endpoints in closed halls are refused.
 fn run_with_closed_halls(
     scaler: &mut Scaler,
     held: &mut Fleet,
@@ -69,8 +69,8 @@
 }
 
 fn totals(held: &BTreeMap<String, Held>) -> (u32, u32) {
-    let firm = held.values().map(|h| h.firm).sum();
-    (firm, held.values().map(|h| h.reclaimable).sum())
+    let on_demand = held.values().map(|h| h.firm).sum();
+    (on_demand, held.values().map(|h| h.reclaimable).sum())
 }
 
 #[test]
@@ -78,13 +78,13 @@
     let mut scaler = Scaler::default();
     let mut held = held(&[("a", 3, 0), ("b", 2, 0), ("c", 2, 0), ("d", 2, 0)]);
     run(&mut scaler, &mut held, 3.0, (0, 60));
-    let (firm, reclaimable) = totals(&held);
+    let (on_demand, reclaimable) = totals(&held);
     let each: Vec<u32> = held.values().map(|h| h.reclaimable).collect();
     assert!(each.iter().all(|count| *count == each[0]), "{held:?}");
-    assert!(firm + reclaimable / 2 >= 5, "{held:?}");
-    // Nine on-demand ones would cost 9.
+    assert!(on_demand + reclaimable / 2 >= 5, "{held:?}");
+    // Nine on-demand endpoints would cost 9.
     assert!(
-        f64::from(firm) + 0.2 * f64::from(reclaimable) < 5.0,
+        f64::from(on_demand) + 0.2 * f64::from(reclaimable) < 5.0,
         "{held:?}"
     );
 }
@@ -95,7 +95,7 @@
     let mut held = held(&[("a", 5, 0), ("b", 5, 0), ("c", 4, 0), ("d", 4, 0)]);
     run(&mut scaler, &mut held, 6.0, (0, 60));
     assert_eq!(totals(&held).0, 3, "{held:?}");
-    // The cheapest hall has them.
+    // They are in the cheapest hall.
     assert_eq!(held["b"].firm, 3, "{held:?}");
 }
 
@@ -117,9 +117,9 @@
 }
 
 fn gives_back_on_demand(orders: &[ScalingOrder], held: &Fleet) -> bool {
-    let firm = |hall: &str| held.get(hall).map_or(0, |h| h.firm);
+    let on_demand = |hall: &str| held.get(hall).map_or(0, |h| h.firm);
     let mut orders = orders.iter();
-    orders.any(|o| !o.reclaimable && o.count < firm(&o.hall))
+    orders.any(|o| !o.reclaimable && o.count < on_demand(&o.hall))
 }
 
 #[test]
@@ -138,11 +138,11 @@
     let mut scaler = Scaler::default();
     let mut held = held(&[("a", 3, 0), ("b", 2, 0), ("c", 2, 0), ("d", 2, 0)]);
     run(&mut scaler, &mut held, 0.0, (0, 20));
-    let (firm, reclaimable) = totals(&held);
-    assert!(firm + reclaimable >= 9 && firm <= 2, "{held:?}");
-    // The reclaimable ones do not count as found in turn.
+    let (on_demand, reclaimable) = totals(&held);
+    assert!(on_demand + reclaimable >= 9 && on_demand <= 2, "{held:?}");
+    // The reclaimable endpoints are not added to the baseline.
     run(&mut scaler, &mut held, 0.0, (20, 60));
-    assert_eq!(totals(&held), (firm, reclaimable));
+    assert_eq!(totals(&held), (on_demand, reclaimable));
 }
 
 #[test]
@@ -153,14 +153,14 @@
     state.values_mut().for_each(|held| held.reclaimable = 0);
     let all = ["a", "b", "c", "d"];
     run_with_closed_halls(&mut scaler, &mut state, 5.0, (60, 64), &all);
-    let (firm, reclaimable) = totals(&state);
+    let (on_demand, reclaimable) = totals(&state);
     assert_eq!(reclaimable, 0);
-    // 5 endpoints that would be busy all the time, used at 0.82.
-    assert!(firm >= 7, "{state:?}");
-    // Once the halls are open, the reclaimable ones come back and the others go.
+    // A load of 5 fully busy endpoints at a utilization of 0.82.
+    assert!(on_demand >= 7, "{state:?}");
+    // Once the halls are open, reclaimable endpoints replace the on-demand ones again.
     run(&mut scaler, &mut state, 5.0, (64, 120));
-    let (firm, reclaimable) = totals(&state);
-    assert!(firm <= 3 && reclaimable >= 8, "{state:?}");
+    let (on_demand, reclaimable) = totals(&state);
+    assert!(on_demand <= 3 && reclaimable >= 8, "{state:?}");
 }
 
 #[test]
@@ -173,7 +173,7 @@
     }
     run_with_closed_halls(&mut scaler, &mut state, 5.0, (60, 90), &["c", "d"]);
     let steady = totals(&state);
-    // Looks at the closed halls change nothing else.
+    // Probes of the closed halls change nothing else.
     for now in 90..110 {
         for order in plan(&mut scaler, now, &state, 5.0) {
             assert!(order.reclaimable && ["c", "d"].contains(&order.hall.as_str()));
@@ -234,9 +234,9 @@
             apply_order(&mut state, order);
         }
     }
-    let (firm, reclaimable) = totals(&state);
+    let (on_demand, reclaimable) = totals(&state);
     assert_eq!(reclaimable, 0);
-    assert!((48..=60).contains(&firm), "{firm}");
+    assert!((48..=60).contains(&on_demand), "{on_demand}");
 }
 
 #[test]
@@ -285,7 +285,8 @@
         relative_reclaimable_price: None,
         ..spec()
     };
-    // The other halls hold some too: an order of one would give those back.
+    // The other halls also hold endpoints that are not listed yet: an order for one would give them
+    // back.
     let known = held(&[("a", 3, 0)]);
     scaler.observe_as_of(at(2), at(2), &known, 0.0);
     scaler.observe_as_of(at(5), at(2), &known, 0.0);
@@ -294,11 +295,11 @@
     assert_ne!(scaler.plan(at(6), &only_on_demand), []);
 }
 
-/// One region's halls hold what its own wave asks for, whatever the other region's wave does.
+/// Each region holds what its own load requires, whatever the load of the other region.
 #[test]
 fn regions_with_loads_out_of_phase_are_planned_separately() {
-    // Waves of 0.42 about 8 with a period of 40 s, half a period apart; a boot takes 4 s, so the highest load of the
-    // last 16 s counts.
+    // Loads that oscillate around 8 with an amplitude of 42 percent and a period of 40 s, half a
+    // period apart. The boot time is 4 s, so the peak load of the last 16 s counts.
     let load = |now: u64, phase: f64| {
         let turn = now as f64 / 40.0 + phase;
         8.0 * (1.0 + 0.42 * (turn * std::f64::consts::TAU).sin())
@@ -313,18 +314,20 @@
     for now in 0..200 {
         for (scaler, state, phase) in &mut regions {
             run(scaler, state, load(now, *phase), (now, now + 1));
-            let (firm, reclaimable) = totals(state);
-            let serving = f64::from(firm + reclaimable);
+            let (on_demand, reclaimable) = totals(state);
+            let serving = f64::from(on_demand + reclaimable);
             assert!(serving * 0.7 >= load(now, *phase), "{now} {state:?}");
         }
     }
-    // Seen as one service, the two waves cancel out and the peak of each region would be missed.
+    // Summed up, the two loads cancel out, and planning for the sum would miss the peak of each
+    // region.
     let sum = |now| load(now, 0.0) + load(now, 0.5);
     assert!((0..200).all(|now| (sum(now) - 16.0).abs() < 1e-6));
 }
 
-/// Two regions with a load of 9 each: what both hold for scatter is what one fleet of 18 would, and each still carries
-/// its load when half of its halls vanish, which is three of the six of both.
+/// Two regions with a load of 9 each. Together they hold as much headroom for random variation as
+/// one fleet for a load of 18. Each still carries its load when half of its halls lose their
+/// reclaimable endpoints, which is three of the six halls of both.
 #[test]
 fn regions_that_share_headroom_hold_less_for_load_variation_and_as_much_for_a_loss() {
     let hold = |scaler: &mut Scaler| {
@@ -372,7 +375,7 @@
 
 #[test]
 fn a_large_surplus_is_given_back_in_steps_with_a_cooldown() {
-    let many = ScalingSpec {
+    let large_spec = ScalingSpec {
         max_per_hall: 30,
         ..spec()
     };
@@ -383,7 +386,7 @@
     for now in 0..60 {
         let before = total(&state);
         scaler.observe(at(now), &state, 4.0);
-        for order in scaler.plan(at(now), &many) {
+        for order in scaler.plan(at(now), &large_spec) {
             scaler.accepted(&order);
             apply_order(&mut state, order);
         }
@@ -402,7 +405,7 @@
 
 #[test]
 fn a_growing_load_is_ordered_for_at_once_even_after_a_scale_down() {
-    let many = ScalingSpec {
+    let large_spec = ScalingSpec {
         max_per_hall: 30,
         ..spec()
     };
@@ -412,14 +415,14 @@
     let mut now = 0;
     while total(&state) == 64 {
         scaler.observe(at(now), &state, 4.0);
-        for order in scaler.plan(at(now), &many) {
+        for order in scaler.plan(at(now), &large_spec) {
             apply_order(&mut state, order);
         }
         now += 1;
         assert!(now < 30);
     }
     scaler.observe(at(now), &state, 40.0);
-    for order in scaler.plan(at(now), &many) {
+    for order in scaler.plan(at(now), &large_spec) {
         apply_order(&mut state, order);
     }
     assert!(total(&state) >= 80, "{state:?}");
@@ -452,11 +455,11 @@
             apply_order(&mut state, order);
         }
     }
-    // 12 reclaimable ones are left: on-demand ones take the place of most that were lost.
+    // 12 reclaimable endpoints are left: on-demand ones replace most of the lost ones.
     assert!(total(&state) >= 18 && totals(&state).0 > 6, "{state:?}");
 }
 
-/// Halls of a fleet of thousands, each with so many reclaimable endpoints.
+/// A fleet of thousands with `each` reclaimable endpoints per hall.
 fn fleet_of_thousands(each: u32) -> Fleet {
     held(&["a", "b", "c", "d"].map(|hall| (hall, 1, each)))
 }
@@ -468,7 +471,7 @@
     }
 }
 
-/// Endpoints that are held once a load was seen for as long as it has to be, carried out at once.
+/// Number of endpoints held after a constant load for `secs` seconds, with orders applied at once.
 fn endpoints_held_after(secs: u64, each: u32, load: f64) -> u32 {
     let mut scaler = Scaler::default();
     let mut held = fleet_of_thousands(each);
@@ -479,16 +482,16 @@
             apply_order(&mut held, order);
         }
     }
-    let (firm, reclaimable) = totals(&held);
-    firm + reclaimable
+    let (on_demand, reclaimable) = totals(&held);
+    on_demand + reclaimable
 }
 
 #[test]
 fn nearly_all_of_thousands_are_given_back_at_once_at_a_load_of_a_hundred() {
-    // A step of a quarter would leave thousands.
+    // Giving back a quarter in one step would leave thousands.
     let left = endpoints_held_after(5, 2_500, 100.0);
     assert!(left < 800, "{left}");
-    // What would carry the load if it were twice as high is still there.
+    // The fleet still carries twice the load.
     assert!(left > 400, "{left}");
 }
 
--- a/components/topology/src/lib.rs
+++ b/components/topology/src/lib.rs
@@ -1,18 +1,18 @@
-//! Data halls and the regions they lie in. Pure.
+//! Data halls and the regions that contain them. The code does no I/O.
 //!
-//! A region is the unit that must serve alone while its link to the others is full or cut, a data hall the unit
-//! that may vanish at once. A deployment of one region is the case in which no hall is elsewhere.
+//! A region must be able to serve alone while its link to the others is full or cut. A data hall is
+//! the largest unit that may fail at once. In a deployment with one region, all halls are in it.
 
 use std::collections::{BTreeMap, BTreeSet};
 
-/// How far another data hall is.
+/// Distance from this gateway's hall to another one.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Distance {
-    /// It is the own hall.
+    /// The own hall.
     SameHall,
-    /// It is another hall of the own region.
+    /// Another hall of the own region.
     SameRegion,
-    /// It lies in another region.
+    /// A hall of another region.
     OtherRegion,
 }
 
@@ -21,12 +21,13 @@
 pub struct Topology {
     hall: String,
     region: String,
-    // Region by hall; empty where the settings name none.
+    // Region by hall; empty if the settings list no halls.
     regions: BTreeMap<String, String>,
 }
 
 impl Topology {
-    /// The halls as the settings name them, seen from `hall` in `region`.
+    /// Creates the topology from the regions of the halls in the settings, seen from `hall` in
+    /// `region`.
     pub fn new(hall: &str, region: &str, regions: &BTreeMap<String, String>) -> Self {
         Topology {
             hall: hall.to_string(),
@@ -45,13 +46,14 @@
         &self.region
     }
 
-    /// Region of a hall. A hall that the settings do not name is taken to lie in the own one: a wrong guess costs
-    /// time on the way, while one that is taken to be far would get no work.
+    /// Region of a hall. A hall that is not in the settings counts as part of the own region: if
+    /// that is wrong, requests take longer on the way, while a hall wrongly taken to be remote
+    /// would get no work.
     pub fn region_of<'a>(&'a self, hall: &str) -> &'a str {
         self.regions.get(hall).unwrap_or(&self.region)
     }
 
-    /// How far a hall is.
+    /// Distance to a hall.
     pub fn distance(&self, hall: &str) -> Distance {
         if hall == self.hall {
             return Distance::SameHall;
@@ -62,7 +64,7 @@
         }
     }
 
-    /// All halls that the settings name, the own one included.
+    /// All halls in the settings, and the own one.
     pub fn halls(&self) -> BTreeSet<&str> {
         let named = self.regions.keys().map(String::as_str);
         named.chain([self.hall.as_str()]).collect()
@@ -75,13 +77,13 @@
         halls
     }
 
-    /// All regions, the own one included.
+    /// All regions, including the own one.
     pub fn regions(&self) -> BTreeSet<&str> {
         let named = self.regions.values().map(String::as_str);
         named.chain([self.region.as_str()]).collect()
     }
 
-    /// Place of a hall's region among all: 0 for the own one, then the others by name.
+    /// Index of a hall's region: 0 for the own region, then the others in the order of their names.
     pub fn region_index_of(&self, hall: &str) -> usize {
         let region = self.region_of(hall);
         let others = self.regions();
@@ -94,7 +96,8 @@
         }
     }
 
-    /// The region at a place; the own one where there is none.
+    /// Region with an index as returned by [`Topology::region_index_of`]; the own region if there
+    /// is none.
     pub fn region_by_index(&self, index: usize) -> &str {
         let mut others = self
             .regions()
--- a/components/topology/tests/distances.rs
+++ b/components/topology/tests/distances.rs
@@ -1,4 +1,4 @@
-//! Halls and regions as gateways see them.
+//! Tests the distances between halls and regions.
 
 use std::collections::BTreeMap;
 
