--- a/components/engine/src/learner.rs
+++ b/components/engine/src/learner.rs
@@ -1,100 +1,101 @@
-//! What one gateway learns of a service's engines.
+//! Collects the observations of one gateway about the engines of a service.
 
 use std::time::Duration;
 
-use crate::allowed::AllowedPaces;
-use crate::fit::Estimate;
-use crate::sums::{Sample, Sums};
+use crate::fit::LawEstimate;
+use crate::pace_histogram::PaceHistogram;
+use crate::step_moments::{Sample, StepMoments};
 
-/// Time after which a sample counts for half: versions and VMs change within minutes.
+/// Half-life of a sample. It is short because versions and VMs change within minutes.
 const HALF_LIFE: Duration = Duration::from_secs(60);
-/// Pause between fadings; in between nothing is multiplied.
-const FADE_PAUSE: Duration = Duration::from_secs(1);
-/// Samples between estimates: one costs about as much as ten samples.
-const ESTIMATE_EVERY: u32 = 16;
-/// Longest and shortest time of a sample that is taken as it is, in parts of what the law says: beyond, the engine did
-/// something that is not known here, or the caller did not read.
-const TRUSTED: std::ops::RangeInclusive<f64> = 0.6..=1.6;
+/// Minimum time between two applications of the decay.
+const DECAY_INTERVAL: Duration = Duration::from_secs(1);
+/// Number of samples between two estimates. An estimate costs about as much as adding ten samples.
+const SAMPLES_PER_ESTIMATE: u32 = 16;
+/// Range to which the step time of a sample is clipped, relative to the estimate. Beyond it, the
+/// engine did work that this gateway does not know of, or the caller did not read its stream.
+const ACCEPTED_STEP_RATIO: std::ops::RangeInclusive<f64> = 0.6..=1.6;
 
-/// Sums of one or several gateways.
+/// Observations of one or several gateways.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub struct Learnt {
-    /// What was seen of steps.
-    pub steps: Sums,
-    /// What streams allow.
-    pub allowed: AllowedPaces,
+pub struct EngineStats {
+    /// Moments of the step samples.
+    pub steps: StepMoments,
+    /// Paces that the streams allow.
+    pub allowed_paces: PaceHistogram,
 }
 
-impl Learnt {
-    /// Adds what another gateway saw.
-    pub fn merge(&mut self, other: &Learnt) {
+impl EngineStats {
+    /// Adds the observations of another gateway.
+    pub fn merge(&mut self, other: &EngineStats) {
         self.steps.merge(&other.steps);
-        self.allowed.merge(&other.allowed);
+        self.allowed_paces.merge(&other.allowed_paces);
     }
 
-    /// The law that they speak for.
-    pub fn estimate(&self) -> Estimate {
-        Estimate::of(&self.steps)
+    /// Estimates the law of the engines.
+    pub fn estimate(&self) -> LawEstimate {
+        LawEstimate::from_moments(&self.steps)
     }
 }
 
-/// Takes samples of one service.
+/// Collects samples of one service.
 #[derive(Clone, Debug, Default)]
 pub struct Learner {
-    learnt: Learnt,
-    faded_at: Duration,
-    estimate: Option<Estimate>,
+    stats: EngineStats,
+    decayed_at: Duration,
+    estimate: Option<LawEstimate>,
     samples: u32,
 }
 
 impl Learner {
-    /// Notes what a part of a stream showed; what cannot be of an engine is passed over.
-    pub fn note(&mut self, now: Duration, sample: Sample) {
-        if !sample.is_sound() {
+    /// Adds a sample; invalid ones are ignored.
+    pub fn add_sample(&mut self, now: Duration, sample: Sample) {
+        if !sample.is_valid() {
             return;
         }
-        self.fade(now);
-        let taken = Sample {
-            step_ms: self.trusted(&sample),
+        self.decay(now);
+        let clipped = Sample {
+            step_ms: self.clipped_step_ms(&sample),
             ..sample
         };
-        self.learnt.steps.add(&taken);
+        self.stats.steps.add(&clipped);
         self.samples += 1;
-        if self.samples.is_multiple_of(ESTIMATE_EVERY) {
-            self.estimate = Some(self.learnt.estimate());
+        if self.samples.is_multiple_of(SAMPLES_PER_ESTIMATE) {
+            self.estimate = Some(self.stats.estimate());
         }
     }
 
-    /// Notes a stream that allows so many milliseconds a token.
-    pub fn allow(&mut self, now: Duration, pace_ms: f64) {
-        self.fade(now);
-        self.learnt.allowed.add(pace_ms);
+    /// Adds a stream that allows at most `pace_ms` milliseconds per token.
+    pub fn add_allowed_pace(&mut self, now: Duration, pace_ms: f64) {
+        self.decay(now);
+        self.stats.allowed_paces.add(pace_ms);
     }
 
-    /// What was learnt so far.
-    pub fn learnt(&self) -> &Learnt {
-        &self.learnt
+    /// Observations so far, with exponential decay.
+    pub fn stats(&self) -> &EngineStats {
+        &self.stats
     }
 
-    fn fade(&mut self, now: Duration) {
-        let passed = now.saturating_sub(self.faded_at);
-        if passed < FADE_PAUSE {
+    fn decay(&mut self, now: Duration) {
+        let elapsed = now.saturating_sub(self.decayed_at);
+        if elapsed < DECAY_INTERVAL {
             return;
         }
-        let part = (-passed.as_secs_f64() / HALF_LIFE.as_secs_f64()).exp2();
-        self.faded_at = now;
-        self.learnt.steps.fade(part);
-        self.learnt.allowed.fade(part);
+        let factor = (-elapsed.as_secs_f64() / HALF_LIFE.as_secs_f64()).exp2();
+        self.decayed_at = now;
+        self.stats.steps.decay(factor);
+        self.stats.allowed_paces.decay(factor);
     }
 
-    // Its time, no further from the law than can be explained.
-    fn trusted(&self, sample: &Sample) -> f64 {
-        let law = self.estimate.and_then(|estimate| estimate.known());
+    // Step time of the sample, clipped to the accepted range around the estimate.
+    fn clipped_step_ms(&self, sample: &Sample) -> f64 {
+        let law = self.estimate.and_then(|estimate| estimate.confident_law());
         law.map_or(sample.step_ms, |law| {
-            let expected = law.reading_step_ms(sample.running, sample.read_tokens);
-            sample
-                .step_ms
-                .clamp(expected * TRUSTED.start(), expected * TRUSTED.end())
+            let expected = law.step_with_prefill_ms(sample.running, sample.read_tokens);
+            sample.step_ms.clamp(
+                expected * ACCEPTED_STEP_RATIO.start(),
+                expected * ACCEPTED_STEP_RATIO.end(),
+            )
         })
     }
 }
--- a/components/fleet/src/lib.rs
+++ b/components/fleet/src/lib.rs
@@ -1,16 +1,19 @@
-//! Which VMs to hold, and how work moves before a reclaim lands. Pure.
+//! Fleet planning: which VMs to hold, how many endpoints to order, and how to move streams off
+//! endpoints before they are reclaimed. The code does no I/O and reads no clock.
 
+mod capacity;
 mod holding;
 mod load;
 mod moves;
-mod offer;
 mod purchase;
 mod scaling;
-mod staffing;
+mod sizing;
 
-pub use holding::{plan_holding, Bid, Change, HallOffer, Holding, HoldingPlanner, PoolNeed};
+pub use capacity::{Fleet, Held, ScalingOrder, ScalingSpec};
+pub use holding::{
+    plan_holding, HallOffer, Holding, HoldingChange, HoldingPlanner, PoolNeed, VmClass,
+};
 pub use load::{Bearing, Load, LoadParts};
-pub use moves::{plan_moves, wait_before_moves, Move, MoveRates, Plan, Stream, Target};
-pub use offer::{Fleet, Held, Offer, ScalingOrder};
-pub use purchase::{Listed, PurchaseAction, PurchaseEvent, Purchases};
+pub use moves::{delay_before_moves, plan_moves, Move, MovePlan, MoveRates, Stream, Target};
+pub use purchase::{ListedVm, PurchaseAction, PurchaseEvent, Purchases};
 pub use scaling::Scaler;
--- a/components/fleet/tests/promises.rs
+++ b/components/fleet/tests/plans.rs
@@ -1,11 +1,11 @@
-//! Reclaim plans and holdings, over random waves, prices and refusals.
+//! Tests move plans and holding plans with random waves, prices and refusals.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
 
 use fleet::{
-    plan_holding, plan_moves, Bid, Change, HallOffer, Holding, HoldingPlanner, Move, MoveRates,
-    PoolNeed, Stream, Target,
+    plan_holding, plan_moves, HallOffer, Holding, HoldingChange, HoldingPlanner, Move, MoveRates,
+    PoolNeed, Stream, Target, VmClass,
 };
 use quickcheck::{Gen, QuickCheck, Testable};
 use rand::{RngExt, SeedableRng};
@@ -28,7 +28,7 @@
         priority: Priority(rng.random_range(0..3)),
         deadline: Duration::from_secs(rng.random_range(1..60)),
         context_tokens: rng.random_range(10..4000),
-        left_tokens: rng.random_range(1..600),
+        remaining_tokens: rng.random_range(1..600),
         repeatable: rng.random_bool(0.9),
     }
 }
@@ -90,13 +90,13 @@
 }
 
 #[test]
-fn the_most_urgent_get_the_last_free_slots() {
+fn the_most_urgent_streams_get_the_last_free_slots() {
     let mut rng = ChaCha8Rng::seed_from_u64(3);
     let mut streams: Vec<Stream> = (0..4).map(|i| stream(i, &mut rng)).collect();
     for (i, s) in streams.iter_mut().enumerate() {
         s.priority = Priority(2 - (i as i32).min(2));
         s.repeatable = true;
-        s.left_tokens = 10_000;
+        s.remaining_tokens = 10_000;
     }
     let plan = plan_moves(
         Duration::ZERO,
@@ -114,7 +114,7 @@
 }
 
 #[test]
-fn kv_is_imported_while_the_link_has_time_and_recomputed_after() {
+fn kv_cache_is_imported_while_the_link_has_time_and_recomputed_after() {
     let rates = MoveRates::default();
     let streams: Vec<Stream> = (0..40)
         .map(|id| Stream {
@@ -123,11 +123,12 @@
             priority: Priority::STANDARD,
             deadline: Duration::from_secs(60),
             context_tokens: 2000,
-            left_tokens: 5000,
+            remaining_tokens: 5000,
             repeatable: true,
         })
         .collect();
-    // 320 MB a stream over 1.25 GB/s are 256 ms each: nine fit in 2.5 s less the margin of 0.2 s.
+    // 320 MB per stream over 1.25 GB/s take 256 ms each: nine fit into 2.4 s, which is the notice
+    // of 2.9 s less the margin of 0.5 s.
     let plan = plan_moves(
         Duration::ZERO,
         &streams,
@@ -148,7 +149,7 @@
     let streams: Vec<Stream> = (0..200)
         .map(|i| Stream {
             repeatable: true,
-            left_tokens: 10_000,
+            remaining_tokens: 10_000,
             ..stream(i, &mut rng)
         })
         .collect();
@@ -179,15 +180,15 @@
 }
 
 #[test]
-fn the_loss_of_any_hall_leaves_the_firm_part() {
+fn the_loss_of_any_hall_leaves_the_required_vms() {
     fn property(seed: u64) -> bool {
         let mut rng = ChaCha8Rng::seed_from_u64(seed);
         let halls = rng.random_range(1..6);
         let offers = offers(&mut rng, halls);
-        let firm = rng.random_range(0..20);
+        let after_loss = rng.random_range(0..20);
         let need = PoolNeed {
-            firm,
-            all: firm + rng.random_range(0..10),
+            after_loss,
+            all: after_loss + rng.random_range(0..10),
             reclaim_cost_milli: 500,
         };
         let holding = plan_holding(need, &offers);
@@ -199,30 +200,30 @@
                 .sum()
         };
         let total: u64 = holding.values().sum();
-        total >= need.all && offers.iter().all(|o| lost(&o.hall) >= need.firm)
+        total >= need.all && offers.iter().all(|o| lost(&o.hall) >= need.after_loss)
     }
     check(property as fn(u64) -> bool);
 }
 
 #[test]
-fn a_refused_hall_is_left_alone_for_a_while_and_others_are_tried() {
+fn a_refused_start_backs_off_and_other_halls_are_tried() {
     let mut rng = ChaCha8Rng::seed_from_u64(5);
     let offers = offers(&mut rng, 3);
     let need = PoolNeed {
-        firm: 4,
+        after_loss: 4,
         all: 6,
         reclaim_cost_milli: 0,
     };
     let mut planner = HoldingPlanner::default();
     let first = planner.changes(Duration::ZERO, need, &offers, &Holding::new());
-    let Change::Buy(refused) = first[0].clone() else {
+    let HoldingChange::Buy(refused) = first[0].clone() else {
         panic!("expected a start")
     };
     planner.refused(Duration::ZERO, &refused);
-    let buys = |changes: &[Change]| {
+    let buys = |changes: &[HoldingChange]| {
         changes
             .iter()
-            .filter(|c| matches!(c, Change::Buy(b) if *b == refused))
+            .filter(|c| matches!(c, HoldingChange::Buy(b) if *b == refused))
             .count()
     };
     let soon = planner.changes(Duration::from_secs(1), need, &offers, &Holding::new());
@@ -231,19 +232,19 @@
 }
 
 #[test]
-fn moving_prices_make_few_changes_beside_following_each_price() {
-    let (mut changes, mut following) = (0, 0);
+fn price_movements_cause_fewer_changes_than_following_each_price() {
+    let (mut changes, mut follow_changes) = (0, 0);
     for seed in 0..40 {
         let mut rng = ChaCha8Rng::seed_from_u64(seed);
         let mut offers = offers(&mut rng, 4);
         let need = PoolNeed {
-            firm: 6,
+            after_loss: 6,
             all: 9,
             reclaim_cost_milli: 100,
         };
         let mut planner = HoldingPlanner::default();
         let mut held = plan_holding(need, &offers);
-        let mut followed = held.clone();
+        let mut follower_held = held.clone();
         for minute in 0..240 {
             for offer in &mut offers {
                 let price = offer.reclaimable_milli;
@@ -254,25 +255,28 @@
                 apply(&mut held, &change);
             }
             let wanted = plan_holding(need, &offers);
-            following += difference(&followed, &wanted);
-            followed = wanted;
+            follow_changes += difference(&follower_held, &wanted);
+            follower_held = wanted;
         }
     }
     assert!(
-        changes * 3 < following,
-        "{changes} changes, {following} by following"
+        changes * 3 < follow_changes,
+        "{changes} changes, {follow_changes} by following"
     );
 }
 
 fn difference(a: &Holding, b: &Holding) -> u64 {
-    let bids: std::collections::BTreeSet<&Bid> = a.keys().chain(b.keys()).collect();
-    let at = |h: &Holding, bid: &Bid| h.get(bid).copied().unwrap_or(0);
-    bids.iter().map(|bid| at(a, bid).abs_diff(at(b, bid))).sum()
+    let classes: std::collections::BTreeSet<&VmClass> = a.keys().chain(b.keys()).collect();
+    let at = |h: &Holding, class: &VmClass| h.get(class).copied().unwrap_or(0);
+    classes
+        .iter()
+        .map(|class| at(a, class).abs_diff(at(b, class)))
+        .sum()
 }
 
-fn apply(held: &mut Holding, change: &Change) {
+fn apply(held: &mut Holding, change: &HoldingChange) {
     match change {
-        Change::Buy(bid) => *held.entry(bid.clone()).or_default() += 1,
-        Change::GiveBack(bid) => *held.entry(Bid::clone(bid)).or_default() -= 1,
+        HoldingChange::Buy(class) => *held.entry(class.clone()).or_default() += 1,
+        HoldingChange::GiveBack(class) => *held.entry(VmClass::clone(class)).or_default() -= 1,
     }
 }
--- a/components/routing/src/placement/balancer.rs
+++ b/components/routing/src/placement/balancer.rs
@@ -160,7 +160,10 @@
         entry.speed = speed.unwrap_or_default();
         entry.is_engine = engine.is_some();
         entry.hall_index = self.hall_index(&entry.spec.zone);
-        entry.region_index = self.network_costs.topology().place_of(&entry.spec.zone);
+        entry.region_index = self
+            .network_costs
+            .topology()
+            .region_index_of(&entry.spec.zone);
         let hashes = [endpoint_hash(&id), entry.incarnation()];
         self.id_by_hash
             .extend(hashes.map(|hash| (hash, id.clone())));
--- a/components/routing/src/placement/choice.rs
+++ b/components/routing/src/placement/choice.rs
@@ -146,7 +146,7 @@
             } else {
                 region
             };
-            let name = self.network_costs.topology().region_at(linked_region);
+            let name = self.network_costs.topology().region_by_index(linked_region);
             link_decision = self.region_links.decide(now, name, costs_by_region);
         }
         let leaves_region = link_decision == LinkDecision::Remote;
--- a/components/routing/src/placement/network_cost.rs
+++ b/components/routing/src/placement/network_cost.rs
@@ -96,7 +96,7 @@
     /// Returns the same cost for a request from a gateway in the region with index `home`, when no
     /// gateway there decided. Round trips between two other regions are not measured here.
     pub fn cost_from_region_ms(&self, home: usize, hall: &str, bytes: u32) -> f64 {
-        let region = self.topology.place_of(hall);
+        let region = self.topology.region_index_of(hall);
         match home {
             OWN_REGION => self.cost_ms(hall, bytes),
             home if home == region => INITIAL_OTHER_HALL_MS,
@@ -125,7 +125,9 @@
     }
 
     fn shortest_round_trip_ms(&self, region: usize) -> f64 {
-        let halls = self.topology.halls_of(self.topology.region_at(region));
+        let halls = self
+            .topology
+            .halls_of(self.topology.region_by_index(region));
         let times = halls.into_iter().map(|hall| self.round_trip_ms(hall));
         times.fold(f64::INFINITY, f64::min)
     }
--- a/components/routing/tests/regions.rs
+++ b/components/routing/tests/regions.rs
@@ -273,7 +273,7 @@
 fn a_request_of_a_gateway_in_another_region_is_placed_in_that_region() {
     let mut balancer = balancer(&[("a", "a1"), ("b", "b1")]);
     balancer.set_link_rates(ms(0), &link_rates(100_000.0));
-    let region_b = topology().place_of("b2");
+    let region_b = topology().region_index_of("b2");
     let work = prompt(2, 300, 1_000);
     let mut rng = ChaCha8Rng::seed_from_u64(7);
     let mut placed = |balancer: &mut Balancer| {
