--- a/components/directory/src/lib.rs
+++ b/components/directory/src/lib.rs
@@ -2,16 +2,16 @@
 //!
 //! Pure: rows come in as typed values, time as durations on the gateway's monotonic clock.
 
-mod clock;
 mod configuration;
 mod endpoint;
 mod explanation;
 mod lookup;
+mod store_clock;
 
-pub use clock::StoreClock;
 pub use configuration::{
     CallerBounds, Configuration, Engine, Execution, Quota, Route, Scaling, Service, Share, Tenant,
 };
 pub use endpoint::{Endpoint, EndpointState};
 pub use explanation::{Explanation, NoWay, ServiceShare, Way};
 pub use lookup::{Directory, Lookup};
+pub use store_clock::StoreClock;
--- a/components/memory/src/lib.rs
+++ b/components/memory/src/lib.rs
@@ -3,16 +3,16 @@
 //! Bytes are reserved before they are read and given back when what holds them is dropped. Nothing here reads a clock or a
 //! socket; times are passed in.
 
+mod accept_gate;
+mod body_wait;
 mod budget;
+mod eviction;
 mod ledger;
-mod patience;
-mod pause;
-mod rate;
-mod slowest;
+mod release_rate;
 
+pub use accept_gate::{PauseGate, Turn};
+pub use body_wait::body_patience;
 pub use budget::{Budget, Tables};
+pub use eviction::{slowest, Delivery, Terms};
 pub use ledger::{Account, Hold, Kind, Ledger};
-pub use patience::body_patience;
-pub use pause::{PauseGate, Turn};
-pub use rate::ReleaseRate;
-pub use slowest::{slowest, Delivery, Terms};
+pub use release_rate::ReleaseRate;
--- a/components/rollout/src/plan.rs
+++ b/components/rollout/src/controller.rs
@@ -4,8 +4,8 @@
 use std::time::Duration;
 
 use crate::evidence::Evidence;
+use crate::judgement::{judge, Finding, Judgement};
 use crate::order::{Decision, Order, Stage};
-use crate::verdict::{judge, Finding, Judgement};
 
 /// From the switch of all requests to the write of the decision: a message to the gateways that place requests, and
 /// the runs of short requests at the old endpoints, which end at the write.
--- a/components/rollout/src/lib.rs
+++ b/components/rollout/src/lib.rs
@@ -4,14 +4,14 @@
 //! answer beside the old ones and decides once: completed or reverted. Until then every gateway that places
 //! requests lets a small, counted part of them through. Pure: times, answers and chance come in as values.
 
+mod controller;
 mod evidence;
-mod gate;
+mod judgement;
 mod order;
-mod plan;
-mod verdict;
+mod version_selector;
 
+pub use controller::{Plan, Progress, Step, Terms};
 pub use evidence::{Answer, Counts, Evidence, Histogram, RouteEvidence, Side};
-pub use gate::{Allowance, Gate, Lane, Request};
+pub use judgement::{judge, Finding, Judgement};
 pub use order::{Decision, Order, Stage};
-pub use plan::{Plan, Progress, Step, Terms};
-pub use verdict::{judge, Finding, Judgement};
+pub use version_selector::{Allowance, Gate, Lane, Request};
