--- a/components/directory/src/configuration.rs
+++ b/components/directory/src/configuration.rs
@@ -109,13 +109,13 @@
 #[derive(Clone, Debug, PartialEq)]
 pub struct Scaling {
     /// Least endpoints in each zone, both price classes together.
-    pub least: u32,
+    pub min_per_zone: u32,
     /// Most endpoints in each zone, both price classes together.
-    pub most: u32,
+    pub max_per_zone: u32,
     /// Time until an ordered endpoint serves.
-    pub boot: Duration,
+    pub boot_time: Duration,
     /// Price of a reclaimable endpoint as a part of an on-demand one's, if there are any.
-    pub reclaimable_price: Option<f64>,
+    pub relative_reclaimable_price: Option<f64>,
     /// Price of an on-demand endpoint a second, by zone.
     pub zone_prices: BTreeMap<String, f64>,
 }
@@ -141,29 +141,29 @@
     /// Units beyond the rate.
     pub burst: f64,
     /// Tokens that a request without a token count costs.
-    pub plain_cost: Option<u64>,
+    pub default_token_cost: Option<u64>,
 }
 
 /// Bounds on what callers send and on how long they pause.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct CallerBounds {
     /// Largest head of a request, in bytes.
-    pub head_bytes: usize,
+    pub max_head_bytes: usize,
     /// Largest body of a request, in bytes.
-    pub body_bytes: usize,
+    pub max_body_bytes: usize,
     /// Longest time that a head may take.
-    pub head_time: Duration,
+    pub head_timeout: Duration,
     /// Longest time that a connection may rest.
-    pub idle_time: Duration,
+    pub idle_timeout: Duration,
 }
 
 impl Default for CallerBounds {
     fn default() -> Self {
         CallerBounds {
-            head_bytes: 16 << 10,
-            body_bytes: 4 << 20,
-            head_time: Duration::from_secs(3),
-            idle_time: Duration::from_secs(15),
+            max_head_bytes: 16 << 10,
+            max_body_bytes: 4 << 20,
+            head_timeout: Duration::from_secs(3),
+            idle_timeout: Duration::from_secs(15),
         }
     }
 }
--- a/components/directory/src/explanation.rs
+++ b/components/directory/src/explanation.rs
@@ -13,18 +13,18 @@
     /// Version of the configuration.
     pub version: u64,
     /// The route, or why there is none.
-    pub outcome: Result<Way, NoWay>,
+    pub outcome: Result<RouteExplanation, NoRouteReason>,
     /// Region by data hall, as far as it is known.
     pub regions: BTreeMap<String, String>,
 }
 
 /// A route and what stands behind it.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Way {
+pub struct RouteExplanation {
     /// The route: of those that fit, the one with the longest prefix.
     pub route: Route,
     /// Names and prefixes of the other routes that fit, the longest first.
-    pub passed_over: Vec<String>,
+    pub shorter_matches: Vec<String>,
     /// Whether a request needs a key.
     pub needs_key: bool,
     /// Its services, in the order of the route.
@@ -37,14 +37,14 @@
     /// Its name.
     pub name: String,
     /// Part of the requests that goes there, in thousandths.
-    pub milli: u64,
+    pub share_milli: u64,
     /// Ready endpoints by data hall.
     pub ready: BTreeMap<String, usize>,
 }
 
 /// Why a request finds no route.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum NoWay {
+pub enum NoRouteReason {
     /// No route names the host.
     UnknownHost,
     /// Prefixes of the host's routes, none of which begins the path.
@@ -56,30 +56,37 @@
     pub fn explain(&self, host: &str, path: &str, endpoints: &[Endpoint]) -> Explanation {
         Explanation {
             version: self.configuration().version,
-            outcome: self.way(host, path, endpoints),
+            outcome: self.explain_route(host, path, endpoints),
             regions: BTreeMap::new(),
         }
     }
 
-    fn way(&self, host: &str, path: &str, endpoints: &[Endpoint]) -> Result<Way, NoWay> {
-        let routes = self.routes_of(host).ok_or(NoWay::UnknownHost)?;
-        let mut fitting = routes
+    fn explain_route(
+        &self,
+        host: &str,
+        path: &str,
+        endpoints: &[Endpoint],
+    ) -> Result<RouteExplanation, NoRouteReason> {
+        let routes = self
+            .routes_for_host(host)
+            .ok_or(NoRouteReason::UnknownHost)?;
+        let mut matching = routes
             .iter()
             .filter(|route| path.starts_with(&route.prefix));
-        let Some(route) = fitting.next() else {
+        let Some(route) = matching.next() else {
             let prefixes = routes.iter().map(|route| route.prefix.clone());
-            return Err(NoWay::NoPrefix(prefixes.collect()));
+            return Err(NoRouteReason::NoPrefix(prefixes.collect()));
         };
-        let passed_over = fitting.map(|route| format!("{} {}", route.name, route.prefix));
+        let shorter_matches = matching.map(|route| format!("{} {}", route.name, route.prefix));
         let total: u64 = route.split.iter().map(|s| u64::from(s.weight)).sum();
         let services = route.split.iter().map(|share| ServiceShare {
             name: share.service.clone(),
-            milli: u64::from(share.weight) * 1000 / total.max(1),
+            share_milli: u64::from(share.weight) * 1000 / total.max(1),
             ready: ready_by_hall(&share.service, endpoints),
         });
-        Ok(Way {
+        Ok(RouteExplanation {
             route: (*route).clone(),
-            passed_over: passed_over.collect(),
+            shorter_matches: shorter_matches.collect(),
             needs_key: self.needs_key(route),
             services: services.collect(),
         })
@@ -99,9 +106,9 @@
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         writeln!(f, "configuration version {}", self.version)?;
         match &self.outcome {
-            Ok(way) => way.show(f, &self.regions),
-            Err(NoWay::UnknownHost) => writeln!(f, "no route: no route names this host"),
-            Err(NoWay::NoPrefix(prefixes)) => {
+            Ok(route) => route.fmt_lines(f, &self.regions),
+            Err(NoRouteReason::UnknownHost) => writeln!(f, "no route: no route names this host"),
+            Err(NoRouteReason::NoPrefix(prefixes)) => {
                 writeln!(f, "no route: none of these prefixes begins the path")?;
                 prefixes.iter().try_for_each(|p| writeln!(f, "  {p}"))
             }
@@ -109,15 +116,19 @@
     }
 }
 
-impl Way {
-    fn show(&self, f: &mut fmt::Formatter<'_>, regions: &BTreeMap<String, String>) -> fmt::Result {
+impl RouteExplanation {
+    fn fmt_lines(
+        &self,
+        f: &mut fmt::Formatter<'_>,
+        regions: &BTreeMap<String, String>,
+    ) -> fmt::Result {
         let route = &self.route;
         writeln!(
             f,
             "route {}: host {}, prefix {}",
             route.name, route.host, route.prefix
         )?;
-        for other in &self.passed_over {
+        for other in &self.shorter_matches {
             writeln!(f, "  fits too, with a shorter prefix: {other}")?;
         }
         let key = if self.needs_key {
@@ -147,7 +158,7 @@
             writeln!(
                 f,
                 "service {}: {} of 1000 requests, {total} endpoints ready",
-                service.name, service.milli
+                service.name, service.share_milli
             )?;
             for (hall, count) in &service.ready {
                 match regions.get(hall) {
--- a/components/directory/src/lib.rs
+++ b/components/directory/src/lib.rs
@@ -12,6 +12,6 @@
     CallerBounds, Configuration, Engine, Execution, Quota, Route, Scaling, Service, Share, Tenant,
 };
 pub use endpoint::{Endpoint, EndpointState};
-pub use explanation::{Explanation, NoWay, ServiceShare, Way};
+pub use explanation::{Explanation, NoRouteReason, RouteExplanation, ServiceShare};
 pub use lookup::{Directory, Lookup};
 pub use store_clock::StoreClock;
--- a/components/directory/src/lookup.rs
+++ b/components/directory/src/lookup.rs
@@ -75,19 +75,19 @@
     }
 
     fn route(&self, host: &str, path: &str) -> Option<&Route> {
-        let mut routes = self.indexes_of(host)?.iter();
+        let mut routes = self.route_indexes_for_host(host)?.iter();
         let route = |index: &usize| &self.configuration.routes[*index];
         let index = routes.find(|index| path.starts_with(&route(index).prefix))?;
         Some(route(index))
     }
 
     /// Routes of a host, the longest prefix first; `None` if no route names it.
-    pub fn routes_of(&self, host: &str) -> Option<Vec<&Route>> {
-        let indexes = self.indexes_of(host)?.iter();
+    pub fn routes_for_host(&self, host: &str) -> Option<Vec<&Route>> {
+        let indexes = self.route_indexes_for_host(host)?.iter();
         Some(indexes.map(|i| &self.configuration.routes[*i]).collect())
     }
 
-    fn indexes_of(&self, host: &str) -> Option<&Vec<usize>> {
+    fn route_indexes_for_host(&self, host: &str) -> Option<&Vec<usize>> {
         let name = host.rsplit_once(':').map_or(host, |(name, _)| name);
         self.hosts.get(&name.to_ascii_lowercase())
     }
--- a/components/directory/src/store_clock.rs
+++ b/components/directory/src/store_clock.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 /// Drift allowed between the two clocks, one part in this many.
-const DRIFT_PARTS: u32 = 2_000;
+const DRIFT_DIVISOR: u32 = 2_000;
 
 /// Bounds the moment, on the monotonic clock, at which the store made an answer.
 ///
@@ -52,5 +52,5 @@
 }
 
 fn drift(since: Duration, now: Duration) -> i128 {
-    i128::from((now.saturating_sub(since) / DRIFT_PARTS).as_micros() as u64)
+    i128::from((now.saturating_sub(since) / DRIFT_DIVISOR).as_micros() as u64)
 }
--- a/components/directory/tests/explanations.rs
+++ b/components/directory/tests/explanations.rs
@@ -5,7 +5,8 @@
 use std::time::Duration;
 
 use directory::{
-    Configuration, Directory, Endpoint, EndpointState, Execution, NoWay, Route, Share, Tenant,
+    Configuration, Directory, Endpoint, EndpointState, Execution, NoRouteReason, Route, Share,
+    Tenant,
 };
 
 fn route(name: &str, prefix: &str, split: &[(&str, u32)]) -> Route {
@@ -62,7 +63,7 @@
 }
 
 #[test]
-fn a_way_names_the_longest_route_its_services_and_their_endpoints_by_hall() {
+fn the_route_with_the_longest_prefix_is_explained_with_its_services_and_endpoints_by_hall() {
     let endpoints = [
         endpoint("1", "new", "north", EndpointState::Ready),
         endpoint("2", "new", "north", EndpointState::Ready),
@@ -75,29 +76,32 @@
         endpoint("4", "old", "south", EndpointState::Ready),
     ];
     let explanation = directory().explain("A.example:80", "/x/chat/1", &endpoints);
-    let way = explanation.outcome.unwrap();
-    assert_eq!(way.route.name, "chat");
-    assert_eq!(way.passed_over, ["all /x/"]);
-    assert!(way.needs_key);
-    let shares: Vec<u64> = way.services.iter().map(|s| s.milli).collect();
+    let route = explanation.outcome.unwrap();
+    assert_eq!(route.route.name, "chat");
+    assert_eq!(route.shorter_matches, ["all /x/"]);
+    assert!(route.needs_key);
+    let shares: Vec<u64> = route.services.iter().map(|s| s.share_milli).collect();
     assert_eq!(shares, [250, 750]);
     assert_eq!(
-        way.services[1].ready,
+        route.services[1].ready,
         BTreeMap::from([("north".to_string(), 2)])
     );
 }
 
 #[test]
-fn where_no_route_fits_the_prefixes_of_the_host_are_named() {
+fn without_a_matching_route_the_prefixes_of_the_host_are_listed() {
     let directory = directory();
     let explain = |host: &str, path: &str| directory.explain(host, path, &[]).outcome;
     let prefixes = vec!["/x/chat/".to_string(), "/x/".to_string()];
-    assert_eq!(explain("a.example", "/y/"), Err(NoWay::NoPrefix(prefixes)));
-    assert_eq!(explain("b.example", "/x/"), Err(NoWay::UnknownHost));
+    assert_eq!(
+        explain("a.example", "/y/"),
+        Err(NoRouteReason::NoPrefix(prefixes))
+    );
+    assert_eq!(explain("b.example", "/x/"), Err(NoRouteReason::UnknownHost));
 }
 
 #[test]
-fn a_way_is_shown_line_by_line() {
+fn a_route_is_printed_line_by_line() {
     let endpoints = [endpoint("1", "new", "north", EndpointState::Ready)];
     let shown = directory()
         .explain("a.example", "/x/chat/1", &endpoints)
@@ -117,7 +121,7 @@
 }
 
 #[test]
-fn halls_are_named_with_their_regions_where_these_are_known() {
+fn halls_are_printed_with_their_regions_if_known() {
     let endpoints = [endpoint("e1", "old", "north", EndpointState::Ready)];
     let mut explanation = directory().explain("a.example", "/x/chat/1", &endpoints);
     let hall = endpoints[0].zone.clone();
--- a/components/directory/tests/guarantees.rs
+++ b/components/directory/tests/guarantees.rs
@@ -83,7 +83,7 @@
 const MS: fn(u64) -> Duration = Duration::from_millis;
 
 #[test]
-fn a_fast_call_dates_the_answers_of_slow_ones() {
+fn a_fast_call_narrows_the_time_of_answers_to_slow_calls() {
     let mut clock = StoreClock::default();
     // The store's clock is 1 s behind; a fast call was on its way for 2 ms.
     assert_eq!(clock.earliest(MS(5_000), MS(5_004), MS(4_002)), MS(5_000));
--- a/components/gateway/src/admission.rs
+++ b/components/gateway/src/admission.rs
@@ -125,7 +125,7 @@
 
 // Units of its tenant's limit that a request takes.
 fn cost_of(head: &CallerHead, tenant: &Tenant) -> u64 {
-    let Some(plain) = tenant.quota.and_then(|quota| quota.plain_cost) else {
+    let Some(plain) = tenant.quota.and_then(|quota| quota.default_token_cost) else {
         return 1;
     };
     let tokens = head.tokens;
--- a/components/gateway/src/body.rs
+++ b/components/gateway/src/body.rs
@@ -74,6 +74,6 @@
     fn body_bytes(&self) -> usize {
         let state = self.state.borrow();
         let directory = state.directory.as_ref();
-        directory.map_or(1 << 20, |d| d.configuration().bounds.body_bytes)
+        directory.map_or(1 << 20, |d| d.configuration().bounds.max_body_bytes)
     }
 }
--- a/components/gateway/src/control/scaling.rs
+++ b/components/gateway/src/control/scaling.rs
@@ -287,10 +287,10 @@
     let prices = scaling.zone_prices.iter();
     let prices = prices.filter(|(hall, _)| halls.has(hall));
     ScalingSpec {
-        min_per_hall: scaling.least,
-        max_per_hall: scaling.most,
-        boot_time: scaling.boot,
-        relative_reclaimable_price: scaling.reclaimable_price,
+        min_per_hall: scaling.min_per_zone,
+        max_per_hall: scaling.max_per_zone,
+        boot_time: scaling.boot_time,
+        relative_reclaimable_price: scaling.relative_reclaimable_price,
         hall_prices: prices.map(|(hall, price)| (hall.clone(), *price)).collect(),
     }
 }
--- a/components/gateway/src/server.rs
+++ b/components/gateway/src/server.rs
@@ -174,7 +174,7 @@
 fn due_end<D>(traffic: &Traffic<D>, caller: &Caller) -> Option<DueEnd> {
     let now = traffic.clock.now();
     let bounds = bounds(traffic);
-    let (head_time, idle_time) = (bounds.head_time, bounds.idle_time);
+    let (head_time, idle_time) = (bounds.head_timeout, bounds.idle_timeout);
     if let Some(time) = caller.head_comes_for(now).filter(|time| *time > head_time) {
         traffic.metrics.count(Counter::SlowHeads);
         info!(traffic.log, "connection ended"; "cause" => "the head comes too slowly",
@@ -221,8 +221,8 @@
     match directory {
         Some(directory) => directory.configuration().bounds.clone(),
         None => CallerBounds {
-            head_time: HEAD_TIME,
-            idle_time: HEAD_TIME,
+            head_timeout: HEAD_TIME,
+            idle_timeout: HEAD_TIME,
             ..CallerBounds::default()
         },
     }
@@ -233,7 +233,7 @@
     const DEFAULT: usize = 16 << 10;
     let state = traffic.state.borrow();
     let directory = state.directory.as_ref();
-    let bytes = directory.map_or(DEFAULT, |d| d.configuration().bounds.head_bytes);
+    let bytes = directory.map_or(DEFAULT, |d| d.configuration().bounds.max_head_bytes);
     bytes.max(LEAST)
 }
 
--- a/components/gateway/src/state.rs
+++ b/components/gateway/src/state.rs
@@ -159,7 +159,7 @@
     fn limit_of(&self, team: &Tenant) -> Option<RateLimit> {
         const SLACK_PART: f64 = 0.25;
         let quota = team.quota?;
-        let slack = match quota.plain_cost {
+        let slack = match quota.default_token_cost {
             Some(_) => self.settings.quota_slack as f64 * SLACK_PART,
             None => 0.0,
         };
--- a/components/gateway/tests/coordinating.rs
+++ b/components/gateway/tests/coordinating.rs
@@ -34,7 +34,7 @@
     team.quota = Some(Quota {
         rate: LIMIT,
         burst: LIMIT,
-        plain_cost: None,
+        default_token_cost: None,
     });
     configuration.tenants = vec![team];
     store.put_configuration(configuration);
--- a/components/gateway/tests/duties.rs
+++ b/components/gateway/tests/duties.rs
@@ -69,10 +69,10 @@
     let standin = EndpointStandin::start(|_, exchange| exchange.answer(200, ""));
     let mut scaled = configuration(1, vec![route("/a/", Execution::Once)]);
     scaled.services.get_mut("s").unwrap().scaling = Some(Scaling {
-        least: 1,
-        most: 10,
-        boot: Duration::from_secs(4),
-        reclaimable_price: None,
+        min_per_zone: 1,
+        max_per_zone: 10,
+        boot_time: Duration::from_secs(4),
+        relative_reclaimable_price: None,
         zone_prices: BTreeMap::from([("z1".to_string(), 1.0), ("z2".to_string(), 0.5)]),
     });
     let mut settings = settings();
--- a/components/gateway/tests/requests.rs
+++ b/components/gateway/tests/requests.rs
@@ -332,7 +332,7 @@
     limited.quota = Some(Quota {
         rate: 1.0,
         burst: 100.0,
-        plain_cost: Some(20),
+        default_token_cost: Some(20),
     });
     let mut with_limit = configuration(1, vec![route("/a/", Execution::Once)]);
     with_limit.tenants = vec![limited];
--- a/components/gateway/tests/slow.rs
+++ b/components/gateway/tests/slow.rs
@@ -250,8 +250,8 @@
     let standin = EndpointStandin::start(|_, exchange| exchange.answer(200, "x"));
     let mut configuration = configuration(1, vec![patient_route(Execution::Once)]);
     configuration.bounds = CallerBounds {
-        head_time: Duration::from_millis(300),
-        idle_time: Duration::from_secs(60),
+        head_timeout: Duration::from_millis(300),
+        idle_timeout: Duration::from_secs(60),
         ..CallerBounds::default()
     };
     let setup = Setup::serving(configuration, vec![endpoint("e0", standin.address)]);
