--- a/components/gateway/src/attempt.rs
+++ b/components/gateway/src/attempt.rs
@@ -265,7 +265,7 @@
     ) -> Attempted<D> {
         let ran_for = self.clock.now().saturating_sub(run.sent_at);
         self.note_begun(job, ran_for);
-        let hold = job.caller.account.hold(Kind::Whole);
+        let hold = job.caller.account.reservation(Kind::WholeAnswer);
         let gathered = self.room.gather(body, hold, MAX_WHOLE_ANSWER, None).await;
         let Ok(body) = gathered else {
             run.judge(HealthSignal::Faulty);
--- a/components/gateway/src/body.rs
+++ b/components/gateway/src/body.rs
@@ -28,7 +28,7 @@
         read_by: Duration,
         caller: &Caller,
     ) -> Result<Gathered, Refusal> {
-        let hold = caller.account.hold(memory::Kind::BodyRead);
+        let hold = caller.account.reservation(memory::Kind::BodyRead);
         let patience = |bytes| self.body_patience(parts, head, bytes);
         let reading = self
             .room
@@ -53,7 +53,7 @@
             Some(Lookup::Allowed { route, tenant }) => (rank(route, tenant), route.target),
             _ => (LAST_RANK, UNROUTED_TIME),
         };
-        memory::body_patience(rank, bytes, target)
+        memory::max_body_wait(rank, bytes, target)
     }
 
     fn no_room(&self, head: &CallerHead, bytes: u64) -> Refusal {
@@ -61,7 +61,7 @@
         let back = self.room.retry_after(bytes);
         self.metrics.count(Counter::MemoryRefused);
         warn!(self.log, "body refused for want of memory"; "id" => &head.id, "lacks" => bytes,
-            "held_in_all" => ledger.total(), "budget" => ledger.budget().most,
+            "held_in_all" => ledger.total(), "budget" => ledger.budget().max_bytes,
             "share" => ledger.share(), "retry_after_ms" => back.as_millis() as u64);
         Refusal::not_run(
             Kind::TooManyRequests,
--- a/components/gateway/src/caller.rs
+++ b/components/gateway/src/caller.rs
@@ -6,7 +6,7 @@
 use std::task::{ready, Context, Poll};
 use std::time::Duration;
 
-use memory::{Account, Delivery, Hold};
+use memory::{Account, Delivery, Reservation};
 use tokio::io::{AsyncRead, AsyncWrite, ReadBuf};
 use tokio::net::TcpStream;
 use tokio::sync::Notify;
@@ -22,7 +22,7 @@
     pub ended: Notify,
     clock: Clock,
     // The cost of the connection itself.
-    _connection: Hold,
+    _connection: Reservation,
     running: Cell<u32>,
     rests_since: Cell<Duration>,
     head_since: Cell<Option<Duration>>,
@@ -40,7 +40,7 @@
 
 impl Caller {
     /// A connection that was just accepted.
-    pub fn new(clock: Clock, account: Account, connection: Hold) -> Self {
+    pub fn new(clock: Clock, account: Account, connection: Reservation) -> Self {
         let now = clock.now();
         Caller {
             account,
--- a/components/gateway/src/connecting.rs
+++ b/components/gateway/src/connecting.rs
@@ -80,7 +80,7 @@
             self.metrics.count(Counter::MemoryRefused);
             warn!(self.log, "no connection to an endpoint for want of memory"; "id" => &job.head.id,
                 "endpoint" => &placement.endpoint, "held_in_all" => ledger.total(),
-                "budget" => ledger.budget().most);
+                "budget" => ledger.budget().max_bytes);
         }
         Reserved::Full
     }
--- a/components/gateway/src/gather.rs
+++ b/components/gateway/src/gather.rs
@@ -6,7 +6,7 @@
 use http_body::Body;
 use http_body_util::BodyExt;
 use hyper::body::Incoming;
-use memory::Hold;
+use memory::Reservation;
 
 use crate::held::Gathered;
 use crate::room::Room;
@@ -32,7 +32,7 @@
     pub async fn gather(
         &self,
         mut body: Incoming,
-        mut hold: Hold,
+        mut hold: Reservation,
         most: usize,
         patience: Option<&dyn Fn(u64) -> Duration>,
     ) -> Result<Gathered, GatherError> {
@@ -84,7 +84,7 @@
     }
 
     // Takes more than is needed at once, if there is plenty.
-    fn grow_for(&self, hold: &mut Hold, length: usize, expected: Option<usize>) {
+    fn grow_for(&self, hold: &mut Reservation, length: usize, expected: Option<usize>) {
         let held = hold.bytes() as usize;
         if length <= held {
             return;
--- a/components/gateway/src/held.rs
+++ b/components/gateway/src/held.rs
@@ -5,7 +5,7 @@
 use std::rc::Rc;
 
 use bytes::{Buf, Bytes};
-use memory::{Hold, Kind};
+use memory::{Kind, Reservation};
 
 use crate::caller::Caller;
 
@@ -13,7 +13,7 @@
 #[derive(Debug)]
 pub(crate) struct HeldBytes {
     bytes: Bytes,
-    _hold: Option<Hold>,
+    _hold: Option<Reservation>,
     waits_for: Option<(Rc<Caller>, u64)>,
     guard: Option<Rc<dyn Any>>,
 }
@@ -30,7 +30,7 @@
     }
 
     /// Bytes that wait for a caller, held on its account.
-    pub fn counted(bytes: Bytes, hold: Hold, caller: &Rc<Caller>) -> Self {
+    pub fn counted(bytes: Bytes, hold: Reservation, caller: &Rc<Caller>) -> Self {
         let length = bytes.len() as u64;
         caller.add_waiting(length);
         HeldBytes {
@@ -78,7 +78,7 @@
 #[derive(Debug)]
 pub(crate) struct Gathered {
     pub bytes: Bytes,
-    pub hold: Hold,
+    pub hold: Reservation,
 }
 
 /// A caller's body, kept while its request may be sent once more.
@@ -91,7 +91,7 @@
 impl KeptBody {
     /// Keeps a whole body.
     pub fn new(mut body: Gathered) -> Self {
-        body.hold.change(Kind::BodyKept);
+        body.hold.change_kind(Kind::BodyKept);
         KeptBody {
             length: body.bytes.len(),
             kept: RefCell::new(Some(body)),
--- a/components/gateway/src/pool.rs
+++ b/components/gateway/src/pool.rs
@@ -3,7 +3,7 @@
 use std::collections::HashMap;
 use std::time::Duration;
 
-use memory::{Hold, Kind, Ledger};
+use memory::{Kind, Ledger, Reservation};
 use transport::Connection;
 
 use crate::room::ENDPOINT_CONNECTION;
@@ -39,7 +39,7 @@
 #[derive(Debug)]
 struct Open {
     counts: HashMap<String, u32>,
-    hold: Hold,
+    hold: Reservation,
 }
 
 impl Open {
@@ -74,7 +74,7 @@
             resting: HashMap::new(),
             open: Open {
                 counts: HashMap::new(),
-                hold: ledger.open().hold(Kind::Connection),
+                hold: ledger.open_account().reservation(Kind::Connection),
             },
         }
     }
--- a/components/gateway/src/room.rs
+++ b/components/gateway/src/room.rs
@@ -4,7 +4,10 @@
 use std::rc::{Rc, Weak};
 use std::time::Duration;
 
-use memory::{slowest, Budget, Hold, Kind, Ledger, PauseGate, ReleaseRate, Tables, Terms, Turn};
+use memory::{
+    eviction_candidate, AcceptChange, AcceptGate, Budget, EndpointTimeouts, Kind, Ledger,
+    ReleaseRate, Reservation, TableSizes,
+};
 use slog::{info, warn};
 use telemetry::{Counter, Gauge};
 use tokio::sync::Notify;
@@ -36,7 +39,7 @@
     ledger: Ledger,
     released: Rc<Notify>,
     waiting: Cell<u32>,
-    gate: Cell<PauseGate>,
+    gate: Cell<AcceptGate>,
     rate: Cell<ReleaseRate>,
     cut_after: Cell<Option<Duration>>,
     callers: RefCell<Vec<Weak<Caller>>>,
@@ -65,7 +68,7 @@
     pub fn new(clock: Clock, mib: u64) -> Self {
         let released = Rc::new(Notify::new());
         let on_release = Rc::clone(&released);
-        let budget = Budget::of_vm(mib, Tables::default());
+        let budget = Budget::of_vm(mib, TableSizes::default());
         Room {
             clock,
             ledger: Ledger::new(budget, move || on_release.notify_waiters()),
@@ -87,7 +90,7 @@
 
     /// Whether memory is bounded at all.
     pub fn is_bounded(&self) -> bool {
-        self.ledger.budget().most.is_some()
+        self.ledger.budget().max_bytes.is_some()
     }
 
     /// Whether no connection is taken for want of memory.
@@ -97,8 +100,8 @@
 
     /// A caller that was accepted, unless its connection finds no room.
     pub fn admit(&self) -> Option<Rc<Caller>> {
-        let account = self.ledger.open();
-        let mut connection = account.hold(Kind::Connection);
+        let account = self.ledger.open_account();
+        let mut connection = account.reservation(Kind::Connection);
         if !connection.grow(CALLER_CONNECTION) {
             return None;
         }
@@ -113,7 +116,7 @@
     }
 
     /// Waits until a hold has so many bytes more. Cancelling reserves nothing.
-    pub async fn reserve(&self, hold: &mut Hold, bytes: u64) {
+    pub async fn reserve(&self, hold: &mut Reservation, bytes: u64) {
         if hold.grow(bytes) {
             return;
         }
@@ -128,14 +131,14 @@
     }
 
     /// Reserves bytes of an answer that is read ahead, if there is room now.
-    pub fn reserve_ahead_now(&self, caller: &Caller, hold: &mut Hold, bytes: u64) -> bool {
+    pub fn reserve_ahead_now(&self, caller: &Caller, hold: &mut Reservation, bytes: u64) -> bool {
         let waiting = caller.waiting();
         let ahead = self.is_bounded() || waiting == 0 || waiting + bytes <= UNBOUNDED_AHEAD;
         ahead && hold.grow(bytes)
     }
 
     /// The same, once there is room. Cancelling reserves nothing.
-    pub async fn reserve_ahead(&self, caller: &Caller, hold: &mut Hold, bytes: u64) {
+    pub async fn reserve_ahead(&self, caller: &Caller, hold: &mut Reservation, bytes: u64) {
         let _waiting = Waiting::new(&self.waiting);
         loop {
             let released = self.released.notified();
@@ -148,7 +151,7 @@
 
     /// When a caller who was refused for want of so many bytes is to come back.
     pub fn retry_after(&self, bytes: u64) -> Duration {
-        self.rate.get().wait_for(bytes)
+        self.rate.get().time_until_free(bytes)
     }
 
     /// An endpoint ended its answer after it had not been read for a time. Returns what is now known of endpoints, if it
@@ -162,7 +165,7 @@
         Some(unread)
     }
 
-    fn look(&self, now: Duration, budget: Budget) -> Option<Turn> {
+    fn look(&self, now: Duration, budget: Budget) -> Option<AcceptChange> {
         self.ledger.set_budget(budget);
         let mut rate = self.rate.get();
         rate.sample(now, self.ledger.released());
@@ -170,9 +173,9 @@
         self.look_at_gate()
     }
 
-    fn look_at_gate(&self) -> Option<Turn> {
+    fn look_at_gate(&self) -> Option<AcceptChange> {
         let mut gate = self.gate.get();
-        let turn = gate.look(self.ledger.total(), self.ledger.budget());
+        let turn = gate.update(self.ledger.total(), self.ledger.budget());
         self.gate.set(gate);
         turn
     }
@@ -193,10 +196,10 @@
         }
         let callers: Vec<Rc<Caller>> = callers.iter().filter_map(Weak::upgrade).collect();
         let deliveries: Vec<_> = callers.iter().map(|caller| caller.delivery(now)).collect();
-        let terms = Terms {
+        let timeouts = EndpointTimeouts {
             cut_after: self.cut_after.get(),
         };
-        slowest(&deliveries, terms).map(|i| Rc::clone(&callers[i]))
+        eviction_candidate(&deliveries, timeouts).map(|i| Rc::clone(&callers[i]))
     }
 }
 
@@ -206,7 +209,7 @@
         let now = self.clock.now();
         let (mib, tables) = {
             let state = self.state.borrow();
-            let tables = Tables {
+            let tables = TableSizes {
                 endpoints: state.board.endpoint_count() as u64,
                 gateways: state.fleet.gateways as u64,
             };
@@ -228,7 +231,7 @@
             "held" => delivery.held, "stalled_ms" => delivery.stalled.as_millis() as u64,
             "unread_ms" => delivery.unread.map(|time| time.as_millis() as u64),
             "held_in_all" => self.room.ledger.total(),
-            "budget" => self.room.ledger.budget().most);
+            "budget" => self.room.ledger.budget().max_bytes);
         caller.ended.notify_one();
     }
 
@@ -239,17 +242,17 @@
         !self.room.is_paused()
     }
 
-    fn note_turn(&self, turn: Option<Turn>) {
+    fn note_turn(&self, turn: Option<AcceptChange>) {
         let ledger = &self.room.ledger;
-        let (held, budget) = (ledger.total(), ledger.budget().most);
+        let (held, budget) = (ledger.total(), ledger.budget().max_bytes);
         let connections = ledger.held(Kind::Connection);
         match turn {
-            Some(Turn::Paused) => {
+            Some(AcceptChange::Paused) => {
                 self.metrics.count(Counter::AcceptPaused);
                 warn!(self.log, "no connections taken for want of memory"; "held" => held,
                     "budget" => budget, "of_connections" => connections);
             }
-            Some(Turn::Resumed) => {
+            Some(AcceptChange::Resumed) => {
                 info!(self.log, "connections taken again"; "held" => held, "budget" => budget,
                     "of_connections" => connections);
             }
@@ -263,7 +266,7 @@
             self.metrics.set(gauge_of(kind), ledger.held(kind));
         }
         self.metrics.set(Gauge::HeldPeak, ledger.peak());
-        let most = ledger.budget().most;
+        let most = ledger.budget().max_bytes;
         self.metrics.set(Gauge::Budget, most.unwrap_or_default());
     }
 }
@@ -273,7 +276,7 @@
         Kind::BodyRead => Gauge::BodiesRead,
         Kind::BodyKept => Gauge::BodiesKept,
         Kind::ReadAhead => Gauge::ReadAhead,
-        Kind::Whole => Gauge::WholeAnswers,
+        Kind::WholeAnswer => Gauge::WholeAnswers,
         Kind::Connection => Gauge::Connections,
     }
 }
--- a/components/gateway/src/stream.rs
+++ b/components/gateway/src/stream.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use bytes::Bytes;
-use memory::{Hold, Kind};
+use memory::{Kind, Reservation};
 use routing::placement::HealthSignal;
 use slog::info;
 use telemetry::Counter;
@@ -164,11 +164,11 @@
     }
 
     // Reserves memory for an event. While there is none the endpoint is not read.
-    async fn hold(&mut self, length: usize) -> Result<Hold, End> {
+    async fn hold(&mut self, length: usize) -> Result<Reservation, End> {
         let needed = length as u64 + EVENT_OVERHEAD;
         let caller = Rc::clone(&self.job.caller);
         let room = &self.traffic.room;
-        let mut hold = caller.account.hold(Kind::ReadAhead);
+        let mut hold = caller.account.reservation(Kind::ReadAhead);
         if room.reserve_ahead_now(&caller, &mut hold, needed) {
             return Ok(hold);
         }
--- a/components/memory/src/accept_gate.rs
+++ b/components/memory/src/accept_gate.rs
@@ -4,13 +4,13 @@
 
 /// Part of the budget from which on no connection is taken: more than half of the part for the shares is used, and what is
 /// open still finds its share in the rest. Slow callers alone fill the common part, which is 0.7, and don't reach it.
-const STOP_PART: f64 = 0.88;
+const PAUSE_PART: f64 = 0.88;
 /// Part of the budget below which connections are taken again; apart from the one above, so that readiness does not flap.
-const BEGIN_PART: f64 = 0.78;
+const RESUME_PART: f64 = 0.78;
 
 /// A change of what is done with new connections.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Turn {
+pub enum AcceptChange {
     /// None are taken from now on.
     Paused,
     /// They are taken again.
@@ -19,28 +19,30 @@
 
 /// Whether new connections are taken.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct PauseGate {
+pub struct AcceptGate {
     paused: bool,
 }
 
-impl PauseGate {
+impl AcceptGate {
     /// Whether none are taken.
     pub fn is_paused(&self) -> bool {
         self.paused
     }
 
     /// Looks at what is held.
-    pub fn look(&mut self, held: u64, budget: Budget) -> Option<Turn> {
-        let most = budget.most.map_or(f64::INFINITY, |most| most as f64);
+    pub fn update(&mut self, held: u64, budget: Budget) -> Option<AcceptChange> {
+        let max_bytes = budget
+            .max_bytes
+            .map_or(f64::INFINITY, |max_bytes| max_bytes as f64);
         let held = held as f64;
         match self.paused {
-            false if held >= most * STOP_PART => {
+            false if held >= max_bytes * PAUSE_PART => {
                 self.paused = true;
-                Some(Turn::Paused)
+                Some(AcceptChange::Paused)
             }
-            true if held < most * BEGIN_PART => {
+            true if held < max_bytes * RESUME_PART => {
                 self.paused = false;
-                Some(Turn::Resumed)
+                Some(AcceptChange::Resumed)
             }
             _ => None,
         }
--- a/components/memory/src/budget.rs
+++ b/components/memory/src/budget.rs
@@ -4,24 +4,24 @@
 /// arrived and was not read yet. A process of 160 MiB is to peak below 120.
 const PLANNED_PART: f64 = 0.65;
 /// Bytes of a process that holds nothing: 6.2 MB at most in calm on the deployments that were measured, and room for logs.
-const BASE: u64 = 8 << 20;
+const BASE_BYTES: u64 = 8 << 20;
 /// Bytes of one endpoint in the tables: its row as text, decoded, and its place on the board.
-const ENDPOINT: u64 = 4 << 10;
+const ENDPOINT_BYTES: u64 = 4 << 10;
 /// Bytes of one gateway in the tables: its row, totals by team and what it was heard to say.
-const GATEWAY: u64 = 4 << 10;
+const GATEWAY_BYTES: u64 = 4 << 10;
 /// Part of the budget that only requests within their own share may use.
-const SHARES_PART: f64 = 0.3;
+const SHARE_POOL_PART: f64 = 0.3;
 /// Requests that divide the part of the shares at least; fewer than that find more in the common part.
-const FEWEST_SHARES: u64 = 16;
+const MIN_SHARE_COUNT: u64 = 16;
 /// Shares shrink as holders come, and those before keep what they hold: n of them hold at most 1 + ln(n / 16) times the
 /// part if it is divided by n alone. Divided by this as well, it lasts for 2,300 holders.
-const EARLIER_SHARES: u64 = 6;
+const EARLIER_HOLDERS_DIVISOR: u64 = 6;
 /// Least budget: one body of the largest size and its answer fit whatever the VM says.
-const LEAST: u64 = 8 << 20;
+const MIN_BUDGET_BYTES: u64 = 8 << 20;
 
 /// How large the tables are that a gateway keeps.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Tables {
+pub struct TableSizes {
     /// Endpoints known.
     pub endpoints: u64,
     /// Gateways known.
@@ -32,42 +32,50 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Budget {
     /// All of them; `None` sets no bound.
-    pub most: Option<u64>,
+    pub max_bytes: Option<u64>,
 }
 
 impl Budget {
     /// No bound.
-    pub const NONE: Budget = Budget { most: None };
+    pub const NONE: Budget = Budget { max_bytes: None };
 
     /// The budget of a process on a VM of so many MiB; 0 sets no bound.
-    pub fn of_vm(mib: u64, tables: Tables) -> Self {
+    pub fn of_vm(mib: u64, tables: TableSizes) -> Self {
         if mib == 0 {
             return Self::NONE;
         }
         let planned = ((mib << 20) as f64 * PLANNED_PART) as u64;
-        let tables = tables.endpoints * ENDPOINT + tables.gateways * GATEWAY;
-        Self::of_bytes(planned.saturating_sub(BASE + tables).max(LEAST))
+        let tables = tables.endpoints * ENDPOINT_BYTES + tables.gateways * GATEWAY_BYTES;
+        Self::of_bytes(
+            planned
+                .saturating_sub(BASE_BYTES + tables)
+                .max(MIN_BUDGET_BYTES),
+        )
     }
 
     /// A budget of so many bytes.
-    pub fn of_bytes(most: u64) -> Self {
-        Budget { most: Some(most) }
+    pub fn of_bytes(max_bytes: u64) -> Self {
+        Budget {
+            max_bytes: Some(max_bytes),
+        }
     }
 
     /// Bytes that one of `holders` requests may hold while the common part is used up.
     pub fn share(&self, holders: u64) -> u64 {
-        self.of_shares() / holders.max(FEWEST_SHARES) / EARLIER_SHARES
+        self.share_pool() / holders.max(MIN_SHARE_COUNT) / EARLIER_HOLDERS_DIVISOR
     }
 
     /// Bytes that only requests within their share may use.
-    pub fn of_shares(&self) -> u64 {
-        self.most
-            .map_or(u64::MAX, |most| (most as f64 * SHARES_PART) as u64)
+    pub fn share_pool(&self) -> u64 {
+        self.max_bytes.map_or(u64::MAX, |max_bytes| {
+            (max_bytes as f64 * SHARE_POOL_PART) as u64
+        })
     }
 
     /// Bytes that any request may use, beyond its share as well.
-    pub fn common(&self) -> u64 {
-        self.most
-            .map_or(u64::MAX, |most| most.saturating_sub(self.of_shares()))
+    pub fn common_pool(&self) -> u64 {
+        self.max_bytes.map_or(u64::MAX, |max_bytes| {
+            max_bytes.saturating_sub(self.share_pool())
+        })
     }
 }
--- a/components/memory/src/eviction.rs
+++ b/components/memory/src/eviction.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 /// A caller that took nothing for this long reads nothing: networks and pauses of a collector are shorter.
-const NO_PROGRESS: Duration = Duration::from_secs(3);
+const MIN_STALL: Duration = Duration::from_secs(3);
 
 /// An answer on its way to a caller.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -18,7 +18,7 @@
 
 /// What is known of endpoints.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Terms {
+pub struct EndpointTimeouts {
     /// Time after which endpoints cut an unread answer off, once that was seen.
     pub cut_after: Option<Duration>,
 }
@@ -26,10 +26,10 @@
 /// The delivery that gives its memory back first: of those that make no progress, or whose endpoint has cut their answer
 /// off by now, the one with the greatest product of bytes held and time without progress. A caller that takes anything at
 /// all, and whose endpoint is not known to have given up, is never chosen.
-pub fn slowest(deliveries: &[Delivery], terms: Terms) -> Option<usize> {
+pub fn eviction_candidate(deliveries: &[Delivery], timeouts: EndpointTimeouts) -> Option<usize> {
     let mut found: Option<(usize, f64)> = None;
     for (i, delivery) in deliveries.iter().enumerate() {
-        if delivery.held == 0 || !may_end(delivery, terms) {
+        if delivery.held == 0 || !can_evict(delivery, timeouts) {
             continue;
         }
         let weight = delivery.held as f64 * delivery.stalled.as_secs_f64().max(f64::MIN_POSITIVE);
@@ -40,10 +40,10 @@
     found.map(|(i, _)| i)
 }
 
-fn may_end(delivery: &Delivery, terms: Terms) -> bool {
-    let is_cut = match (delivery.unread, terms.cut_after) {
+fn can_evict(delivery: &Delivery, timeouts: EndpointTimeouts) -> bool {
+    let is_cut = match (delivery.unread, timeouts.cut_after) {
         (Some(unread), Some(cut_after)) => unread >= cut_after,
         _ => false,
     };
-    is_cut || delivery.stalled >= NO_PROGRESS
+    is_cut || delivery.stalled >= MIN_STALL
 }
--- a/components/memory/src/ledger.rs
+++ b/components/memory/src/ledger.rs
@@ -16,7 +16,7 @@
     /// Events of a stream that the caller has not taken yet.
     ReadAhead,
     /// An answer that is known as a whole, or is being read.
-    Whole,
+    WholeAnswer,
     /// Open connections at a measured cost each.
     Connection,
 }
@@ -27,7 +27,7 @@
         Kind::BodyRead,
         Kind::BodyKept,
         Kind::ReadAhead,
-        Kind::Whole,
+        Kind::WholeAnswer,
         Kind::Connection,
     ];
 
@@ -37,7 +37,7 @@
 }
 
 #[derive(Debug)]
-struct Book {
+struct Totals {
     budget: Cell<Budget>,
     by_kind: [Cell<u64>; Kind::ALL.len()],
     total: Cell<u64>,
@@ -50,20 +50,20 @@
 /// The ledger of one process. Clones share it.
 #[derive(Clone)]
 pub struct Ledger {
-    book: Rc<Book>,
+    totals: Rc<Totals>,
     on_release: Rc<dyn Fn()>,
 }
 
 impl fmt::Debug for Ledger {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        f.debug_tuple("Ledger").field(&self.book).finish()
+        f.debug_tuple("Ledger").field(&self.totals).finish()
     }
 }
 
 impl Ledger {
     /// An empty ledger; `on_release` is called whenever bytes were given back.
     pub fn new(budget: Budget, on_release: impl Fn() + 'static) -> Self {
-        let book = Book {
+        let totals = Totals {
             budget: Cell::new(budget),
             by_kind: Default::default(),
             total: Cell::new(0),
@@ -72,13 +72,13 @@
             holders: Cell::new(0),
         };
         Ledger {
-            book: Rc::new(book),
+            totals: Rc::new(totals),
             on_release: Rc::new(on_release),
         }
     }
 
     /// Opens the account of one request or connection.
-    pub fn open(&self) -> Account {
+    pub fn open_account(&self) -> Account {
         Account {
             ledger: self.clone(),
             held: Rc::new(Cell::new(0)),
@@ -87,37 +87,37 @@
 
     /// Puts another budget in force. What is held already stays, also beyond it.
     pub fn set_budget(&self, budget: Budget) {
-        self.book.budget.set(budget);
+        self.totals.budget.set(budget);
     }
 
     /// The budget in force.
     pub fn budget(&self) -> Budget {
-        self.book.budget.get()
+        self.totals.budget.get()
     }
 
     /// Bytes held.
     pub fn total(&self) -> u64 {
-        self.book.total.get()
+        self.totals.total.get()
     }
 
     /// Bytes held of one kind.
     pub fn held(&self, kind: Kind) -> u64 {
-        self.book.by_kind[kind.index()].get()
+        self.totals.by_kind[kind.index()].get()
     }
 
     /// Most bytes held at once since the start.
     pub fn peak(&self) -> u64 {
-        self.book.peak.get()
+        self.totals.peak.get()
     }
 
     /// Bytes given back since the start.
     pub fn released(&self) -> u64 {
-        self.book.released.get()
+        self.totals.released.get()
     }
 
     /// Accounts that hold something other than a connection.
     pub fn holders(&self) -> u64 {
-        self.book.holders.get()
+        self.totals.holders.get()
     }
 
     /// Bytes that one request may hold while the common part is used up.
@@ -128,22 +128,23 @@
     fn fits(&self, kind: Kind, held: u64, more: u64) -> bool {
         let budget = self.budget();
         let total = self.total().saturating_add(more);
-        let is_small = kind == Kind::Connection || held.saturating_add(more) <= self.share();
-        total <= budget.common() || (is_small && budget.most.is_none_or(|most| total <= most))
+        let is_within_share = kind == Kind::Connection || held.saturating_add(more) <= self.share();
+        total <= budget.common_pool()
+            || (is_within_share && budget.max_bytes.is_none_or(|max_bytes| total <= max_bytes))
     }
 
     fn add(&self, kind: Kind, bytes: u64) {
-        let held = &self.book.by_kind[kind.index()];
+        let held = &self.totals.by_kind[kind.index()];
         held.set(held.get() + bytes);
         let total = self.total() + bytes;
-        self.book.total.set(total);
-        self.book.peak.set(self.book.peak.get().max(total));
+        self.totals.total.set(total);
+        self.totals.peak.set(self.totals.peak.get().max(total));
     }
 
     fn remove(&self, kind: Kind, bytes: u64) {
-        let held = &self.book.by_kind[kind.index()];
+        let held = &self.totals.by_kind[kind.index()];
         held.set(held.get() - bytes);
-        self.book.total.set(self.book.total.get() - bytes);
+        self.totals.total.set(self.totals.total.get() - bytes);
     }
 }
 
@@ -156,8 +157,8 @@
 
 impl Account {
     /// A hold of no bytes yet.
-    pub fn hold(&self, kind: Kind) -> Hold {
-        Hold {
+    pub fn reservation(&self, kind: Kind) -> Reservation {
+        Reservation {
             account: self.clone(),
             kind,
             bytes: 0,
@@ -175,7 +176,7 @@
             return;
         }
         if self.held.get() == 0 {
-            let holders = &self.ledger.book.holders;
+            let holders = &self.ledger.totals.holders;
             holders.set(holders.get() + 1);
         }
         self.held.set(self.held.get() + bytes);
@@ -188,7 +189,7 @@
         }
         self.held.set(self.held.get() - bytes);
         if self.held.get() == 0 {
-            let holders = &self.ledger.book.holders;
+            let holders = &self.ledger.totals.holders;
             holders.set(holders.get() - 1);
         }
     }
@@ -196,13 +197,13 @@
 
 /// Reserved bytes. Dropping gives them back.
 #[derive(Debug)]
-pub struct Hold {
+pub struct Reservation {
     account: Account,
     kind: Kind,
     bytes: u64,
 }
 
-impl Hold {
+impl Reservation {
     /// Bytes reserved.
     pub fn bytes(&self) -> u64 {
         self.bytes
@@ -220,10 +221,10 @@
     }
 
     /// Takes so many of its bytes into a hold of their own; all of them at most.
-    pub fn split(&mut self, bytes: u64) -> Hold {
+    pub fn split(&mut self, bytes: u64) -> Reservation {
         let bytes = bytes.min(self.bytes);
         self.bytes -= bytes;
-        Hold {
+        Reservation {
             account: self.account.clone(),
             kind: self.kind,
             bytes,
@@ -236,21 +237,21 @@
     }
 
     /// The same bytes, held for something else.
-    pub fn change(&mut self, kind: Kind) {
+    pub fn change_kind(&mut self, kind: Kind) {
         self.account.remove(self.kind, self.bytes);
         self.account.add(kind, self.bytes);
         self.kind = kind;
     }
 }
 
-impl Drop for Hold {
+impl Drop for Reservation {
     fn drop(&mut self) {
         if self.bytes == 0 {
             return;
         }
         self.account.remove(self.kind, self.bytes);
         let ledger = &self.account.ledger;
-        let released = &ledger.book.released;
+        let released = &ledger.totals.released;
         released.set(released.get() + self.bytes);
         (ledger.on_release)();
     }
--- a/components/memory/src/lib.rs
+++ b/components/memory/src/lib.rs
@@ -10,9 +10,9 @@
 mod ledger;
 mod release_rate;
 
-pub use accept_gate::{PauseGate, Turn};
-pub use body_wait::body_patience;
-pub use budget::{Budget, Tables};
-pub use eviction::{slowest, Delivery, Terms};
-pub use ledger::{Account, Hold, Kind, Ledger};
+pub use accept_gate::{AcceptChange, AcceptGate};
+pub use body_wait::max_body_wait;
+pub use budget::{Budget, TableSizes};
+pub use eviction::{eviction_candidate, Delivery, EndpointTimeouts};
+pub use ledger::{Account, Kind, Ledger, Reservation};
 pub use release_rate::ReleaseRate;
--- a/components/memory/src/release_rate.rs
+++ b/components/memory/src/release_rate.rs
@@ -3,11 +3,11 @@
 use std::time::Duration;
 
 /// Time over which the rate is averaged.
-const AVERAGED: Duration = Duration::from_secs(2);
+const AVERAGING_TIME: Duration = Duration::from_secs(2);
 /// Least time to come back: a refused caller is not to come back into the same moment.
-const LEAST_WAIT: Duration = Duration::from_millis(100);
+const MIN_WAIT: Duration = Duration::from_millis(100);
 /// Longest time to come back, where next to nothing becomes free.
-const LONGEST_WAIT: Duration = Duration::from_secs(5);
+const MAX_WAIT: Duration = Duration::from_secs(5);
 
 /// Bytes a second that were given back lately.
 #[derive(Clone, Copy, Debug, Default)]
@@ -25,16 +25,16 @@
             return;
         }
         let rate = released.saturating_sub(self.released) as f64 / passed;
-        let kept = (-passed / AVERAGED.as_secs_f64()).exp();
+        let kept = (-passed / AVERAGING_TIME.as_secs_f64()).exp();
         self.per_second = self.per_second * kept + rate * (1.0 - kept);
         self.at = now;
         self.released = released;
     }
 
     /// When so many bytes are likely to be free.
-    pub fn wait_for(&self, bytes: u64) -> Duration {
+    pub fn time_until_free(&self, bytes: u64) -> Duration {
         let seconds = bytes as f64 / self.per_second.max(1.0);
-        let longest = LONGEST_WAIT.as_secs_f64();
-        Duration::from_secs_f64(seconds.min(longest)).max(LEAST_WAIT)
+        let longest = MAX_WAIT.as_secs_f64();
+        Duration::from_secs_f64(seconds.min(longest)).max(MIN_WAIT)
     }
 }
--- a/components/memory/tests/guarantees.rs
+++ b/components/memory/tests/guarantees.rs
@@ -5,17 +5,17 @@
 use std::time::Duration;
 
 use memory::{
-    body_patience, slowest, Budget, Delivery, Hold, Kind, Ledger, PauseGate, ReleaseRate, Tables,
-    Terms, Turn,
+    eviction_candidate, max_body_wait, AcceptChange, AcceptGate, Budget, Delivery,
+    EndpointTimeouts, Kind, Ledger, ReleaseRate, Reservation, TableSizes,
 };
 use quickcheck::{quickcheck, Arbitrary, Gen};
 
-const MOST: u64 = 1_000_000;
+const BUDGET_BYTES: u64 = 1_000_000;
 
 #[derive(Clone, Copy, Debug)]
 enum Step {
     Open,
-    Hold { account: usize, kind: usize },
+    Reserve { account: usize, kind: usize },
     Grow { hold: usize, bytes: u64 },
     Shrink { hold: usize, bytes: u64 },
     Split { hold: usize, bytes: u64 },
@@ -27,10 +27,10 @@
     fn arbitrary(g: &mut Gen) -> Self {
         let (account, hold) = (usize::arbitrary(g), usize::arbitrary(g));
         let kind = usize::arbitrary(g) % Kind::ALL.len();
-        let bytes = u64::arbitrary(g) % (MOST / 8);
+        let bytes = u64::arbitrary(g) % (BUDGET_BYTES / 8);
         match u8::arbitrary(g) % 10 {
             0 => Step::Open,
-            1 | 2 => Step::Hold { account, kind },
+            1 | 2 => Step::Reserve { account, kind },
             3..=5 => Step::Grow { hold, bytes },
             6 => Step::Shrink { hold, bytes },
             7 => Step::Split { hold, bytes },
@@ -41,19 +41,19 @@
 }
 
 fn ledger() -> Ledger {
-    Ledger::new(Budget::of_bytes(MOST), || {})
+    Ledger::new(Budget::of_bytes(BUDGET_BYTES), || {})
 }
 
-fn play(ledger: &Ledger, steps: &[Step]) -> Vec<Hold> {
-    let mut accounts = vec![ledger.open()];
-    let mut holds: Vec<Hold> = vec![accounts[0].hold(Kind::Whole)];
+fn play(ledger: &Ledger, steps: &[Step]) -> Vec<Reservation> {
+    let mut accounts = vec![ledger.open_account()];
+    let mut holds: Vec<Reservation> = vec![accounts[0].reservation(Kind::WholeAnswer)];
     for step in steps {
         let at = |hold: usize| hold % holds.len().max(1);
         match *step {
-            Step::Open => accounts.push(ledger.open()),
-            Step::Hold { account, kind } => {
+            Step::Open => accounts.push(ledger.open_account()),
+            Step::Reserve { account, kind } => {
                 let account = &accounts[account % accounts.len()];
-                holds.push(account.hold(Kind::ALL[kind]));
+                holds.push(account.reservation(Kind::ALL[kind]));
             }
             _ if holds.is_empty() => {}
             Step::Grow { hold, bytes } => {
@@ -71,23 +71,23 @@
             }
             Step::Change { hold, kind } => {
                 let at = at(hold);
-                holds[at].change(Kind::ALL[kind]);
+                holds[at].change_kind(Kind::ALL[kind]);
             }
             Step::Drop { hold } => {
                 let at = at(hold);
                 holds.swap_remove(at);
             }
         }
-        let sum: u64 = holds.iter().map(Hold::bytes).sum();
+        let sum: u64 = holds.iter().map(Reservation::bytes).sum();
         let kinds: u64 = Kind::ALL.iter().map(|kind| ledger.held(*kind)).sum();
         assert_eq!((sum, kinds), (ledger.total(), ledger.total()));
-        assert!(ledger.total() <= MOST);
+        assert!(ledger.total() <= BUDGET_BYTES);
     }
     holds
 }
 
 quickcheck! {
-    fn the_ledger_is_never_over_and_all_is_back_after_every_end(steps: Vec<Step>, from: usize) -> bool {
+    fn the_ledger_never_exceeds_its_budget_and_is_empty_once_all_reservations_are_dropped(steps: Vec<Step>, from: usize) -> bool {
         let ledger = ledger();
         let mut holds = play(&ledger, &steps);
         while !holds.is_empty() {
@@ -97,50 +97,52 @@
         ledger.total() == 0 && ledger.holders() == 0
     }
 
-    fn a_request_within_its_share_finds_room_while_the_common_part_is_used_up(holders: u8) -> bool {
+    fn a_request_within_its_share_can_reserve_while_the_common_pool_is_used_up(holders: u8) -> bool {
         let ledger = ledger();
-        let hog = ledger.open();
-        let mut hogged = hog.hold(Kind::ReadAhead);
+        let hog = ledger.open_account();
+        let mut hogged = hog.reservation(Kind::ReadAhead);
         while hogged.grow(1000) {}
-        let others: Vec<Hold> = (0..holders)
+        let others: Vec<Reservation> = (0..holders)
             .map(|_| {
-                let mut hold = ledger.open().hold(Kind::ReadAhead);
+                let mut hold = ledger.open_account().reservation(Kind::ReadAhead);
                 assert!(hold.grow(ledger.budget().share(ledger.holders() + 1)));
                 hold
             })
             .collect();
-        others.len() == usize::from(holders) && ledger.total() <= MOST
+        others.len() == usize::from(holders) && ledger.total() <= BUDGET_BYTES
     }
 }
 
 #[test]
-fn without_a_bound_everything_fits() {
-    let ledger = Ledger::new(Budget::of_vm(0, Tables::default()), || {});
-    let mut hold = ledger.open().hold(Kind::Whole);
+fn without_a_limit_every_reservation_succeeds() {
+    let ledger = Ledger::new(Budget::of_vm(0, TableSizes::default()), || {});
+    let mut hold = ledger.open_account().reservation(Kind::WholeAnswer);
     assert!(hold.grow(u64::MAX / 2));
-    assert_eq!(ledger.held(Kind::Whole), u64::MAX / 2);
+    assert_eq!(ledger.held(Kind::WholeAnswer), u64::MAX / 2);
 }
 
 #[test]
-fn a_vm_of_160_mib_plans_with_less_than_120() {
-    let tables = Tables {
+fn a_vm_of_160_mib_has_a_planned_peak_below_120_mib() {
+    let tables = TableSizes {
         endpoints: 64,
         gateways: 74,
     };
     let budget = Budget::of_vm(160, tables);
-    let most = budget.most.unwrap();
+    let max_bytes = budget.max_bytes.unwrap();
     // What is held, the base of 8 MiB and a tenth that the allocator loses.
-    let peak = most + most / 10 + (8 << 20);
+    let peak = max_bytes + max_bytes / 10 + (8 << 20);
     assert!((80 << 20..120 << 20).contains(&peak), "{peak}");
-    assert!(Budget::of_vm(160, Tables::default()).most > budget.most);
+    assert!(Budget::of_vm(160, TableSizes::default()).max_bytes > budget.max_bytes);
 }
 
 #[test]
-fn those_that_wait_hear_of_every_release() {
+fn the_release_callback_runs_on_every_release() {
     let heard = Rc::new(Cell::new(0));
     let count = Rc::clone(&heard);
-    let ledger = Ledger::new(Budget::of_bytes(MOST), move || count.set(count.get() + 1));
-    let mut hold = ledger.open().hold(Kind::Whole);
+    let ledger = Ledger::new(Budget::of_bytes(BUDGET_BYTES), move || {
+        count.set(count.get() + 1)
+    });
+    let mut hold = ledger.open_account().reservation(Kind::WholeAnswer);
     assert!(hold.grow(10));
     hold.shrink(4);
     drop(hold);
@@ -148,28 +150,28 @@
 }
 
 #[test]
-fn connections_stop_being_taken_before_memory_is_full_and_are_taken_again_well_below() {
+fn accepting_pauses_before_the_budget_is_used_up_and_resumes_well_below() {
     let budget = Budget::of_bytes(100);
-    let mut gate = PauseGate::default();
-    let turns: Vec<Option<Turn>> = [50, 87, 89, 87, 79, 77, 87]
+    let mut gate = AcceptGate::default();
+    let turns: Vec<Option<AcceptChange>> = [50, 87, 89, 87, 79, 77, 87]
         .into_iter()
-        .map(|held| gate.look(held, budget))
+        .map(|held| gate.update(held, budget))
         .collect();
-    let (paused, resumed) = (Some(Turn::Paused), Some(Turn::Resumed));
+    let (paused, resumed) = (Some(AcceptChange::Paused), Some(AcceptChange::Resumed));
     assert_eq!(turns, [None, None, paused, None, None, resumed, None]);
-    assert_eq!(gate.look(u64::MAX, Budget::NONE), None);
+    assert_eq!(gate.update(u64::MAX, Budget::NONE), None);
 }
 
 #[test]
-fn the_time_to_come_back_follows_the_rate_of_release() {
+fn the_retry_time_follows_the_release_rate() {
     let mut rate = ReleaseRate::default();
-    assert_eq!(rate.wait_for(1 << 20), Duration::from_secs(5));
+    assert_eq!(rate.time_until_free(1 << 20), Duration::from_secs(5));
     for second in 1..=20 {
         rate.sample(Duration::from_secs(second), second * 1_000_000);
     }
-    let wait = rate.wait_for(2_000_000).as_secs_f64();
+    let wait = rate.time_until_free(2_000_000).as_secs_f64();
     assert!((1.9..2.1).contains(&wait), "{wait}");
-    assert_eq!(rate.wait_for(1), Duration::from_millis(100));
+    assert_eq!(rate.time_until_free(1), Duration::from_millis(100));
 }
 
 fn delivery(held: u64, stalled: u64, unread: Option<u64>) -> Delivery {
@@ -181,39 +183,45 @@
 }
 
 #[test]
-fn the_one_that_holds_most_for_the_longest_time_without_progress_is_ended_first() {
+fn the_delivery_with_the_largest_product_of_bytes_and_stall_time_is_evicted_first() {
     let deliveries = [
         delivery(1000, 4, None),
         delivery(500, 10, None),
         delivery(0, 100, None),
     ];
-    assert_eq!(slowest(&deliveries, Terms::default()), Some(1));
+    assert_eq!(
+        eviction_candidate(&deliveries, EndpointTimeouts::default()),
+        Some(1)
+    );
 }
 
 #[test]
-fn a_caller_that_takes_anything_is_kept_unless_its_endpoint_gave_up() {
+fn a_delivery_with_progress_is_kept_unless_its_endpoint_has_cut_it() {
     let deliveries = [delivery(1000, 1, Some(9)), delivery(10, 0, None)];
-    assert_eq!(slowest(&deliveries, Terms::default()), None);
-    let seen = |seconds| Terms {
+    assert_eq!(
+        eviction_candidate(&deliveries, EndpointTimeouts::default()),
+        None
+    );
+    let seen = |seconds| EndpointTimeouts {
         cut_after: Some(Duration::from_secs(seconds)),
     };
-    assert_eq!(slowest(&deliveries, seen(10)), None);
-    assert_eq!(slowest(&deliveries, seen(9)), Some(0));
+    assert_eq!(eviction_candidate(&deliveries, seen(10)), None);
+    assert_eq!(eviction_candidate(&deliveries, seen(9)), Some(0));
 }
 
 #[test]
-fn less_urgent_and_larger_bodies_are_refused_first_and_none_waits_past_an_eighth_of_its_target() {
+fn less_urgent_and_larger_bodies_wait_for_less_and_none_waits_past_an_eighth_of_its_target() {
     let target = Duration::from_secs(2);
     let (small, large) = (1 << 10, 4 << 20);
-    let urgent = body_patience(0, small, target);
+    let urgent = max_body_wait(0, small, target);
     assert_eq!(urgent, target / 8);
-    assert!(body_patience(5, small, target) < urgent);
-    assert!(body_patience(0, large, target) < urgent);
-    let least = body_patience(u8::MAX, u64::MAX, target);
-    assert!(least < body_patience(5, large, target));
+    assert!(max_body_wait(5, small, target) < urgent);
+    assert!(max_body_wait(0, large, target) < urgent);
+    let least = max_body_wait(u8::MAX, u64::MAX, target);
+    assert!(least < max_body_wait(5, large, target));
     let long_target = Duration::from_secs(60);
     assert_eq!(
-        body_patience(0, small, long_target),
+        max_body_wait(0, small, long_target),
         Duration::from_millis(400)
     );
 }
