--- a/components/gateway/src/decisions.rs
+++ b/components/gateway/src/decisions.rs
@@ -235,7 +235,7 @@
     fn closed_to_tell(&self, service: &str) -> Option<Vec<i64>> {
         let now = self.clock.now();
         let state = self.state.borrow();
-        let closed = state.board.notices().closed(now, service, MOST_CLOSED);
+        let closed = state.board.notices().unavailable(now, service, MOST_CLOSED);
         let hashes = closed.iter().map(|start| *start as i64);
         (!closed.is_empty()).then(|| hashes.collect())
     }
--- a/components/gateway/src/said.rs
+++ b/components/gateway/src/said.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use http::StatusCode;
-use notices::{LimitNotice, Standing};
+use notices::{Availability, LimitNotice};
 use rand::RngExt;
 use routing::placement::Placement;
 use slog::{info, warn};
@@ -59,12 +59,12 @@
     /// Whether an endpoint wants requests of this gateway. Looked at last before one is sent: a coordinator that chose it
     /// need not know, and a connection takes a while to open.
     pub fn is_wanted(&self, placement: &Placement) -> bool {
-        self.standing(placement) == Standing::Open
+        self.standing(placement) == Availability::Open
     }
 
     /// Whether an endpoint told this gateway that it leaves.
     pub fn said_it_leaves(&self, placement: &Placement) -> bool {
-        self.standing(placement) == Standing::Leaving
+        self.standing(placement) == Availability::Leaving
     }
 
     /// Time until the first endpoint of a job's service wants requests, if all of them paused or their limits are used up.
@@ -75,7 +75,9 @@
         let left = match state.endpoints_known {
             true => state.board.time_until_open(now, service),
             // A coordinator found none, so all that it knows are closed to this gateway.
-            false if progress.tried.is_empty() => state.board.notices().least_pause(now, service),
+            false if progress.tried.is_empty() => {
+                state.board.notices().min_time_until_open(now, service)
+            }
             // Those that the job was tried at may be open.
             false => None,
         };
@@ -89,7 +91,7 @@
         let mut state = self.state.borrow_mut();
         let part = state.rng.random::<f64>();
         Nowhere {
-            cause: match state.board.notices().is_any_spent(now, service) {
+            cause: match state.board.notices().has_exhausted_limit(now, service) {
                 true => "the limits that the endpoints named are used up",
                 false => "the endpoints asked for a pause",
             },
@@ -97,10 +99,10 @@
         }
     }
 
-    fn standing(&self, placement: &Placement) -> Standing {
+    fn standing(&self, placement: &Placement) -> Availability {
         let state = self.state.borrow();
         let notices = state.board.notices();
-        notices.standing(self.clock.now(), placement.incarnation)
+        notices.availability(self.clock.now(), placement.incarnation)
     }
 
     fn hear_leaving(&self, job: &Job, placement: &Placement) {
@@ -108,7 +110,7 @@
         let mut state = self.state.borrow_mut();
         state.pool.forget(&placement.endpoint);
         let notices = state.board.notices_mut();
-        if notices.note_leaving(placement.incarnation, &job.work.service) {
+        if notices.record_leaving(placement.incarnation, &job.work.service) {
             info!(self.log, "endpoint says that it leaves"; "id" => &job.head.id,
                 "endpoint" => &placement.endpoint);
         }
@@ -153,6 +155,6 @@
         let now = self.clock.now();
         let mut state = self.state.borrow_mut();
         let notices = state.board.notices_mut();
-        notices.note_pause(now, placement.incarnation, &job.work.service, pause);
+        notices.record_pause(now, placement.incarnation, &job.work.service, pause);
     }
 }
--- a/components/gateway/src/sends.rs
+++ b/components/gateway/src/sends.rs
@@ -168,7 +168,10 @@
         self.metrics.count(Counter::SendsRefused);
         let now = self.clock.now();
         let mut state = self.state.borrow_mut();
-        state.board.notices_mut().note_spent(now, start, wait);
+        state
+            .board
+            .notices_mut()
+            .record_limit_exhausted(now, start, wait);
         Grant::Refused
     }
 
@@ -251,7 +254,7 @@
     /// Takes what an endpoint said of its limit, here or to another gateway. Says whether it is news.
     pub fn take_limit(&self, limit: &LimitNotice) -> bool {
         let mut state = self.state.borrow_mut();
-        state.board.notices_mut().note_limit(limit)
+        state.board.notices_mut().record_limit(limit)
     }
 
     /// Tells those who place requests of a limit.
--- a/components/gateway/src/traffic.rs
+++ b/components/gateway/src/traffic.rs
@@ -137,7 +137,7 @@
             }
             Update::PeerHeardLimits(limits) => {
                 for limit in &limits {
-                    state.board.notices_mut().note_limit(limit);
+                    state.board.notices_mut().record_limit(limit);
                 }
             }
             Update::PeerTaken {
--- a/components/notices/src/lib.rs
+++ b/components/notices/src/lib.rs
@@ -6,4 +6,4 @@
 
 mod notices;
 
-pub use notices::{LimitNotice, Notices, Standing};
+pub use notices::{Availability, LimitNotice, Notices};
--- a/components/notices/src/notices.rs
+++ b/components/notices/src/notices.rs
@@ -6,15 +6,15 @@
 use lru::LruCache;
 
 /// Starts of endpoints remembered, those with the newest notices. Some 200 bytes each, for those that said something only.
-const MOST_NOTICES: usize = 32_768;
+const MAX_NOTICES: usize = 32_768;
 
 /// What comes again by way of other gateways seems to have been asked for later, by the time on the way. It is the same if
 /// it is no newer than this, and stays as old as it was.
-const SAME_NOTICE: Duration = Duration::from_millis(100);
+const DUPLICATE_TOLERANCE: Duration = Duration::from_millis(100);
 
 /// Whether an endpoint wants requests of this gateway.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Standing {
+pub enum Availability {
     /// It said nothing against it.
     Open,
     /// It leaves and wants none any more.
@@ -22,7 +22,7 @@
     /// It wants none for so long.
     Paused(Duration),
     /// The limit that it named is used up for so long, whoever sends.
-    Spent(Duration),
+    LimitExhausted(Duration),
 }
 
 /// What an endpoint said of the rate at which it takes requests of all gateways together.
@@ -43,7 +43,7 @@
     rate: Option<SendRate>,
     asked_at: Duration,
     // Until when no send is granted, as far as is known here.
-    spent_until: Duration,
+    exhausted_until: Duration,
 }
 
 #[derive(Debug)]
@@ -55,16 +55,16 @@
 }
 
 impl Notice {
-    fn standing(&self, now: Duration) -> Standing {
+    fn availability(&self, now: Duration) -> Availability {
         if self.is_leaving {
-            return Standing::Leaving;
+            return Availability::Leaving;
         }
-        let spent_until = self.limit.map_or(Duration::ZERO, |l| l.spent_until);
+        let exhausted_until = self.limit.map_or(Duration::ZERO, |l| l.exhausted_until);
         let paused = self.paused_until.saturating_sub(now);
-        match spent_until.saturating_sub(now) {
-            spent if spent > paused => Standing::Spent(spent),
-            _ if paused.is_zero() => Standing::Open,
-            _ => Standing::Paused(paused),
+        match exhausted_until.saturating_sub(now) {
+            exhausted if exhausted > paused => Availability::LimitExhausted(exhausted),
+            _ if paused.is_zero() => Availability::Open,
+            _ => Availability::Paused(paused),
         }
     }
 
@@ -89,37 +89,39 @@
 
 impl Notices {
     /// An endpoint of a service says that it leaves; that is never taken back. Says whether it is news.
-    pub fn note_leaving(&mut self, start: u64, service: &str) -> bool {
+    pub fn record_leaving(&mut self, start: u64, service: &str) -> bool {
         let notice = self.notice(start, service);
         !std::mem::replace(&mut notice.is_leaving, true)
     }
 
     /// An endpoint of a service wants nothing from now on for `pause`. Of several pauses the one that ends last binds: each
     /// was asked for.
-    pub fn note_pause(&mut self, now: Duration, start: u64, service: &str, pause: Duration) {
-        self.drop_ended(now);
+    pub fn record_pause(&mut self, now: Duration, start: u64, service: &str, pause: Duration) {
+        self.remove_expired(now);
         let notice = self.notice(start, service);
         notice.paused_until = notice.paused_until.max(now.saturating_add(pause));
     }
 
     /// Takes what an endpoint said of its limit, unless a request sent later said something. Says whether it is news.
-    pub fn note_limit(&mut self, said: &LimitNotice) -> bool {
-        let known = self.notices.peek(&said.start).and_then(|n| n.limit);
-        let is_past = match known {
-            None => said.rate.is_none(),
-            Some(known) if said.rate == known.rate => said.asked_at <= known.asked_at + SAME_NOTICE,
-            Some(known) => said.asked_at <= known.asked_at,
+    pub fn record_limit(&mut self, reported: &LimitNotice) -> bool {
+        let known = self.notices.peek(&reported.start).and_then(|n| n.limit);
+        let is_outdated = match known {
+            None => reported.rate.is_none(),
+            Some(known) if reported.rate == known.rate => {
+                reported.asked_at <= known.asked_at + DUPLICATE_TOLERANCE
+            }
+            Some(known) => reported.asked_at <= known.asked_at,
         };
-        if is_past {
+        if is_outdated {
             return false;
         }
-        let spent_until = known.map_or(Duration::ZERO, |known| known.spent_until);
-        let notice = self.notice(said.start, &said.service);
+        let exhausted_until = known.map_or(Duration::ZERO, |known| known.exhausted_until);
+        let notice = self.notice(reported.start, &reported.service);
         notice.limit = Some(Limit {
-            rate: said.rate,
-            asked_at: said.asked_at,
-            spent_until: match said.rate {
-                Some(_) => spent_until,
+            rate: reported.rate,
+            asked_at: reported.asked_at,
+            exhausted_until: match reported.rate {
+                Some(_) => exhausted_until,
                 None => Duration::ZERO,
             },
         });
@@ -127,10 +129,10 @@
     }
 
     /// The limit of an endpoint is used up for so long.
-    pub fn note_spent(&mut self, now: Duration, start: u64, wait: Duration) {
+    pub fn record_limit_exhausted(&mut self, now: Duration, start: u64, wait: Duration) {
         let notice = self.notices.get_mut(&start);
         if let Some(limit) = notice.and_then(|notice| notice.limit.as_mut()) {
-            limit.spent_until = now.saturating_add(wait);
+            limit.exhausted_until = now.saturating_add(wait);
         }
     }
 
@@ -152,9 +154,9 @@
     }
 
     /// Whether an endpoint wants requests.
-    pub fn standing(&self, now: Duration, start: u64) -> Standing {
+    pub fn availability(&self, now: Duration, start: u64) -> Availability {
         let notice = self.notices.peek(&start);
-        notice.map_or(Standing::Open, |notice| notice.standing(now))
+        notice.map_or(Availability::Open, |notice| notice.availability(now))
     }
 
     /// Whether no endpoint said anything that is remembered.
@@ -163,32 +165,33 @@
     }
 
     /// Endpoints of a service that want no requests, at most so many, those first that said so last.
-    pub fn closed(&self, now: Duration, service: &str, most: usize) -> Vec<u64> {
-        let closed = self.notices.iter().filter(|(_, notice)| {
-            notice.service == service && notice.standing(now) != Standing::Open
+    pub fn unavailable(&self, now: Duration, service: &str, limit: usize) -> Vec<u64> {
+        let unavailable = self.notices.iter().filter(|(_, notice)| {
+            notice.service == service && notice.availability(now) != Availability::Open
         });
-        closed.map(|(start, _)| *start).take(most).collect()
+        unavailable.map(|(start, _)| *start).take(limit).collect()
     }
 
     /// Time until the first endpoint of a service that paused, or whose limit is used up, wants requests again; `None` if there
     /// is none.
-    pub fn least_pause(&self, now: Duration, service: &str) -> Option<Duration> {
+    pub fn min_time_until_open(&self, now: Duration, service: &str) -> Option<Duration> {
         let of_service = self.notices.iter().filter(|(_, n)| n.service == service);
-        let left = of_service.filter_map(|(_, notice)| match notice.standing(now) {
-            Standing::Paused(left) | Standing::Spent(left) => Some(left),
-            Standing::Open | Standing::Leaving => None,
+        let left = of_service.filter_map(|(_, notice)| match notice.availability(now) {
+            Availability::Paused(left) | Availability::LimitExhausted(left) => Some(left),
+            Availability::Open | Availability::Leaving => None,
         });
         left.min()
     }
 
     /// Whether the limit of some endpoint of a service is used up.
-    pub fn is_any_spent(&self, now: Duration, service: &str) -> bool {
+    pub fn has_exhausted_limit(&self, now: Duration, service: &str) -> bool {
         let mut of_service = self.notices.iter().filter(|(_, n)| n.service == service);
-        of_service.any(|(_, notice)| matches!(notice.standing(now), Standing::Spent(_)))
+        of_service
+            .any(|(_, notice)| matches!(notice.availability(now), Availability::LimitExhausted(_)))
     }
 
     fn notice(&mut self, start: u64, service: &str) -> &mut Notice {
-        if self.notices.len() >= MOST_NOTICES && !self.notices.contains(&start) {
+        if self.notices.len() >= MAX_NOTICES && !self.notices.contains(&start) {
             self.notices.pop_lru();
         }
         self.notices.get_or_insert_mut(start, || Notice {
@@ -200,9 +203,9 @@
     }
 
     // The oldest ones, as far as nothing that they said binds.
-    fn drop_ended(&mut self, now: Duration) {
+    fn remove_expired(&mut self, now: Duration) {
         while let Some((_, oldest)) = self.notices.peek_lru() {
-            if oldest.standing(now) != Standing::Open || oldest.limit.is_some() {
+            if oldest.availability(now) != Availability::Open || oldest.limit.is_some() {
                 return;
             }
             self.notices.pop_lru();
--- a/components/routing/src/placement/balancer.rs
+++ b/components/routing/src/placement/balancer.rs
@@ -6,7 +6,7 @@
 
 use directory::{Configuration, Endpoint, Engine};
 use engine::Learner;
-use notices::{Notices, Standing};
+use notices::{Availability, Notices};
 use topology::Topology;
 
 use crate::placement::engines::EventWindow;
@@ -408,7 +408,7 @@
 
 /// Whether an endpoint takes new requests of at least some gateways: it is ready and not leaving.
 pub(super) fn takes_work(now: Duration, entry: &EndpointEntry, notices: &Notices) -> bool {
-    entry.spec.is_ready() && standing(now, entry, notices) != Standing::Leaving
+    entry.spec.is_ready() && standing(now, entry, notices) != Availability::Leaving
 }
 
 pub(super) fn ms(duration: Duration) -> f64 {
--- a/components/routing/src/placement/exclusion.rs
+++ b/components/routing/src/placement/exclusion.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use notices::{Notices, Standing};
+use notices::{Availability, Notices};
 
 use crate::placement::balancer::Balancer;
 use crate::placement::entry::EndpointEntry;
@@ -29,18 +29,18 @@
             return false;
         }
         match standing(now, entry, notices) {
-            Standing::Open => true,
-            Standing::Leaving | Standing::Spent(_) => false,
-            Standing::Paused(_) => !self.sent_here,
+            Availability::Open => true,
+            Availability::Leaving | Availability::LimitExhausted(_) => false,
+            Availability::Paused(_) => !self.sent_here,
         }
     }
 }
 
 /// Returns whether an endpoint accepts requests of this gateway, by the notices it sent.
-pub(crate) fn standing(now: Duration, entry: &EndpointEntry, notices: &Notices) -> Standing {
+pub(crate) fn standing(now: Duration, entry: &EndpointEntry, notices: &Notices) -> Availability {
     match notices.is_empty() {
-        true => Standing::Open,
-        false => notices.standing(now, entry.incarnation()),
+        true => Availability::Open,
+        false => notices.availability(now, entry.incarnation()),
     }
 }
 
@@ -63,9 +63,9 @@
         let ready = endpoints.flat_map(ServiceEndpoints::iter);
         let ready = ready.filter(|entry| entry.spec.is_ready());
         let times = ready.filter_map(|entry| match standing(now, entry, &self.notices) {
-            Standing::Open => Some(Duration::ZERO),
-            Standing::Paused(left) | Standing::Spent(left) => Some(left),
-            Standing::Leaving => None,
+            Availability::Open => Some(Duration::ZERO),
+            Availability::Paused(left) | Availability::LimitExhausted(left) => Some(left),
+            Availability::Leaving => None,
         });
         times.min()
     }
--- a/components/routing/tests/limits.rs
+++ b/components/routing/tests/limits.rs
@@ -42,7 +42,7 @@
 }
 
 fn limit(balancer: &mut Balancer, id: &str, per_s: f64) {
-    balancer.notices_mut().note_limit(&LimitNotice {
+    balancer.notices_mut().record_limit(&LimitNotice {
         start: endpoint_hash(id),
         service: SERVICE.into(),
         rate: SendRate::from_per_s(per_s),
@@ -80,7 +80,7 @@
     limit(&mut balancer, "e1", 4.0);
     balancer
         .notices_mut()
-        .note_spent(ms(10), endpoint_hash("e1"), ms(250));
+        .record_limit_exhausted(ms(10), endpoint_hash("e1"), ms(250));
     assert_eq!(choose(&mut balancer, ms(100), 0), None);
     assert_eq!(balancer.time_until_open(ms(100), SERVICE), Some(ms(160)));
     assert_eq!(choose(&mut balancer, ms(260), 0).as_deref(), Some("e1"));
