--- a/components/gateway/src/control/carrying.rs
+++ b/components/gateway/src/control/carrying.rs
@@ -60,7 +60,7 @@
             None => {}
             Some(Work::Load) => self.load(service).await,
             Some(Work::Status(decision)) => self.write_status(service, decision).await,
-            Some(Work::Step(Step::Tell(stage))) => self.set_stage(service, stage),
+            Some(Work::Step(Step::Announce(stage))) => self.set_stage(service, stage),
             Some(Work::Step(Step::Decide(decision, judgement))) => {
                 self.decide_rollout(service, decision, judgement).await;
             }
@@ -84,7 +84,7 @@
         if let Some(decision) = carried.decision {
             // A decision holds once it was reported.
             let is_reported = ordered.decision().is_some();
-            let report = Work::Step(Step::Tell(Stage::Decided(decision)));
+            let report = Work::Step(Step::Announce(Stage::Decided(decision)));
             return (!is_reported).then_some(report);
         }
         let ordered_at = known.store_clock.moment(carried.ordered_stamp, now);
@@ -95,9 +95,9 @@
         let elapsed = now.saturating_sub(ordered_at).as_secs_f64();
         let progress = Progress {
             ordered_at,
-            long_per_s: long / elapsed.max(1.0),
-            call_time: carried.call_time,
-            can_carry: slots > 0 && slots >= runs,
+            long_requests_per_s: long / elapsed.max(1.0),
+            store_call_time: carried.call_time,
+            has_capacity: slots > 0 && slots >= runs,
         };
         let ordered = known.rollouts.orders.get_mut(service)?;
         let plan = &mut ordered.carried.as_mut()?.plan;
--- a/components/gateway/src/control/rollouts.rs
+++ b/components/gateway/src/control/rollouts.rs
@@ -6,7 +6,7 @@
 
 use directory::Endpoint;
 use replica::Revision;
-use rollout::{Decision, Evidence, Order, Plan, Stage, Terms};
+use rollout::{Decision, Evidence, ExposureLimit, Order, RolloutController, Stage};
 use schema::messages::{EvidenceReport, RolloutReport};
 use schema::settings::GatewaySettings;
 use usage::Source;
@@ -66,7 +66,7 @@
 #[derive(Debug)]
 pub(crate) struct Carried {
     /// What is to be done next.
-    pub plan: Plan,
+    pub plan: RolloutController,
     /// The store's steady time of the order, as the first holder wrote it.
     pub ordered_stamp: Duration,
     /// Revision of the row that keeps the decision.
@@ -108,12 +108,12 @@
     }
 
     /// The plan for this order.
-    pub fn plan(&self, settings: &GatewaySettings) -> Plan {
-        let terms = Terms {
+    pub fn plan(&self, settings: &GatewaySettings) -> RolloutController {
+        let exposure_limit = ExposureLimit {
             fraction: f64::from(settings.exposure_milli) / 1000.0,
             extra: f64::from(settings.exposure_extra),
         };
-        Plan::new(self.order.clone(), terms)
+        RolloutController::new(self.order.clone(), exposure_limit)
     }
 
     // Moves the order to the revision under which it was rewritten in a restored store. Evidence and stage are kept.
@@ -186,7 +186,7 @@
         let ordered = self.orders.get_mut(&reported.service);
         if let Some(ordered) = ordered.filter(|o| o.order.revision == reported.revision) {
             let (route, side, endpoint) = (reported.route, reported.side, reported.endpoint);
-            ordered.own.note(route, side, endpoint, reported.answer);
+            ordered.own.record(route, side, endpoint, reported.answer);
             ordered.own_changed = true;
         }
     }
--- a/components/gateway/src/endpoint_run.rs
+++ b/components/gateway/src/endpoint_run.rs
@@ -76,9 +76,9 @@
             HealthSignal::Faulty | HealthSignal::Unresponsive => Some(Answer::Failed),
             HealthSignal::Healthy if self.job.engine => {
                 let expected = self.placement.hold.as_secs_f64().max(SHORTEST_TIME_S);
-                Some(Answer::Whole(took / expected * 1000.0))
+                Some(Answer::Complete(took / expected * 1000.0))
             }
-            HealthSignal::Healthy => Some(Answer::Whole(took.max(SHORTEST_TIME_S) * 1000.0)),
+            HealthSignal::Healthy => Some(Answer::Complete(took.max(SHORTEST_TIME_S) * 1000.0)),
         }
     }
 
--- a/components/gateway/src/gossip.rs
+++ b/components/gateway/src/gossip.rs
@@ -260,7 +260,7 @@
             buckets.filter_map(|(b, n)| Some((u8::try_from(*b).ok()?, (*n).max(0) as u64)));
         let heard = Counts {
             failed: counts.failed.max(0) as u64,
-            whole: Histogram::of(buckets),
+            whole: Histogram::from_buckets(buckets),
         };
         let route = evidence.routes.entry(counts.route as u64).or_default();
         match counts.endpoint {
--- a/components/gateway/src/versions.rs
+++ b/components/gateway/src/versions.rs
@@ -5,7 +5,7 @@
 
 use directory::Route;
 use rand::RngExt;
-use rollout::{Allowance, Answer, Gate, Lane, Order, Request, Side, Stage};
+use rollout::{Allowance, Answer, Order, Request, Side, Stage, VersionFilter, VersionSelector};
 use routing::placement::{Exclusion, Placement, Versions, Work};
 use xxhash_rust::xxh3::xxh3_64;
 
@@ -59,20 +59,20 @@
 /// What is known of the ordered versions, by service.
 #[derive(Debug, Default)]
 pub(crate) struct Gates {
-    gates: BTreeMap<String, Gate>,
+    gates: BTreeMap<String, VersionSelector>,
 }
 
 impl Gates {
     /// Takes a new order, which replaces an earlier one of its service.
     pub fn order(&mut self, order: Order) {
         let service = order.service.clone();
-        self.gates.insert(service, Gate::new(order));
+        self.gates.insert(service, VersionSelector::new(order));
     }
 
     /// Sets the revision of a service's order after it was rewritten in a restored store.
     pub fn renumber(&mut self, service: &str, revision: u64) {
         if let Some(gate) = self.gates.get_mut(service) {
-            gate.renumber(revision);
+            gate.set_revision(revision);
         }
     }
 
@@ -115,7 +115,7 @@
     }
 
     /// The gate of a roll-out that is not decided yet.
-    pub fn under_way(&self, service: &str) -> Option<&Gate> {
+    pub fn under_way(&self, service: &str) -> Option<&VersionSelector> {
         let gate = self.gates.get(service);
         gate.filter(|gate| gate.decision().is_none())
     }
@@ -132,17 +132,17 @@
     ) -> Option<Placement> {
         let lane = self.lane(now, work, exclusion, asked);
         let mut placed = self.choose_in(now, work, exclusion, &lane, asked.home_region);
-        if let (None, Lane::Only(version)) = (&placed, &lane) {
+        if let (None, VersionFilter::Only(version)) = (&placed, &lane) {
             let elsewhere = match self.gates.under_way(&work.service) {
-                Some(_) => Lane::Not(version.clone()),
+                Some(_) => VersionFilter::Not(version.clone()),
                 // Endpoints may have been replaced by a later version without an order.
-                None => Lane::Any,
+                None => VersionFilter::Any,
             };
             placed = self.choose_in(now, work, exclusion, &elsewhere, asked.home_region);
         }
         if let (Some(gate), Some(placement)) = (self.gates.gates.get_mut(&work.service), &placed) {
             let is_new = placement.version.as_ref() == Some(&gate.order().version);
-            gate.note(asked.route, is_new);
+            gate.record_placement(asked.route, is_new);
         }
         placed
     }
@@ -152,48 +152,54 @@
         now: Duration,
         work: &Work,
         exclusion: Exclusion,
-        lane: &Lane,
+        lane: &VersionFilter,
         home_region: usize,
     ) -> Option<Placement> {
         let under_way = self.gates.under_way(&work.service);
         let is_sampled = under_way.is_some_and(|gate| gate.stage(now) == Some(Stage::Sample));
         let versions = match lane {
-            Lane::Any => Versions::Any,
-            Lane::Not(version) => Versions::Not(version),
-            Lane::Only(version) if is_sampled => {
+            VersionFilter::Any => Versions::Any,
+            VersionFilter::Not(version) => Versions::Not(version),
+            VersionFilter::Only(version) if is_sampled => {
                 let old = self
                     .board
                     .ready_count(now, &work.service, Versions::Not(version));
                 let few = (old as f64 * SAMPLED_PART).ceil() as usize;
                 Versions::Few(version, few.max(LEAST_SAMPLED))
             }
-            Lane::Only(version) => Versions::Only(version),
+            VersionFilter::Only(version) => Versions::Only(version),
         };
         let rng = &mut self.rng;
         self.board
             .choose_from(home_region, now, work, exclusion, versions, rng)
     }
 
-    fn lane(&mut self, now: Duration, work: &Work, exclusion: Exclusion, asked: Asked) -> Lane {
+    fn lane(
+        &mut self,
+        now: Duration,
+        work: &Work,
+        exclusion: Exclusion,
+        asked: Asked,
+    ) -> VersionFilter {
         let allowance = Allowance {
             fraction: f64::from(self.settings.exposure_milli) / 1000.0,
             extra: f64::from(self.settings.exposure_extra),
-            placing: self.fleet.placing,
+            placing_gateways: self.fleet.placing,
         };
         let Some(gate) = self.gates.gates.get(&work.service) else {
-            return Lane::Any;
+            return VersionFilter::Any;
         };
         // Nothing is known of the order: it was decided before this process began, if no old endpoint is left.
         let version = &gate.order().version;
         let old = Versions::Not(version);
         if gate.stage(now).is_none() && self.board.ready_count(now, &work.service, old) == 0 {
-            return Lane::Any;
+            return VersionFilter::Any;
         }
         let request = Request {
             route: asked.route,
             runs_long: asked.is_lost_when_cut,
             is_repeat: !exclusion.tried.is_empty(),
         };
-        gate.lane(now, allowance, request, self.rng.random())
+        gate.select_versions(now, allowance, request, self.rng.random())
     }
 }
--- a/components/rollout/src/evidence.rs
+++ b/components/rollout/src/evidence.rs
@@ -20,7 +20,7 @@
     /// It failed or broke off.
     Failed,
     /// It came whole after this many milliseconds, or parts of the time expected for it in thousandths.
-    Whole(f64),
+    Complete(f64),
 }
 
 /// Whole answers by the logarithm of their time.
@@ -31,7 +31,7 @@
 
 impl Histogram {
     /// A histogram of counts by bucket.
-    pub fn of(buckets: impl IntoIterator<Item = (u8, u64)>) -> Self {
+    pub fn from_buckets(buckets: impl IntoIterator<Item = (u8, u64)>) -> Self {
         let buckets = buckets.into_iter();
         Histogram {
             buckets: buckets.filter(|(_, count)| *count > 0).collect(),
@@ -44,7 +44,7 @@
     }
 
     /// Notes a time.
-    pub fn note(&mut self, time: f64) {
+    pub fn record(&mut self, time: f64) {
         let bucket = (2.0 * time.max(1.0).log2()).min((BUCKETS - 1) as f64) as u8;
         *self.buckets.entry(bucket).or_default() += 1;
     }
@@ -62,7 +62,7 @@
     }
 
     /// Times in buckets above one.
-    pub fn above(&self, bucket: u8) -> u64 {
+    pub fn count_above(&self, bucket: u8) -> u64 {
         self.buckets.range(bucket + 1..).map(|(_, n)| n).sum()
     }
 
@@ -95,10 +95,10 @@
         self.failed + self.whole.count()
     }
 
-    fn note(&mut self, answer: Answer) {
+    fn record(&mut self, answer: Answer) {
         match answer {
             Answer::Failed => self.failed += 1,
-            Answer::Whole(time) => self.whole.note(time),
+            Answer::Complete(time) => self.whole.record(time),
         }
     }
 
@@ -108,7 +108,7 @@
         let whole = self.whole.buckets();
         Counts {
             failed: self.failed.saturating_sub(earlier.failed),
-            whole: Histogram::of(
+            whole: Histogram::from_buckets(
                 whole.map(|(bucket, n)| (bucket, n.saturating_sub(before(bucket)))),
             ),
         }
@@ -146,11 +146,11 @@
 
 impl Evidence {
     /// Notes an answer.
-    pub fn note(&mut self, route: u64, side: Side, endpoint: u64, answer: Answer) {
+    pub fn record(&mut self, route: u64, side: Side, endpoint: u64, answer: Answer) {
         let route = self.routes.entry(route).or_default();
         match side {
-            Side::Old => route.old.note(answer),
-            Side::New => route.new.entry(endpoint).or_default().note(answer),
+            Side::Old => route.old.record(answer),
+            Side::New => route.new.entry(endpoint).or_default().record(answer),
         }
     }
 
--- a/components/rollout/src/judgement.rs
+++ b/components/rollout/src/judgement.rs
@@ -9,24 +9,24 @@
 
 /// Chance that one share of one route is found worse though it is not: a good version reverted costs one missed
 /// duty, a bad one completed breaks a rule for good.
-const FALSE_ALARM: f64 = 1e-3;
+const MAX_FALSE_POSITIVE_RATE: f64 = 1e-3;
 /// Smallest difference of a share that a bad version makes: the pages say "part of their answers".
-const LEAST_DIFFERENCE: f64 = 0.2;
+const MIN_DIFFERENCE: f64 = 0.2;
 /// Odds from which a share counts as no worse by that difference.
-const PROVEN_ODDS: f64 = 8.0;
+const MIN_ACCEPTANCE_RATIO: f64 = 8.0;
 /// An answer is slow if it takes longer than the old version's 80th percentile by more than a doubling (two
 /// buckets): the pages say "several times slower".
 const SLOW_QUANTILE: f64 = 0.8;
-const SLOW_BUCKETS: u8 = 2;
+const SLOW_BUCKET_MARGIN: u8 = 2;
 /// Old answers without which a route says nothing: with fewer its own share is not known.
-const LEAST_OLD: u64 = 20;
+const MIN_OLD_ANSWERS: u64 = 20;
 /// Endpoints of the new version from which the worst one is left out: one that is ill is no bad version.
-const ENDPOINTS_TO_LEAVE_OUT: usize = 3;
+const MIN_ENDPOINTS_FOR_EXCLUSION: usize = 3;
 /// Answers of the new version from which it may be found worse while fewer endpoints than that have answered:
 /// they may all be of the one that is ill.
-const LEAST_NEW: u64 = 12;
+const MIN_NEW_ANSWERS: u64 = 12;
 /// Parts of a route's share of all answers below which nothing has to be proven on it.
-const RARE_ROUTE: f64 = 0.02;
+const RARE_ROUTE_SHARE: f64 = 0.02;
 /// Steps of the numerical mixture over shares.
 const MIXTURE_STEPS: usize = 50;
 
@@ -70,7 +70,7 @@
             if share.is_worse() {
                 return judgement(Finding::Worse);
             }
-            let is_rare = (route.old.all() as f64) < all * RARE_ROUTE;
+            let is_rare = (route.old.all() as f64) < all * RARE_ROUTE_SHARE;
             if !is_rare && !share.is_as_good() {
                 open.get_or_insert(judgement(Finding::Open));
             }
@@ -96,15 +96,15 @@
     // Without the endpoint that has most of the bad ones, if several answer.
     new: u64,
     new_bad: u64,
-    is_one_left_out: bool,
+    is_worst_excluded: bool,
 }
 
 // The shares of failed and of slow answers.
 fn shares(route: &RouteEvidence) -> [Share; 2] {
     let failed = |counts: &Counts| (counts.all(), counts.failed);
     let limit = route.old.whole.quantile(SLOW_QUANTILE);
-    let limit = limit.map_or(u8::MAX - 1, |bucket| bucket + SLOW_BUCKETS);
-    let slow = |counts: &Counts| (counts.whole.count(), counts.whole.above(limit));
+    let limit = limit.map_or(u8::MAX - 1, |bucket| bucket + SLOW_BUCKET_MARGIN);
+    let slow = |counts: &Counts| (counts.whole.count(), counts.whole.count_above(limit));
     [share_of(route, failed), share_of(route, slow)]
 }
 
@@ -112,15 +112,15 @@
     let (old, old_bad) = count(&route.old);
     let of_each: Vec<(u64, u64)> = route.new.values().map(count).collect();
     let answering = of_each.iter().filter(|(all, _)| *all > 0).count();
-    let is_one_left_out = answering >= ENDPOINTS_TO_LEAVE_OUT;
+    let is_worst_excluded = answering >= MIN_ENDPOINTS_FOR_EXCLUSION;
     let worst = of_each.iter().copied().max_by_key(|(_, bad)| *bad);
-    let left_out = worst.filter(|_| is_one_left_out).unwrap_or_default();
+    let excluded = worst.filter(|_| is_worst_excluded).unwrap_or_default();
     Share {
         old,
         old_bad,
-        new: of_each.iter().map(|(all, _)| all).sum::<u64>() - left_out.0,
-        new_bad: of_each.iter().map(|(_, bad)| bad).sum::<u64>() - left_out.1,
-        is_one_left_out,
+        new: of_each.iter().map(|(all, _)| all).sum::<u64>() - excluded.0,
+        new_bad: of_each.iter().map(|(_, bad)| bad).sum::<u64>() - excluded.1,
+        is_worst_excluded,
     }
 }
 
@@ -133,31 +133,31 @@
     }
 
     fn is_worse(&self) -> bool {
-        let says_something = self.is_one_left_out || self.new >= LEAST_NEW;
-        if self.old < LEAST_OLD || !says_something {
+        let has_enough_new = self.is_worst_excluded || self.new >= MIN_NEW_ANSWERS;
+        if self.old < MIN_OLD_ANSWERS || !has_enough_new {
             return false;
         }
         let expected = self.expected().min(0.99);
         if self.new_bad as f64 <= expected * self.new as f64 {
             return false;
         }
-        mixture_odds(self.new, self.new_bad, expected) > 1.0 / FALSE_ALARM
+        mixture_likelihood_ratio(self.new, self.new_bad, expected) > 1.0 / MAX_FALSE_POSITIVE_RATE
     }
 
     fn is_as_good(&self) -> bool {
-        if self.old < LEAST_OLD {
+        if self.old < MIN_OLD_ANSWERS {
             return false;
         }
         let same = self.expected().min(0.79);
-        let bad = same + LEAST_DIFFERENCE;
+        let bad = same + MIN_DIFFERENCE;
         let (n, k) = (self.new as f64, self.new_bad as f64);
         let odds = k * (same / bad).ln() + (n - k) * ((1.0 - same) / (1.0 - bad)).ln();
-        odds > PROVEN_ODDS.ln()
+        odds > MIN_ACCEPTANCE_RATIO.ln()
     }
 }
 
 // Likelihood of `bad` of `all` under all shares above `expected`, evenly weighed, against `expected` itself.
-fn mixture_odds(all: u64, bad: u64, expected: f64) -> f64 {
+fn mixture_likelihood_ratio(all: u64, bad: u64, expected: f64) -> f64 {
     let (n, k) = (all as f64, bad as f64);
     let likelihood = |share: f64| k * share.ln() + (n - k) * (1.0 - share).ln();
     let base = likelihood(expected);
--- a/components/rollout/src/lib.rs
+++ b/components/rollout/src/lib.rs
@@ -10,8 +10,8 @@
 mod order;
 mod version_selector;
 
-pub use controller::{Plan, Progress, Step, Terms};
+pub use controller::{ExposureLimit, Progress, RolloutController, Step};
 pub use evidence::{Answer, Counts, Evidence, Histogram, RouteEvidence, Side};
 pub use judgement::{judge, Finding, Judgement};
 pub use order::{Decision, Order, Stage};
-pub use version_selector::{Allowance, Gate, Lane, Request};
+pub use version_selector::{Allowance, Request, VersionFilter, VersionSelector};
--- a/components/rollout/tests/common/mod.rs
+++ b/components/rollout/tests/common/mod.rs
@@ -7,16 +7,16 @@
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 use rollout::{
-    Allowance, Answer, Decision, Evidence, Gate, Lane, Order, Plan, Progress, Request, Side, Stage,
-    Step, Terms,
+    Allowance, Answer, Decision, Evidence, ExposureLimit, Order, Progress, Request,
+    RolloutController, Side, Stage, Step, VersionFilter, VersionSelector,
 };
 
-pub const TERMS: Terms = Terms {
+pub const EXPOSURE_LIMIT: ExposureLimit = ExposureLimit {
     fraction: 0.1,
     extra: 50.0,
 };
 /// Time between steps of the holder.
-const LOOK: Duration = Duration::from_millis(100);
+const STEP_INTERVAL: Duration = Duration::from_millis(100);
 const GATEWAYS: usize = 12;
 
 /// How a version misbehaves.
@@ -32,19 +32,19 @@
     /// Fails half of its answers on the first route.
     FailsOnOneRoute,
     /// One of its endpoints fails all its answers.
-    OneEndpointIll,
+    OneEndpointFails,
     /// Both versions fail so many answers.
     BothFail(f64),
 }
 
 /// A service and an order for it.
 #[derive(Clone, Copy, Debug)]
-pub struct World {
+pub struct Simulation {
     pub per_s: f64,
     pub time: Duration,
     pub fault: Fault,
     /// Failures by nature, by route.
-    pub natural: [f64; 2],
+    pub base_failure_rates: [f64; 2],
 }
 
 /// What came of the order.
@@ -55,7 +55,7 @@
     pub requests: u64,
     pub to_new: u64,
     /// Bad answers of the new version until the decision.
-    pub bad: u64,
+    pub bad_answers: u64,
 }
 
 pub fn order(time: Duration) -> Order {
@@ -67,81 +67,81 @@
     }
 }
 
-impl World {
+impl Simulation {
     pub fn new(per_s: f64, seconds: u64, fault: Fault) -> Self {
-        World {
+        Simulation {
             per_s,
             time: Duration::from_secs(seconds),
             fault,
-            natural: [0.004, 0.14],
+            base_failure_rates: [0.004, 0.14],
         }
     }
 
     /// Plays the order until its time is over.
-    pub fn play(&self, seed: u64) -> Outcome {
+    pub fn run(&self, seed: u64) -> Outcome {
         let mut rng = ChaCha8Rng::seed_from_u64(seed);
         let allowance = Allowance {
-            fraction: TERMS.fraction,
-            extra: TERMS.extra,
-            placing: GATEWAYS,
+            fraction: EXPOSURE_LIMIT.fraction,
+            extra: EXPOSURE_LIMIT.extra,
+            placing_gateways: GATEWAYS,
         };
-        let mut gates = vec![Gate::new(order(self.time)); GATEWAYS];
-        let mut plan = Plan::new(order(self.time), TERMS);
+        let mut selectors = vec![VersionSelector::new(order(self.time)); GATEWAYS];
+        let mut controller = RolloutController::new(order(self.time), EXPOSURE_LIMIT);
         let mut evidence = Evidence::default();
         let mut outcome = Outcome {
             decision: Decision::Reverted,
             at: Duration::MAX,
             requests: 0,
             to_new: 0,
-            bad: 0,
+            bad_answers: 0,
         };
         let mut now = Duration::ZERO;
-        let (mut next_look, mut decided) = (Duration::ZERO, None);
+        let (mut next_step, mut decided) = (Duration::ZERO, None);
         while now < self.time {
             now += Duration::from_secs_f64(-rng.random::<f64>().max(1e-9).ln() / self.per_s);
-            if now >= next_look {
-                next_look = now + LOOK;
+            if now >= next_step {
+                next_step = now + STEP_INTERVAL;
                 let progress = Progress {
                     ordered_at: Duration::ZERO,
-                    long_per_s: self.per_s * 0.2,
-                    call_time: Duration::from_millis(6),
-                    can_carry: true,
+                    long_requests_per_s: self.per_s * 0.2,
+                    store_call_time: Duration::from_millis(6),
+                    has_capacity: true,
                 };
                 let step = match decided {
-                    Some(decision) => Step::Tell(Stage::Decided(decision)),
-                    None => plan.step(now, &evidence, progress),
+                    Some(decision) => Step::Announce(Stage::Decided(decision)),
+                    None => controller.step(now, &evidence, progress),
                 };
                 let stage = match step {
-                    Step::Tell(stage) => stage,
+                    Step::Announce(stage) => stage,
                     Step::Decide(decision, _) => {
                         decided = Some(decision);
                         (outcome.decision, outcome.at) = (decision, now);
-                        outcome.bad = bad_answers(&evidence);
+                        outcome.bad_answers = bad_answers(&evidence);
                         Stage::Decided(decision)
                     }
                 };
-                gates
+                selectors
                     .iter_mut()
-                    .for_each(|gate| gate.receive(now, 7, stage));
+                    .for_each(|selector| selector.receive(now, 7, stage));
             }
-            let gate = &mut gates[rng.random_range(0..GATEWAYS)];
+            let selector = &mut selectors[rng.random_range(0..GATEWAYS)];
             let route = u64::from(rng.random::<f64>() < 0.19);
             let request = Request {
                 route,
                 runs_long: rng.random::<f64>() < 0.2,
                 is_repeat: false,
             };
-            let lane = gate.lane(now, allowance, request, rng.random());
-            let side = match lane {
-                Lane::Only(_) => Side::New,
-                Lane::Any | Lane::Not(_) => Side::Old,
+            let versions = selector.select_versions(now, allowance, request, rng.random());
+            let side = match versions {
+                VersionFilter::Only(_) => Side::New,
+                VersionFilter::Any | VersionFilter::Not(_) => Side::Old,
             };
-            gate.note(route, side == Side::New);
+            selector.record_placement(route, side == Side::New);
             outcome.requests += 1;
             outcome.to_new += u64::from(side == Side::New);
             let endpoint = rng.random_range(0..4);
             let answer = self.answer(now, route, side, endpoint, &mut rng);
-            evidence.note(route, side, endpoint, answer);
+            evidence.record(route, side, endpoint, answer);
         }
         outcome
     }
@@ -162,15 +162,15 @@
             (Fault::Slow(times), _) => (0.0, times),
             (Fault::FailsLater(part), _) => (if late(part) { 0.5 } else { 0.0 }, 1.0),
             (Fault::FailsOnOneRoute, _) => (if route == 0 { 0.5 } else { 0.0 }, 1.0),
-            (Fault::OneEndpointIll, _) => (if endpoint == 0 { 1.0 } else { 0.0 }, 1.0),
+            (Fault::OneEndpointFails, _) => (if endpoint == 0 { 1.0 } else { 0.0 }, 1.0),
         };
-        let fails = self.natural[route as usize] + extra;
+        let fails = self.base_failure_rates[route as usize] + extra;
         if rng.random::<f64>() < fails {
             return Answer::Failed;
         }
         // Log-normal, as the sheets say: mean 15 ms, spread 0.5.
         let normal: f64 = (0..12).map(|_| rng.random::<f64>()).sum::<f64>() - 6.0;
-        Answer::Whole(15.0 * times * (0.5 * normal).exp())
+        Answer::Complete(15.0 * times * (0.5 * normal).exp())
     }
 }
 
--- a/components/rollout/tests/guarantees.rs
+++ b/components/rollout/tests/guarantees.rs
@@ -4,8 +4,8 @@
 
 use std::time::Duration;
 
-use common::{order, Fault, Outcome, World, TERMS};
-use rollout::{Allowance, Decision, Gate, Lane, Request, Stage};
+use common::{order, Fault, Outcome, Simulation, EXPOSURE_LIMIT};
+use rollout::{Allowance, Decision, Request, Stage, VersionFilter, VersionSelector};
 
 const SEEDS: u64 = 300;
 
@@ -17,12 +17,13 @@
         .flat_map(|rate| [6, 12, 30].map(|seconds| (rate, seconds)))
 }
 
-fn outcomes(fault: Fault) -> impl Iterator<Item = (World, Outcome)> {
-    let worlds = sizes().map(move |(rate, seconds)| World::new(rate, seconds, fault));
-    worlds.flat_map(|world| (0..SEEDS / 12).map(move |seed| (world, world.play(seed))))
+fn outcomes(fault: Fault) -> impl Iterator<Item = (Simulation, Outcome)> {
+    let simulations = sizes().map(move |(rate, seconds)| Simulation::new(rate, seconds, fault));
+    simulations
+        .flat_map(|simulation| (0..SEEDS / 12).map(move |seed| (simulation, simulation.run(seed))))
 }
 
-fn share_of(outcomes: &[(World, Outcome)], decision: Decision) -> f64 {
+fn share_of(outcomes: &[(Simulation, Outcome)], decision: Decision) -> f64 {
     let wanted = outcomes.iter().filter(|(_, o)| o.decision == decision);
     wanted.count() as f64 / outcomes.len() as f64
 }
@@ -38,11 +39,11 @@
 ];
 
 #[test]
-fn a_bad_version_gets_no_more_than_its_part_whatever_is_decided() {
+fn a_bad_version_never_gets_more_requests_than_the_exposure_limit() {
     for fault in FAULTS {
-        for (world, outcome) in outcomes(fault) {
-            let most = TERMS.fraction * outcome.requests as f64 + TERMS.extra;
-            assert!(outcome.to_new as f64 <= most, "{world:?} {outcome:?}");
+        for (simulation, outcome) in outcomes(fault) {
+            let most = EXPOSURE_LIMIT.fraction * outcome.requests as f64 + EXPOSURE_LIMIT.extra;
+            assert!(outcome.to_new as f64 <= most, "{simulation:?} {outcome:?}");
         }
     }
 }
@@ -50,11 +51,11 @@
 #[test]
 fn a_bad_version_is_never_completed() {
     for fault in FAULTS {
-        for (world, outcome) in outcomes(fault) {
+        for (simulation, outcome) in outcomes(fault) {
             assert_eq!(
                 outcome.decision,
                 Decision::Reverted,
-                "{world:?} {outcome:?}"
+                "{simulation:?} {outcome:?}"
             );
         }
     }
@@ -63,37 +64,40 @@
 #[test]
 fn a_bad_version_is_reverted_before_its_fiftieth_bad_answer() {
     for fault in [Fault::Fails(0.3), Fault::Fails(1.0), Fault::FailsOnOneRoute] {
-        for (world, outcome) in outcomes(fault) {
-            assert!(outcome.bad < 50, "{world:?} {outcome:?}");
+        for (simulation, outcome) in outcomes(fault) {
+            assert!(outcome.bad_answers < 50, "{simulation:?} {outcome:?}");
         }
     }
 }
 
 #[test]
-fn a_good_version_is_completed_in_time_where_it_gets_answers_enough() {
+fn a_good_version_with_enough_answers_is_completed_within_the_time_limit() {
     let all: Vec<_> = outcomes(Fault::None).collect();
     // With fewer a twentieth of them says too little of a route on which one in seven fails by nature.
-    let enough = |world: &World| world.per_s * world.time.as_secs_f64() >= 5000.0;
-    let (many, few): (Vec<_>, Vec<_>) = all.into_iter().partition(|(world, _)| enough(world));
+    let enough =
+        |simulation: &Simulation| simulation.per_s * simulation.time.as_secs_f64() >= 5000.0;
+    let (many, few): (Vec<_>, Vec<_>) = all
+        .into_iter()
+        .partition(|(simulation, _)| enough(simulation));
     assert!(share_of(&many, Decision::Completed) > 0.95);
     assert!(share_of(&few, Decision::Completed) > 0.2);
-    for (world, outcome) in many.iter().chain(&few) {
-        assert!(outcome.at <= world.time, "{world:?} {outcome:?}");
+    for (simulation, outcome) in many.iter().chain(&few) {
+        assert!(outcome.at <= simulation.time, "{simulation:?} {outcome:?}");
     }
 }
 
 #[test]
-fn failures_that_both_versions_have_are_not_the_new_ones() {
-    let world = World::new(540.0, 12, Fault::BothFail(0.2));
-    let reverted = (0..100).filter(|seed| world.play(*seed).decision == Decision::Reverted);
+fn failures_common_to_both_versions_do_not_revert_the_new_one() {
+    let simulation = Simulation::new(540.0, 12, Fault::BothFail(0.2));
+    let reverted = (0..100).filter(|seed| simulation.run(*seed).decision == Decision::Reverted);
     // Measured: 5.
     assert!(reverted.count() <= 10);
 }
 
 #[test]
-fn one_ill_endpoint_is_no_bad_version() {
-    let world = World::new(540.0, 30, Fault::OneEndpointIll);
-    let completed = (0..100).filter(|seed| world.play(*seed).decision == Decision::Completed);
+fn one_failing_endpoint_does_not_revert_the_version() {
+    let simulation = Simulation::new(540.0, 30, Fault::OneEndpointFails);
+    let completed = (0..100).filter(|seed| simulation.run(*seed).decision == Decision::Completed);
     assert!(completed.count() >= 90);
 }
 
@@ -101,7 +105,7 @@
     Allowance {
         fraction: 0.1,
         extra: 50.0,
-        placing: 3,
+        placing_gateways: 3,
     }
 }
 
@@ -111,77 +115,89 @@
     is_repeat: false,
 };
 
-fn lane(gate: &Gate, now: Duration) -> Lane {
-    gate.lane(now, allowance(), REQUEST, 0.0)
+fn select_versions(selector: &VersionSelector, now: Duration) -> VersionFilter {
+    selector.select_versions(now, allowance(), REQUEST, 0.0)
 }
 
 #[test]
-fn without_word_of_the_holder_nothing_goes_to_the_ordered_version() {
-    let mut gate = Gate::new(order(Duration::from_secs(12)));
-    assert_eq!(lane(&gate, Duration::ZERO), Lane::Not("v2".into()));
-    gate.receive(Duration::ZERO, 7, Stage::SwitchAll);
-    assert_eq!(lane(&gate, Duration::from_secs(1)), Lane::Only("v2".into()));
-    assert_eq!(lane(&gate, Duration::from_secs(3)), Lane::Not("v2".into()));
+fn without_a_current_stage_no_request_goes_to_the_ordered_version() {
+    let mut selector = VersionSelector::new(order(Duration::from_secs(12)));
+    assert_eq!(
+        select_versions(&selector, Duration::ZERO),
+        VersionFilter::Not("v2".into())
+    );
+    selector.receive(Duration::ZERO, 7, Stage::SwitchAll);
+    assert_eq!(
+        select_versions(&selector, Duration::from_secs(1)),
+        VersionFilter::Only("v2".into())
+    );
+    assert_eq!(
+        select_versions(&selector, Duration::from_secs(3)),
+        VersionFilter::Not("v2".into())
+    );
 }
 
 #[test]
-fn a_decision_stays_whoever_says_otherwise_later() {
-    let mut gate = Gate::new(order(Duration::from_secs(12)));
-    gate.receive(Duration::ZERO, 7, Stage::Decided(Decision::Completed));
-    gate.receive(Duration::from_secs(1), 7, Stage::Sample);
-    assert_eq!(gate.decision(), Some(Decision::Completed));
+fn a_known_decision_is_not_replaced_by_a_later_stage() {
+    let mut selector = VersionSelector::new(order(Duration::from_secs(12)));
+    selector.receive(Duration::ZERO, 7, Stage::Decided(Decision::Completed));
+    selector.receive(Duration::from_secs(1), 7, Stage::Sample);
+    assert_eq!(selector.decision(), Some(Decision::Completed));
     assert_eq!(
-        lane(&gate, Duration::from_secs(60)),
-        Lane::Only("v2".into())
+        select_versions(&selector, Duration::from_secs(60)),
+        VersionFilter::Only("v2".into())
     );
 }
 
 #[test]
-fn word_of_another_order_says_nothing() {
-    let mut gate = Gate::new(order(Duration::from_secs(12)));
-    gate.receive(Duration::ZERO, 6, Stage::Decided(Decision::Completed));
-    assert_eq!(gate.decision(), None);
+fn a_stage_for_another_revision_is_ignored() {
+    let mut selector = VersionSelector::new(order(Duration::from_secs(12)));
+    selector.receive(Duration::ZERO, 6, Stage::Decided(Decision::Completed));
+    assert_eq!(selector.decision(), None);
 }
 
 #[test]
-fn a_repeat_never_goes_to_a_version_that_is_not_proven() {
-    let mut gate = Gate::new(order(Duration::from_secs(12)));
-    gate.receive(Duration::ZERO, 7, Stage::Sample);
+fn a_repeated_request_never_goes_to_an_undecided_version() {
+    let mut selector = VersionSelector::new(order(Duration::from_secs(12)));
+    selector.receive(Duration::ZERO, 7, Stage::Sample);
     let now = Duration::from_millis(1);
-    let lane = |is_repeat| {
+    let select_versions = |is_repeat| {
         let request = Request {
             is_repeat,
             ..REQUEST
         };
-        gate.lane(now, allowance(), request, 0.0)
+        selector.select_versions(now, allowance(), request, 0.0)
     };
-    assert_eq!(lane(true), Lane::Not("v2".into()));
-    assert_eq!(lane(false), Lane::Only("v2".into()));
+    assert_eq!(select_versions(true), VersionFilter::Not("v2".into()));
+    assert_eq!(select_versions(false), VersionFilter::Only("v2".into()));
 }
 
 #[test]
 fn long_requests_switch_before_the_others() {
-    let mut gate = Gate::new(order(Duration::from_secs(12)));
-    gate.receive(Duration::ZERO, 7, Stage::SwitchLong);
+    let mut selector = VersionSelector::new(order(Duration::from_secs(12)));
+    selector.receive(Duration::ZERO, 7, Stage::SwitchLong);
     let now = Duration::from_millis(1);
-    let lane = |runs_long| {
+    let select_versions = |runs_long| {
         let request = Request {
             runs_long,
             ..REQUEST
         };
-        gate.lane(now, allowance(), request, 0.9)
+        selector.select_versions(now, allowance(), request, 0.9)
     };
-    assert_eq!(lane(true), Lane::Only("v2".into()));
-    assert_eq!(lane(false), Lane::Not("v2".into()));
+    assert_eq!(select_versions(true), VersionFilter::Only("v2".into()));
+    assert_eq!(select_versions(false), VersionFilter::Not("v2".into()));
 }
 
 #[test]
-fn what_the_holder_said_long_ago_holds_no_more_however_it_came() {
-    let mut gate = Gate::new(order(Duration::from_secs(12)));
-    gate.receive(Duration::from_secs(1), 7, Stage::SwitchAll);
-    assert_eq!(lane(&gate, Duration::from_secs(4)), Lane::Not("v2".into()));
+fn an_expired_stage_is_ignored_and_does_not_replace_a_newer_one() {
+    let mut selector = VersionSelector::new(order(Duration::from_secs(12)));
+    selector.receive(Duration::from_secs(1), 7, Stage::SwitchAll);
+    assert_eq!(
+        select_versions(&selector, Duration::from_secs(4)),
+        VersionFilter::Not("v2".into())
+    );
     // Nor does it hide what was said later.
-    gate.receive(Duration::from_secs(4), 7, Stage::Sample);
-    gate.receive(Duration::from_secs(2), 7, Stage::SwitchAll);
-    assert_eq!(gate.stage(Duration::from_secs(5)), Some(Stage::Sample));
+    selector.receive(Duration::from_secs(4), 7, Stage::Sample);
+    selector.receive(Duration::from_secs(2), 7, Stage::SwitchAll);
+    assert_eq!(selector.stage(Duration::from_secs(5)), Some(Stage::Sample));
 }
