--- a/components/gateway/src/control/carrying.rs
+++ b/components/gateway/src/control/carrying.rs
@@ -228,7 +228,7 @@
             return;
         }
         info!(self.log, "roll-out carried out here"; "service" => service, "version" => &order.version,
-            "revision" => order.revision, "decided" => ?decision, "time_ms" => order.time.as_millis() as u64);
+            "revision" => order.revision, "decided" => ?decision, "time_ms" => order.time_limit.as_millis() as u64);
         ordered.carried = Some(Carried {
             plan: ordered.plan(&settings),
             ordered_stamp: Duration::from_millis(kept.ordered_ms.max(0) as u64),
--- a/components/gateway/src/control/rows.rs
+++ b/components/gateway/src/control/rows.rs
@@ -78,7 +78,7 @@
                     return;
                 }
                 info!(self.log, "roll-out ordered"; "service" => service, "version" => &order.version,
-                    "era" => era, "revision" => order.revision, "time_ms" => order.time.as_millis() as u64);
+                    "era" => era, "revision" => order.revision, "time_ms" => order.time_limit.as_millis() as u64);
                 self.update(Update::RolloutOrdered(order));
             }
             Err(fault) => {
--- a/components/gateway/src/gossip.rs
+++ b/components/gateway/src/gossip.rs
@@ -242,7 +242,7 @@
 }
 
 fn counts_of(route: u64, endpoint: u64, counts: &Counts) -> AnswerCounts {
-    let whole = counts.whole.buckets();
+    let whole = counts.complete.buckets();
     AnswerCounts {
         route: route as i64,
         endpoint: endpoint as i64,
@@ -260,7 +260,7 @@
             buckets.filter_map(|(b, n)| Some((u8::try_from(*b).ok()?, (*n).max(0) as u64)));
         let heard = Counts {
             failed: counts.failed.max(0) as u64,
-            whole: Histogram::from_buckets(buckets),
+            complete: Histogram::from_buckets(buckets),
         };
         let route = evidence.routes.entry(counts.route as u64).or_default();
         match counts.endpoint {
--- a/components/gateway/tests/common/store.rs
+++ b/components/gateway/tests/common/store.rs
@@ -443,7 +443,7 @@
             service: "s".into(),
             version: version.into(),
             revision,
-            time: Duration::from_millis(ms.parse().map_err(|_| fault())?),
+            time_limit: Duration::from_millis(ms.parse().map_err(|_| fault())?),
         })
     }
 
--- a/components/rollout/src/controller.rs
+++ b/components/rollout/src/controller.rs
@@ -138,10 +138,10 @@
     // When what happens, so that the version gets no more than a bad one may until it is due: what that leaves no
     // time for is cut off rather than the rule broken.
     fn schedule(&self, now: Duration, evidence: &Evidence, progress: Progress) -> Schedule {
-        let due = progress.ordered_at + self.order.time;
+        let due = progress.ordered_at + self.order.time_limit;
         let elapsed = now.saturating_sub(progress.ordered_at).as_secs_f64();
         let per_s = evidence.answers() as f64 / elapsed.max(1.0);
-        let in_all = per_s * self.order.time.as_secs_f64();
+        let in_all = per_s * self.order.time_limit.as_secs_f64();
         let may_get = (self.exposure_limit.fraction * in_all + self.exposure_limit.extra)
             * SWITCH_BUDGET_PART;
         let left = (may_get - evidence.new_answers() as f64).max(0.0);
--- a/components/rollout/src/evidence.rs
+++ b/components/rollout/src/evidence.rs
@@ -86,30 +86,30 @@
     /// Answers that failed.
     pub failed: u64,
     /// Whole ones.
-    pub whole: Histogram,
+    pub complete: Histogram,
 }
 
 impl Counts {
     /// All answers.
     pub fn all(&self) -> u64 {
-        self.failed + self.whole.count()
+        self.failed + self.complete.count()
     }
 
     fn record(&mut self, answer: Answer) {
         match answer {
             Answer::Failed => self.failed += 1,
-            Answer::Complete(time) => self.whole.record(time),
+            Answer::Complete(time) => self.complete.record(time),
         }
     }
 
     // A sum may shrink when a process that added to it is forgotten.
     fn since(&self, earlier: &Counts) -> Counts {
-        let before = |bucket| earlier.whole.buckets.get(&bucket).copied().unwrap_or(0);
-        let whole = self.whole.buckets();
+        let before = |bucket| earlier.complete.buckets.get(&bucket).copied().unwrap_or(0);
+        let complete = self.complete.buckets();
         Counts {
             failed: self.failed.saturating_sub(earlier.failed),
-            whole: Histogram::from_buckets(
-                whole.map(|(bucket, n)| (bucket, n.saturating_sub(before(bucket)))),
+            complete: Histogram::from_buckets(
+                complete.map(|(bucket, n)| (bucket, n.saturating_sub(before(bucket)))),
             ),
         }
     }
@@ -117,7 +117,7 @@
     /// Adds others.
     pub fn add(&mut self, other: &Counts) {
         self.failed += other.failed;
-        self.whole.add(&other.whole);
+        self.complete.add(&other.complete);
     }
 }
 
--- a/components/rollout/src/judgement.rs
+++ b/components/rollout/src/judgement.rs
@@ -102,9 +102,9 @@
 // The shares of failed and of slow answers.
 fn shares(route: &RouteEvidence) -> [Share; 2] {
     let failed = |counts: &Counts| (counts.all(), counts.failed);
-    let limit = route.old.whole.quantile(SLOW_QUANTILE);
+    let limit = route.old.complete.quantile(SLOW_QUANTILE);
     let limit = limit.map_or(u8::MAX - 1, |bucket| bucket + SLOW_BUCKET_MARGIN);
-    let slow = |counts: &Counts| (counts.whole.count(), counts.whole.count_above(limit));
+    let slow = |counts: &Counts| (counts.complete.count(), counts.complete.count_above(limit));
     [share_of(route, failed), share_of(route, slow)]
 }
 
--- a/components/rollout/src/order.rs
+++ b/components/rollout/src/order.rs
@@ -13,13 +13,19 @@
     /// Revision of the store that wrote the order: the same version ordered again is another order.
     pub revision: u64,
     /// Time within which it is to be decided, from the order on.
-    pub time: Duration,
+    pub time_limit: Duration,
 }
 
 impl Order {
     /// Whether both orders have the same service, version and time, regardless of their revisions.
     pub fn is_same_request(&self, other: &Order) -> bool {
-        let request = |order: &Order| (order.service.clone(), order.version.clone(), order.time);
+        let request = |order: &Order| {
+            (
+                order.service.clone(),
+                order.version.clone(),
+                order.time_limit,
+            )
+        };
         request(self) == request(other)
     }
 }
--- a/components/rollout/tests/common/mod.rs
+++ b/components/rollout/tests/common/mod.rs
@@ -41,7 +41,7 @@
 #[derive(Clone, Copy, Debug)]
 pub struct Simulation {
     pub per_s: f64,
-    pub time: Duration,
+    pub time_limit: Duration,
     pub fault: Fault,
     /// Failures by nature, by route.
     pub base_failure_rates: [f64; 2],
@@ -58,12 +58,12 @@
     pub bad_answers: u64,
 }
 
-pub fn order(time: Duration) -> Order {
+pub fn order(time_limit: Duration) -> Order {
     Order {
         service: "s".into(),
         version: "v2".into(),
         revision: 7,
-        time,
+        time_limit,
     }
 }
 
@@ -71,7 +71,7 @@
     pub fn new(per_s: f64, seconds: u64, fault: Fault) -> Self {
         Simulation {
             per_s,
-            time: Duration::from_secs(seconds),
+            time_limit: Duration::from_secs(seconds),
             fault,
             base_failure_rates: [0.004, 0.14],
         }
@@ -85,8 +85,8 @@
             extra: EXPOSURE_LIMIT.extra,
             placing_gateways: GATEWAYS,
         };
-        let mut selectors = vec![VersionSelector::new(order(self.time)); GATEWAYS];
-        let mut controller = RolloutController::new(order(self.time), EXPOSURE_LIMIT);
+        let mut selectors = vec![VersionSelector::new(order(self.time_limit)); GATEWAYS];
+        let mut controller = RolloutController::new(order(self.time_limit), EXPOSURE_LIMIT);
         let mut evidence = Evidence::default();
         let mut outcome = Outcome {
             decision: Decision::Reverted,
@@ -97,7 +97,7 @@
         };
         let mut now = Duration::ZERO;
         let (mut next_step, mut decided) = (Duration::ZERO, None);
-        while now < self.time {
+        while now < self.time_limit {
             now += Duration::from_secs_f64(-rng.random::<f64>().max(1e-9).ln() / self.per_s);
             if now >= next_step {
                 next_step = now + STEP_INTERVAL;
@@ -154,7 +154,7 @@
         endpoint: u64,
         rng: &mut ChaCha8Rng,
     ) -> Answer {
-        let late = |part: f64| now >= self.time.mul_f64(part);
+        let late = |part: f64| now >= self.time_limit.mul_f64(part);
         let (extra, times) = match (self.fault, side) {
             (Fault::BothFail(part), _) => (part, 1.0),
             (_, Side::Old) | (Fault::None, _) => (0.0, 1.0),
--- a/components/rollout/tests/guarantees.rs
+++ b/components/rollout/tests/guarantees.rs
@@ -75,14 +75,17 @@
     let all: Vec<_> = outcomes(Fault::None).collect();
     // With fewer a twentieth of them says too little of a route on which one in seven fails by nature.
     let enough =
-        |simulation: &Simulation| simulation.per_s * simulation.time.as_secs_f64() >= 5000.0;
+        |simulation: &Simulation| simulation.per_s * simulation.time_limit.as_secs_f64() >= 5000.0;
     let (many, few): (Vec<_>, Vec<_>) = all
         .into_iter()
         .partition(|(simulation, _)| enough(simulation));
     assert!(share_of(&many, Decision::Completed) > 0.95);
     assert!(share_of(&few, Decision::Completed) > 0.2);
     for (simulation, outcome) in many.iter().chain(&few) {
-        assert!(outcome.at <= simulation.time, "{simulation:?} {outcome:?}");
+        assert!(
+            outcome.at <= simulation.time_limit,
+            "{simulation:?} {outcome:?}"
+        );
     }
 }
 
