--- a/components/rollout/src/controller.rs
+++ b/components/rollout/src/controller.rs
@@ -1,4 +1,4 @@
-//! How the holder of the lease carries an order out.
+//! Steps by which the lease holder carries out an order.
 
 use std::collections::VecDeque;
 use std::time::Duration;
@@ -7,68 +7,68 @@
 use crate::judgement::{judge, Finding, Judgement};
 use crate::order::{Decision, Order, Stage};
 
-/// From the switch of all requests to the write of the decision: a message to the gateways that place requests, and
-/// the runs of short requests at the old endpoints, which end at the write.
+/// Time between switching all requests and writing the decision. It covers the message to the gateways that place
+/// requests and the short requests that still run at the old endpoints, which stop at the write.
 const SWITCH_TIME: Duration = Duration::from_millis(250);
-/// Time for the writes of the decision when the store answers as usual: 5 ms each, and the 100 ms between two
-/// looks of the holder.
+/// Time reserved for the writes of the decision if the store is fast: 5 ms each, and the 100 ms between two steps of
+/// the lease holder.
 const MIN_WRITE_TIME: Duration = Duration::from_millis(200);
-/// The slowest of the last calls of the store, taken this many times, is the time for the two writes.
+/// The time of the slowest recent store call times this factor is reserved for the two writes.
 const WRITE_TIME_FACTOR: u32 = 3;
-/// Longest time that is left for writes: past it a late store costs a duty.
+/// Upper limit of the time reserved for the writes; if the store is slower than that, the deadline is missed.
 const MAX_WRITE_TIME: Duration = Duration::from_secs(3);
-/// Longest time for which long requests go to the new version before the old endpoints end.
+/// Upper limit of the time for which all long-running requests go to the new version before all requests do.
 const MAX_LONG_SWITCH_TIME: Duration = Duration::from_secs(3);
-/// Part of the requests that a bad version may get which is used until the deadline; the rest is for what is
-/// counted late.
+/// Part of the exposure limit that may be used until the deadline; the rest covers requests that are counted late.
 const SWITCH_BUDGET_PART: f64 = 0.85;
-/// Span whose answers are judged apart: a version may turn bad late, beside many good answers from before.
+/// Time window whose answers are also judged separately: a version may turn bad late, when many earlier good answers
+/// would hide it.
 const RECENT_WINDOW: Duration = Duration::from_secs(4);
 
-/// Bounds on an order.
+/// Limit on the requests that a version may get before it is known to be good.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct ExposureLimit {
-    /// Part of a service's requests that a version may get that turns out bad.
+    /// Fraction of a service's requests that a bad version may get.
     pub fraction: f64,
-    /// Requests that it may get beside.
+    /// Requests that it may get in addition.
     pub extra: f64,
 }
 
-/// What is known of an order that is carried out.
+/// State of an order that is being carried out.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Progress {
-    /// When it was ordered, on the own clock.
+    /// Time of the order on the local clock.
     pub ordered_at: Duration,
-    /// Requests of the service a second that run for long.
+    /// Long-running requests of the service per second.
     pub long_requests_per_s: f64,
-    /// Time of the store's slowest recent call.
+    /// Duration of the slowest recent store call.
     pub store_call_time: Duration,
-    /// Whether ready endpoints of the new version have slots for what runs.
+    /// Whether the ready endpoints of the new version have slots for all running requests.
     pub has_capacity: bool,
 }
 
-/// What is to be done.
+/// The next action of the lease holder.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Step {
-    /// Tell the stage.
+    /// Announce the stage to the gateways.
     Announce(Stage),
-    /// Write the decision, then report it.
+    /// Write the decision to the store, then report it.
     Decide(Decision, Judgement),
 }
 
-/// An order that is carried out.
+/// Carries out one order.
 #[derive(Clone, Debug)]
 pub struct RolloutController {
     order: Order,
     exposure_limit: ExposureLimit,
-    // All answers as they stood, one look a second, the oldest first.
+    // Snapshots of the evidence, one per second, oldest first.
     snapshots: VecDeque<(Duration, Evidence)>,
-    // Set once the switch has begun: what it sends to the new version must not put it off.
+    // Set once the switch has begun: the requests that the switch itself sends to the new version must not delay it.
     switch: Option<Schedule>,
 }
 
 impl RolloutController {
-    /// A plan for an order.
+    /// A controller for an order.
     pub fn new(order: Order, exposure_limit: ExposureLimit) -> Self {
         RolloutController {
             order,
@@ -83,7 +83,7 @@
         &self.order
     }
 
-    /// The next step, by all answers since the order.
+    /// The next step. `evidence` holds all answers since the order.
     pub fn step(&mut self, now: Duration, evidence: &Evidence, progress: Progress) -> Step {
         let judgement = self.judge(now, evidence);
         if judgement.finding == Finding::Worse {
@@ -110,7 +110,7 @@
         })
     }
 
-    // All answers, and apart from them those of the last seconds.
+    // Judges all answers and, separately, those within `RECENT_WINDOW`.
     fn judge(&mut self, now: Duration, evidence: &Evidence) -> Judgement {
         let newest = self.snapshots.back().map(|(at, _)| *at);
         if newest.is_none_or(|at| now >= at + Duration::from_secs(1)) {
@@ -135,8 +135,8 @@
         worse_lately.unwrap_or(all)
     }
 
-    // When what happens, so that the version gets no more than a bad one may until it is due: what that leaves no
-    // time for is cut off rather than the rule broken.
+    // Schedules the switch so that the version stays within the exposure limit until the deadline. If the limit leaves
+    // too little time, the old endpoints cut requests off; the limit is not exceeded.
     fn schedule(&self, now: Duration, evidence: &Evidence, progress: Progress) -> Schedule {
         let due = progress.ordered_at + self.order.time_limit;
         let elapsed = now.saturating_sub(progress.ordered_at).as_secs_f64();
@@ -160,7 +160,7 @@
     }
 }
 
-// When long requests go to the new version, when all do, and when the decision is written.
+// When all long-running requests go to the new version, when all requests do, and when the decision is written.
 #[derive(Clone, Copy, Debug)]
 struct Schedule {
     long: Duration,
@@ -168,7 +168,7 @@
     write: Duration,
 }
 
-// Time in which so many requests come.
+// Time in which so many requests arrive.
 fn time_at_rate(requests: f64, per_s: f64) -> Duration {
     const MAX_S: f64 = 3600.0;
     Duration::from_secs_f64((requests / per_s.max(0.001)).clamp(0.0, MAX_S))
--- a/components/rollout/src/evidence.rs
+++ b/components/rollout/src/evidence.rs
@@ -1,36 +1,37 @@
-//! What endpoints of both versions answered, as sums that gateways add up.
+//! Counts of answers by route and version, which can be summed over gateways.
 
 use std::collections::BTreeMap;
 
-/// Buckets of a histogram; a time is in bucket `2 * log2(time / 1 ms)`, so two buckets make a doubling.
+/// Number of histogram buckets. A time falls into bucket `2 * log2(time / 1 ms)`, so two buckets are a factor of 2.
 pub const BUCKETS: usize = 40;
 
-/// Which version an answer is of.
+/// The version that gave an answer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Side {
-    /// The version that served so far.
+    /// The version that served before the order.
     Old,
     /// The ordered version.
     New,
 }
 
-/// One answer.
+/// The result of one request.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Answer {
-    /// It failed or broke off.
+    /// The answer failed or broke off.
     Failed,
-    /// It came whole after this many milliseconds, or parts of the time expected for it in thousandths.
+    /// The answer was complete after this many milliseconds, or after this many thousandths of the time expected for
+    /// it.
     Complete(f64),
 }
 
-/// Whole answers by the logarithm of their time.
+/// Complete answers by the logarithm of their time.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Histogram {
     buckets: BTreeMap<u8, u64>,
 }
 
 impl Histogram {
-    /// A histogram of counts by bucket.
+    /// A histogram with these counts by bucket; zero counts are dropped.
     pub fn from_buckets(buckets: impl IntoIterator<Item = (u8, u64)>) -> Self {
         let buckets = buckets.into_iter();
         Histogram {
@@ -43,30 +44,30 @@
         self.buckets.iter().map(|(bucket, count)| (*bucket, *count))
     }
 
-    /// Notes a time.
+    /// Counts a time, in the unit of [`Answer::Complete`].
     pub fn record(&mut self, time: f64) {
         let bucket = (2.0 * time.max(1.0).log2()).min((BUCKETS - 1) as f64) as u8;
         *self.buckets.entry(bucket).or_default() += 1;
     }
 
-    /// Adds another one.
+    /// Adds the counts of another histogram.
     pub fn add(&mut self, other: &Histogram) {
         for (bucket, count) in other.buckets() {
             *self.buckets.entry(bucket).or_default() += count;
         }
     }
 
-    /// Times noted.
+    /// Number of recorded times.
     pub fn count(&self) -> u64 {
         self.buckets.values().sum()
     }
 
-    /// Times in buckets above one.
+    /// Number of recorded times in buckets above `bucket`.
     pub fn count_above(&self, bucket: u8) -> u64 {
         self.buckets.range(bucket + 1..).map(|(_, n)| n).sum()
     }
 
-    /// The bucket that holds the quantile `part`.
+    /// The bucket that holds the quantile `part` (0 to 1); `None` if nothing was recorded.
     pub fn quantile(&self, part: f64) -> Option<u8> {
         let wanted = (self.count() as f64 * part).ceil().max(1.0) as u64;
         let mut seen = 0;
@@ -80,12 +81,12 @@
     }
 }
 
-/// Answers of one kind.
+/// Answers of one version or of one endpoint on a route.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Counts {
     /// Answers that failed.
     pub failed: u64,
-    /// Whole ones.
+    /// Complete answers.
     pub complete: Histogram,
 }
 
@@ -102,7 +103,7 @@
         }
     }
 
-    // A sum may shrink when a process that added to it is forgotten.
+    // Saturates, because a sum may shrink when a gateway that contributed to it is forgotten.
     fn since(&self, earlier: &Counts) -> Counts {
         let before = |bucket| earlier.complete.buckets.get(&bucket).copied().unwrap_or(0);
         let complete = self.complete.buckets();
@@ -114,7 +115,7 @@
         }
     }
 
-    /// Adds others.
+    /// Adds other counts.
     pub fn add(&mut self, other: &Counts) {
         self.failed += other.failed;
         self.complete.add(&other.complete);
@@ -124,14 +125,14 @@
 /// Answers on one route.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct RouteEvidence {
-    /// Of the old version.
+    /// Answers of the old version.
     pub old: Counts,
-    /// Of the new version, by hash of the endpoint.
+    /// Answers of the new version, by hash of the endpoint.
     pub new: BTreeMap<u64, Counts>,
 }
 
 impl RouteEvidence {
-    /// Answers of the new version.
+    /// Number of answers of the new version.
     pub fn new_answers(&self) -> u64 {
         self.new.values().map(Counts::all).sum()
     }
@@ -140,12 +141,12 @@
 /// Answers by route.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Evidence {
-    /// Routes by hash of their name.
+    /// Evidence of each route, by hash of the route's name.
     pub routes: BTreeMap<u64, RouteEvidence>,
 }
 
 impl Evidence {
-    /// Notes an answer.
+    /// Counts an answer. `route` and `endpoint` are hashes.
     pub fn record(&mut self, route: u64, side: Side, endpoint: u64, answer: Answer) {
         let route = self.routes.entry(route).or_default();
         match side {
@@ -154,7 +155,7 @@
         }
     }
 
-    /// Adds what another gateway noted.
+    /// Adds the evidence of another gateway.
     pub fn add(&mut self, other: &Evidence) {
         for (route, evidence) in &other.routes {
             let sum = self.routes.entry(*route).or_default();
@@ -165,7 +166,7 @@
         }
     }
 
-    /// What was added since an earlier sum.
+    /// The answers added since an earlier snapshot.
     pub fn since(&self, earlier: &Evidence) -> Evidence {
         let mut evidence = self.clone();
         for (hash, route) in &mut evidence.routes {
@@ -182,7 +183,7 @@
         evidence
     }
 
-    /// Answers of both versions.
+    /// Number of answers of both versions.
     pub fn answers(&self) -> u64 {
         let routes = self.routes.values();
         routes
@@ -190,7 +191,7 @@
             .sum()
     }
 
-    /// Answers of the new version.
+    /// Number of answers of the new version.
     pub fn new_answers(&self) -> u64 {
         self.routes.values().map(RouteEvidence::new_answers).sum()
     }
--- a/components/rollout/src/judgement.rs
+++ b/components/rollout/src/judgement.rs
@@ -1,61 +1,64 @@
-//! Whether a version answers worse than the one before.
+//! Tests whether the new version answers worse than the old one.
 //!
-//! On each route two shares of answers are compared between the versions, those that failed and those that are
-//! slow. "Worse" is a sequential test (a mixture likelihood ratio against the old version's share, Robbins 1970;
-//! see docs/decisions/rollouts.md): it may be asked at any time, and a version as good as the old one is found
-//! worse with at most the stated chance in all. "As good" is a likelihood ratio against a stated difference.
+//! On each route, two shares of answers are compared between the versions: failed answers and slow answers. "Worse"
+//! is a sequential test (a mixture likelihood ratio against the old version's share, Robbins 1970; see
+//! docs/decisions/rollouts.md). It can be evaluated at any time: the probability of ever finding a version worse
+//! that is as good as the old one stays below `MAX_FALSE_POSITIVE_RATE`. "As good" is a likelihood ratio against a
+//! share that is higher by `MIN_DIFFERENCE`.
 
 use crate::evidence::{Counts, Evidence, RouteEvidence};
 
-/// Chance that one share of one route is found worse though it is not: a good version reverted costs one missed
-/// duty, a bad one completed breaks a rule for good.
+/// Probability of finding one share of one route worse although it is not. Reverting a good version costs one
+/// missed duty; completing a bad one violates a guarantee for good.
 const MAX_FALSE_POSITIVE_RATE: f64 = 1e-3;
-/// Smallest difference of a share that a bad version makes: the pages say "part of their answers".
+/// Smallest increase of a share that a bad version is assumed to cause: the specification says "part of their
+/// answers".
 const MIN_DIFFERENCE: f64 = 0.2;
-/// Odds from which a share counts as no worse by that difference.
+/// Likelihood ratio above which a share counts as not increased by `MIN_DIFFERENCE`.
 const MIN_ACCEPTANCE_RATIO: f64 = 8.0;
-/// An answer is slow if it takes longer than the old version's 80th percentile by more than a doubling (two
-/// buckets): the pages say "several times slower".
+/// An answer is slow if it takes more than twice as long (two buckets) as the old version's 80th percentile: the
+/// specification says "several times slower".
 const SLOW_QUANTILE: f64 = 0.8;
 const SLOW_BUCKET_MARGIN: u8 = 2;
-/// Old answers without which a route says nothing: with fewer its own share is not known.
+/// Answers of the old version that a route needs to be judged; with fewer, the old version's share is not known.
 const MIN_OLD_ANSWERS: u64 = 20;
-/// Endpoints of the new version from which the worst one is left out: one that is ill is no bad version.
+/// Answering endpoints of the new version from which the worst one is excluded: a single faulty endpoint does not
+/// make a version bad.
 const MIN_ENDPOINTS_FOR_EXCLUSION: usize = 3;
-/// Answers of the new version from which it may be found worse while fewer endpoints than that have answered:
-/// they may all be of the one that is ill.
+/// Answers of the new version needed to find it worse while too few endpoints have answered to exclude one: all
+/// these answers may come from a single faulty endpoint.
 const MIN_NEW_ANSWERS: u64 = 12;
-/// Parts of a route's share of all answers below which nothing has to be proven on it.
+/// Part of all answers below which a route need not be found as good.
 const RARE_ROUTE_SHARE: f64 = 0.02;
-/// Steps of the numerical mixture over shares.
+/// Steps of the numerical integration over shares.
 const MIXTURE_STEPS: usize = 50;
 
-/// What is found of a version.
+/// Result of comparing the new version with the old one.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Finding {
-    /// It answers worse than the old one.
+    /// The new version answers worse.
     Worse,
-    /// It is as good, on every route that matters.
+    /// The new version is as good on every route that is not rare.
     AsGood,
-    /// Neither is shown yet.
+    /// The evidence shows neither yet.
     Open,
 }
 
-/// What was found, and on which evidence.
+/// A finding and the evidence for it.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Judgement {
-    /// What was found.
+    /// The finding.
     pub finding: Finding,
-    /// Hash of the route that decides it, if one does: the worse one, or the first that is open.
+    /// Hash of the route that determines the finding: the worse route, or the first open one; `None` if no route does.
     pub route: Option<u64>,
-    /// Answers of the new version there, and how many of these are bad (failed or slow, whichever share decides);
-    /// without the endpoint that has most of the bad ones, if several answer.
+    /// Answers of the new version on that route, and how many of them are bad (failed or slow, whichever share
+    /// determines the finding). Excludes the endpoint with the most bad answers if enough endpoints answer.
     pub new: (u64, u64),
-    /// The same of the old version.
+    /// The same for the old version, without exclusion.
     pub old: (u64, u64),
 }
 
-/// Judges the new version.
+/// Compares the new version with the old one.
 pub fn judge(evidence: &Evidence) -> Judgement {
     let all = evidence.answers() as f64;
     let mut open = None;
@@ -88,12 +91,12 @@
     open.unwrap_or(nothing_new)
 }
 
-// Bad answers among all of both versions.
+// Bad and total answers of both versions.
 #[derive(Clone, Copy, Debug)]
 struct Share {
     old: u64,
     old_bad: u64,
-    // Without the endpoint that has most of the bad ones, if several answer.
+    // Excludes the endpoint with the most bad answers if enough endpoints answer.
     new: u64,
     new_bad: u64,
     is_worst_excluded: bool,
@@ -125,7 +128,7 @@
 }
 
 impl Share {
-    // The old version's share, with what a few answers leave unknown: a little too high rather than too low.
+    // The old version's smoothed share plus one standard error, since an estimate that is too low would revert good versions.
     fn expected(&self) -> f64 {
         let n = self.old as f64;
         let share = (self.old_bad as f64 + 1.0) / (n + 2.0);
@@ -156,7 +159,7 @@
     }
 }
 
-// Likelihood of `bad` of `all` under all shares above `expected`, evenly weighed, against `expected` itself.
+// Likelihood ratio of `bad` out of `all`: shares above `expected` with a uniform prior, against `expected` itself.
 fn mixture_likelihood_ratio(all: u64, bad: u64, expected: f64) -> f64 {
     let (n, k) = (all as f64, bad as f64);
     let likelihood = |share: f64| k * share.ln() + (n - k) * (1.0 - share).ln();
--- a/components/rollout/src/lib.rs
+++ b/components/rollout/src/lib.rs
@@ -1,8 +1,9 @@
-//! Moving the requests of a service to endpoints of another version.
+//! Roll-outs: moving the requests of a service to endpoints of another version.
 //!
-//! The operator orders a version and a time. Whoever holds the lease judges the version by what its endpoints
-//! answer beside the old ones and decides once: completed or reverted. Until then every gateway that places
-//! requests lets a small, counted part of them through. Pure: times, answers and chance come in as values.
+//! The operator orders a version and a time limit. The lease holder compares the answers of the new version with
+//! those of the old one and decides once: completed or reverted. Until then, each gateway that places requests sends
+//! a limited part of them to the new version as a canary. The crate does no I/O: times, answers and random numbers
+//! are passed in.
 
 mod controller;
 mod evidence;
--- a/components/rollout/src/order.rs
+++ b/components/rollout/src/order.rs
@@ -1,4 +1,4 @@
-//! What the operator ordered, and how far it is.
+//! Roll-out orders and their stages.
 
 use std::fmt;
 use std::time::Duration;
@@ -6,13 +6,12 @@
 /// An order to move a service to a version.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Order {
-    /// The service.
     pub service: String,
-    /// The version that is to serve it.
+    /// The version that is to serve the service.
     pub version: String,
-    /// Revision of the store that wrote the order: the same version ordered again is another order.
+    /// Store revision that wrote the order. It distinguishes repeated orders of the same version.
     pub revision: u64,
-    /// Time within which it is to be decided, from the order on.
+    /// Time from the order within which the roll-out must be decided.
     pub time_limit: Duration,
 }
 
@@ -30,10 +29,10 @@
     }
 }
 
-/// How an order ended.
+/// The outcome of an order.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Decision {
-    /// All requests go to the new version; the old endpoints end at once.
+    /// All requests go to the new version; the old endpoints stop at once.
     Completed,
     /// All requests go to the old version.
     Reverted,
@@ -42,18 +41,18 @@
 /// Which requests go to the new version.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Stage {
-    /// A counted part of all, as evidence.
+    /// A limited sample of all requests, to collect evidence.
     Sample,
-    /// All that run for long, as old endpoints will end soon; a counted part of the others.
+    /// All long-running requests, since the old endpoints will stop soon, and a limited sample of the others.
     SwitchLong,
-    /// All: the old endpoints are about to end.
+    /// All requests; the old endpoints are about to stop.
     SwitchAll,
-    /// Decided.
+    /// Set by the decision.
     Decided(Decision),
 }
 
 impl Stage {
-    /// The decision, once it is made.
+    /// The decision, if it has been made.
     pub fn decision(self) -> Option<Decision> {
         match self {
             Stage::Decided(decision) => Some(decision),
--- a/components/rollout/src/version_selector.rs
+++ b/components/rollout/src/version_selector.rs
@@ -1,70 +1,69 @@
-//! How many requests one gateway sends to the new version.
+//! Selects the version that runs a request, within the gateway's part of the exposure limit.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
 
 use crate::order::{Decision, Order, Stage};
 
-/// What the holder allows holds for this long after it was said: without a holder nothing goes to a version that
-/// nobody judges. Holders speak every half second.
+/// How long an announced stage stays valid. Without a lease holder nobody judges the new version, so it must not get
+/// requests. Lease holders announce the stage every 500 ms.
 const STAGE_LIFETIME: Duration = Duration::from_millis(2000);
-/// Part of what the new version may get that is used for evidence. With an order of 12 s and 540 requests a second
-/// the other half is 350 requests: 0.35 s of all requests and 1.5 s of those that run long (simulated, see
-/// docs/decisions/rollouts.md).
+/// Part of the exposure limit that is used for the sample. With an order of 12 s and 540 requests/s the other half is
+/// 350 requests: enough to switch all requests for 0.35 s and the long-running ones for 1.5 s before the decision
+/// (simulated, see docs/decisions/rollouts.md).
 const SAMPLE_BUDGET_PART: f64 = 0.5;
-/// Bounds on how much more or less than the others a route gets.
+/// Bounds on the factor by which a route is sampled more or less often than others.
 const MIN_ROUTE_WEIGHT: f64 = 0.5;
 const MAX_ROUTE_WEIGHT: f64 = 4.0;
-/// Part of what the new version may get that is used before it is completed; the rest is for what is counted
-/// late.
+/// Part of the exposure limit that may be used before the decision; the rest covers requests that are counted late.
 const SWITCH_BUDGET_PART: f64 = 0.85;
 
-/// What a version that is not proven may get.
+/// Requests that an undecided version may get.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Allowance {
-    /// Part of all requests of the service.
+    /// Fraction of all requests of the service.
     pub fraction: f64,
-    /// Requests beside that part, over all gateways.
+    /// Requests in addition to that fraction, over all gateways.
     pub extra: f64,
-    /// Gateways that place requests.
+    /// Number of gateways that place requests.
     pub placing_gateways: usize,
 }
 
-/// Which endpoints a request may go to.
+/// Versions that may run a request.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum VersionFilter {
-    /// Any.
+    /// Any version.
     Any,
-    /// Those of another version than this.
+    /// Any version except this one.
     Not(String),
-    /// Those of this version.
+    /// Only this version.
     Only(String),
 }
 
-/// Counts the requests of one service since its order.
+/// Selects versions for the requests of one service and counts its placements since the order.
 #[derive(Clone, Debug)]
 pub struct VersionSelector {
     order: Order,
     stage: Option<(Stage, Duration)>,
     placed: u64,
     placed_new: u64,
-    // Requests that went to the new version, by hash of their route.
+    // Requests placed at the new version, by hash of their route.
     new_of_route: BTreeMap<u64, u64>,
 }
 
-/// What matters of a request for where it goes.
+/// The properties of a request that its version depends on.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Request {
-    /// Hash of its route.
+    /// Hash of the request's route.
     pub route: u64,
-    /// Whether it would be cut off when the old endpoints end.
+    /// Whether the request would be cut off when the old endpoints stop.
     pub runs_long: bool,
-    /// Whether it was sent before; such a request never goes to a version that is not proven.
+    /// Whether the request was sent before; such a request is never sampled for an undecided version.
     pub is_repeat: bool,
 }
 
 impl VersionSelector {
-    /// A gate for an order of which nothing else is known.
+    /// A selector for an order whose stage is not known yet.
     pub fn new(order: Order) -> Self {
         VersionSelector {
             order,
@@ -80,12 +79,13 @@
         &self.order
     }
 
-    /// Sets the revision of the order after it was rewritten in a restored store. Counts and stage are kept.
+    /// Sets the revision of the order after it was rewritten in a restored store. Keeps counts and stage.
     pub fn set_revision(&mut self, revision: u64) {
         self.order.revision = revision;
     }
 
-    /// The holder said at a time on the own clock how far the order with this revision is. A decision stays.
+    /// Records the stage that the lease holder announced at `at` on the local clock for the order with this revision.
+    /// Ignores other revisions, stages older than the known one, and any stage after a decision.
     pub fn receive(&mut self, at: Duration, revision: u64, stage: Stage) {
         let is_outdated = self.stage.is_some_and(|(_, known)| known > at);
         if revision != self.order.revision || is_outdated || self.decision().is_some() {
@@ -94,19 +94,19 @@
         self.stage = Some((stage, at));
     }
 
-    /// The stage that holds now, `None` if nothing was said of it lately.
+    /// The current stage; `None` if none is known or the last one has expired. A decision does not expire.
     pub fn stage(&self, now: Duration) -> Option<Stage> {
         let (stage, at) = self.stage?;
         let holds = stage.decision().is_some() || now < at + STAGE_LIFETIME;
         holds.then_some(stage)
     }
 
-    /// The decision, once it is known here.
+    /// The decision, once this gateway knows it.
     pub fn decision(&self) -> Option<Decision> {
         self.stage.and_then(|(stage, _)| stage.decision())
     }
 
-    /// Where a request goes; `chance` lies between 0 and 1.
+    /// Selects the versions that may run a request; `chance` is a uniform random number in [0, 1).
     pub fn select_versions(
         &self,
         now: Duration,
@@ -133,21 +133,22 @@
         }
     }
 
-    /// A request of a route was placed.
+    /// Counts a placed request of a route; `is_new` says whether it went to the new version.
     pub fn record_placement(&mut self, route: u64, is_new: bool) {
         self.placed += 1;
         self.placed_new += u64::from(is_new);
         *self.new_of_route.entry(route).or_default() += u64::from(is_new);
     }
 
-    // Each gateway keeps its own part, so all together keep the whole whatever they hear of each other.
+    // Each gateway stays within its own part, so the total stays within the limit without communication.
     fn has_exposure_left(&self, allowance: Allowance, part: f64) -> bool {
         let extra = allowance.extra / allowance.placing_gateways.max(1) as f64;
         let most = allowance.fraction * self.placed as f64 + extra;
         (self.placed_new + 1) as f64 <= most * part
     }
 
-    // How many times its share a route gets, since all routes need as many answers.
+    // Sampling factor of a route: routes with few placements get more, since each route needs the same number of
+    // answers.
     fn route_weight(&self, route: u64) -> f64 {
         let own = self.new_of_route.get(&route).copied().unwrap_or_default();
         let mean = self.placed_new as f64 / self.new_of_route.len().max(1) as f64;
--- a/components/rollout/tests/common/mod.rs
+++ b/components/rollout/tests/common/mod.rs
@@ -1,4 +1,4 @@
-//! A service in virtual time: gateways that place its requests, and endpoints of two versions.
+//! Simulates a service in virtual time: gateways that place its requests, and endpoints of two versions.
 
 #![allow(dead_code)]
 
@@ -15,7 +15,7 @@
     fraction: 0.1,
     extra: 50.0,
 };
-/// Time between steps of the holder.
+/// Time between steps of the lease holder.
 const STEP_INTERVAL: Duration = Duration::from_millis(100);
 const GATEWAYS: usize = 12;
 
@@ -23,17 +23,17 @@
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Fault {
     None,
-    /// Fails so many of its answers.
+    /// Fails this fraction of its answers, besides the base failure rate.
     Fails(f64),
-    /// Answers so many times slower.
+    /// Answers slower by this factor.
     Slow(f64),
-    /// Fails half of its answers from this part of the order's time on.
+    /// Fails half of its answers after this part of the order's time limit.
     FailsLater(f64),
     /// Fails half of its answers on the first route.
     FailsOnOneRoute,
-    /// One of its endpoints fails all its answers.
+    /// One of its endpoints fails all of its answers.
     OneEndpointFails,
-    /// Both versions fail so many answers.
+    /// Both versions fail this fraction of their answers.
     BothFail(f64),
 }
 
@@ -43,18 +43,18 @@
     pub per_s: f64,
     pub time_limit: Duration,
     pub fault: Fault,
-    /// Failures by nature, by route.
+    /// Fraction of answers that fail without a fault, by route.
     pub base_failure_rates: [f64; 2],
 }
 
-/// What came of the order.
+/// The result of the order.
 #[derive(Clone, Copy, Debug)]
 pub struct Outcome {
     pub decision: Decision,
     pub at: Duration,
     pub requests: u64,
     pub to_new: u64,
-    /// Bad answers of the new version until the decision.
+    /// Failed answers of the new version until the decision.
     pub bad_answers: u64,
 }
 
@@ -77,7 +77,7 @@
         }
     }
 
-    /// Plays the order until its time is over.
+    /// Simulates the order until its time limit.
     pub fn run(&self, seed: u64) -> Outcome {
         let mut rng = ChaCha8Rng::seed_from_u64(seed);
         let allowance = Allowance {
@@ -168,7 +168,7 @@
         if rng.random::<f64>() < fails {
             return Answer::Failed;
         }
-        // Log-normal, as the sheets say: mean 15 ms, spread 0.5.
+        // Log-normal with sigma 0.5, as in the specification, whose mean of 15 ms is used as the median.
         let normal: f64 = (0..12).map(|_| rng.random::<f64>()).sum::<f64>() - 6.0;
         Answer::Complete(15.0 * times * (0.5 * normal).exp())
     }
--- a/components/rollout/tests/guarantees.rs
+++ b/components/rollout/tests/guarantees.rs
@@ -1,4 +1,4 @@
-//! What an order of a version keeps, whatever the version is.
+//! Guarantees of a roll-out order, for good and bad versions.
 
 mod common;
 
@@ -9,7 +9,7 @@
 
 const SEEDS: u64 = 300;
 
-/// Rates and times of orders that the sheets name or allow.
+/// Requests per second and time limits in seconds of orders, as the specification names or allows them.
 fn sizes() -> impl Iterator<Item = (f64, u64)> {
     let rates = [60.0, 170.0, 540.0, 1000.0];
     rates
@@ -73,7 +73,7 @@
 #[test]
 fn a_good_version_with_enough_answers_is_completed_within_the_time_limit() {
     let all: Vec<_> = outcomes(Fault::None).collect();
-    // With fewer a twentieth of them says too little of a route on which one in seven fails by nature.
+    // With fewer requests, the sample of a twentieth is too small for a route with a base failure rate of one in seven.
     let enough =
         |simulation: &Simulation| simulation.per_s * simulation.time_limit.as_secs_f64() >= 5000.0;
     let (many, few): (Vec<_>, Vec<_>) = all
@@ -93,7 +93,7 @@
 fn failures_common_to_both_versions_do_not_revert_the_new_one() {
     let simulation = Simulation::new(540.0, 12, Fault::BothFail(0.2));
     let reverted = (0..100).filter(|seed| simulation.run(*seed).decision == Decision::Reverted);
-    // Measured: 5.
+    // 5 of 100 seeds revert.
     assert!(reverted.count() <= 10);
 }
 
@@ -199,7 +199,7 @@
         select_versions(&selector, Duration::from_secs(4)),
         VersionFilter::Not("v2".into())
     );
-    // Nor does it hide what was said later.
+    // An expired stage does not replace a newer one.
     selector.receive(Duration::from_secs(4), 7, Stage::Sample);
     selector.receive(Duration::from_secs(2), 7, Stage::SwitchAll);
     assert_eq!(selector.stage(Duration::from_secs(5)), Some(Stage::Sample));
