--- a/components/notices/src/lib.rs
+++ b/components/notices/src/lib.rs
@@ -1,8 +1,8 @@
-//! What endpoints say of themselves in their answers to this gateway: that they leave, that they want a pause, or
-//! how many requests a second they take.
+//! Notices that endpoints give in their answers to this gateway: that they are leaving, that they ask for a pause, or
+//! how many requests per second they accept.
 //!
-//! Such a word is the process's that said it. It is kept by the endpoint's start, so that it outlives connections, the
-//! endpoint's record and lists of endpoints, and ends with the process.
+//! A notice applies to the endpoint process that gave it. It is stored under the start (incarnation) of the endpoint, so
+//! it survives connections, the endpoint's record and lists of endpoints, and ends with the process.
 
 mod notices;
 
--- a/components/notices/src/notices.rs
+++ b/components/notices/src/notices.rs
@@ -1,40 +1,42 @@
-//! Notices by the start of the endpoint that gave them.
+//! Storage of notices by endpoint start.
 
 use std::time::Duration;
 
 use limits::SendRate;
 use lru::LruCache;
 
-/// Starts of endpoints remembered, those with the newest notices. Some 200 bytes each, for those that said something only.
+/// Maximum number of endpoint starts with stored notices; the ones with the newest notices are kept. Each takes about
+/// 200 bytes.
 const MAX_NOTICES: usize = 32_768;
 
-/// What comes again by way of other gateways seems to have been asked for later, by the time on the way. It is the same if
-/// it is no newer than this, and stays as old as it was.
+/// A limit notice forwarded by other gateways appears newer by the time it was under way. An equal rate that is newer by
+/// no more than this is a duplicate and does not refresh the stored notice.
 const DUPLICATE_TOLERANCE: Duration = Duration::from_millis(100);
 
-/// Whether an endpoint wants requests of this gateway.
+/// Whether an endpoint accepts requests from this gateway.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Availability {
-    /// It said nothing against it.
+    /// No notice in effect prevents requests.
     Open,
-    /// It leaves and wants none any more.
+    /// The endpoint is leaving and accepts no further requests.
     Leaving,
-    /// It wants none for so long.
+    /// The endpoint asked for a pause; it ends after this time.
     Paused(Duration),
-    /// The limit that it named is used up for so long, whoever sends.
+    /// The rate limit of the endpoint is exhausted for this time, for all gateways.
     LimitExhausted(Duration),
 }
 
-/// What an endpoint said of the rate at which it takes requests of all gateways together.
+/// An endpoint's notice of the rate at which it accepts requests from all gateways together.
 #[derive(Clone, Debug, PartialEq)]
 pub struct LimitNotice {
-    /// Hash of the start of the endpoint.
+    /// Hash of the endpoint's start.
     pub start: u64,
-    /// Its service.
+    /// The endpoint's service.
     pub service: String,
-    /// The rate; `None` if it named no limit.
+    /// The rate; `None` if the endpoint has no limit.
     pub rate: Option<SendRate>,
-    /// When the request was sent whose answer said so. Answers overtake each other, so the newest request decides.
+    /// When the request was sent whose answer carried the notice. Answers may overtake each other, so the notice of the
+    /// newest request applies.
     pub asked_at: Duration,
 }
 
@@ -42,7 +44,7 @@
 struct Limit {
     rate: Option<SendRate>,
     asked_at: Duration,
-    // Until when no send is granted, as far as is known here.
+    // Until when no send is granted, as far as this gateway knows.
     exhausted_until: Duration,
 }
 
@@ -73,7 +75,7 @@
     }
 }
 
-/// What endpoints said to this gateway; each is named by the hash of its start.
+/// Notices of endpoints, each identified by the hash of its start.
 #[derive(Debug)]
 pub struct Notices {
     notices: LruCache<u64, Notice>,
@@ -88,21 +90,21 @@
 }
 
 impl Notices {
-    /// An endpoint of a service says that it leaves; that is never taken back. Says whether it is news.
+    /// Records that an endpoint of a service is leaving, which is final. Returns whether this was unknown.
     pub fn record_leaving(&mut self, start: u64, service: &str) -> bool {
         let notice = self.notice(start, service);
         !std::mem::replace(&mut notice.is_leaving, true)
     }
 
-    /// An endpoint of a service wants nothing from now on for `pause`. Of several pauses the one that ends last binds: each
-    /// was asked for.
+    /// Records that an endpoint of a service asks for no requests for `pause` from now on. Of several pauses, the one that
+    /// ends last applies, since the endpoint asked for each of them.
     pub fn record_pause(&mut self, now: Duration, start: u64, service: &str, pause: Duration) {
         self.remove_expired(now);
         let notice = self.notice(start, service);
         notice.paused_until = notice.paused_until.max(now.saturating_add(pause));
     }
 
-    /// Takes what an endpoint said of its limit, unless a request sent later said something. Says whether it is news.
+    /// Records an endpoint's limit notice, unless a later request already brought one. Returns whether the notice was new.
     pub fn record_limit(&mut self, reported: &LimitNotice) -> bool {
         let known = self.notices.peek(&reported.start).and_then(|n| n.limit);
         let is_outdated = match known {
@@ -128,7 +130,7 @@
         true
     }
 
-    /// The limit of an endpoint is used up for so long.
+    /// Records that an endpoint's limit is exhausted for `wait`. Has no effect on an endpoint without a limit notice.
     pub fn record_limit_exhausted(&mut self, now: Duration, start: u64, wait: Duration) {
         let notice = self.notices.get_mut(&start);
         if let Some(limit) = notice.and_then(|notice| notice.limit.as_mut()) {
@@ -136,12 +138,12 @@
         }
     }
 
-    /// The rate that an endpoint named, if it has a limit.
+    /// The rate limit of an endpoint, if it has one.
     pub fn limit(&self, start: u64) -> Option<SendRate> {
         self.notices.peek(&start)?.rate()
     }
 
-    /// The newest that an endpoint said of its limit, if it ever named one.
+    /// The newest limit notice of an endpoint, if it ever gave one.
     pub fn limit_notice(&self, start: u64) -> Option<LimitNotice> {
         let notice = self.notices.peek(&start)?;
         let limit = notice.limit?;
@@ -153,18 +155,18 @@
         })
     }
 
-    /// Whether an endpoint wants requests.
+    /// Whether an endpoint accepts requests.
     pub fn availability(&self, now: Duration, start: u64) -> Availability {
         let notice = self.notices.peek(&start);
         notice.map_or(Availability::Open, |notice| notice.availability(now))
     }
 
-    /// Whether no endpoint said anything that is remembered.
+    /// Whether no notices are stored.
     pub fn is_empty(&self) -> bool {
         self.notices.is_empty()
     }
 
-    /// Endpoints of a service that want no requests, at most so many, those first that said so last.
+    /// Starts of up to `limit` endpoints of a service that accept no requests, most recent notice first.
     pub fn unavailable(&self, now: Duration, service: &str, limit: usize) -> Vec<u64> {
         let unavailable = self.notices.iter().filter(|(_, notice)| {
             notice.service == service && notice.availability(now) != Availability::Open
@@ -172,8 +174,8 @@
         unavailable.map(|(start, _)| *start).take(limit).collect()
     }
 
-    /// Time until the first endpoint of a service that paused, or whose limit is used up, wants requests again; `None` if there
-    /// is none.
+    /// Time until the first paused endpoint of a service, or the first with an exhausted limit, accepts requests again;
+    /// `None` if there is no such endpoint.
     pub fn min_time_until_open(&self, now: Duration, service: &str) -> Option<Duration> {
         let of_service = self.notices.iter().filter(|(_, n)| n.service == service);
         let left = of_service.filter_map(|(_, notice)| match notice.availability(now) {
@@ -183,7 +185,7 @@
         left.min()
     }
 
-    /// Whether the limit of some endpoint of a service is used up.
+    /// Whether the limit of any endpoint of a service is exhausted.
     pub fn has_exhausted_limit(&self, now: Duration, service: &str) -> bool {
         let mut of_service = self.notices.iter().filter(|(_, n)| n.service == service);
         of_service
@@ -202,7 +204,7 @@
         })
     }
 
-    // The oldest ones, as far as nothing that they said binds.
+    // Removes notices that have no effect any more, oldest first, up to the first one that still has.
     fn remove_expired(&mut self, now: Duration) {
         while let Some((_, oldest)) = self.notices.peek_lru() {
             if oldest.availability(now) != Availability::Open || oldest.limit.is_some() {
--- a/components/notices/tests/guarantees.rs
+++ b/components/notices/tests/guarantees.rs
@@ -1,4 +1,4 @@
-//! What endpoints said binds as long as they asked, and no longer.
+//! A notice applies exactly as long as the endpoint asked for.
 
 use std::time::Duration;
 
@@ -87,7 +87,7 @@
     }
 }
 
-// Guards against an answer that overtook another and brings back a limit that has changed or ended.
+// Guards against an overtaken answer that restores a limit which has changed or ended.
 #[test]
 fn the_limit_in_the_answer_to_the_newest_request_applies() {
     let mut notices = Notices::default();
@@ -102,7 +102,7 @@
     assert_eq!(notices.limit(2), None);
 }
 
-// Guards against word that grows younger with each gateway that passes it on, until it outlives the end of the limit.
+// Guards against a notice that seems newer with each gateway that forwards it, until it overrides the end of the limit.
 #[test]
 fn a_forwarded_limit_keeps_its_original_age() {
     let mut notices = Notices::default();
@@ -138,7 +138,7 @@
     assert_eq!(notices.availability(ms(3120), 1), Availability::Open);
 }
 
-// Guards against limits that are forgotten where every endpoint of a fleet of twice ten thousand names one.
+// Guards against the eviction of limits when every endpoint of a fleet of 20,000 gives one.
 #[test]
 fn limits_of_twenty_thousand_endpoints_are_kept_at_once() {
     const ENDPOINTS: u64 = 20_000;
