--- a/components/memory/src/accept_gate.rs
+++ b/components/memory/src/accept_gate.rs
@@ -1,35 +1,35 @@
-//! When to stop and begin again taking connections.
+//! Pauses and resumes accepting connections by memory use.
 
 use crate::budget::Budget;
 
-/// Part of the budget from which on no connection is taken: more than half of the part for the shares is used, and what is
-/// open still finds its share in the rest. Slow callers alone fill the common part, which is 0.7, and don't reach it.
+/// Part of the budget at which accepting pauses. More than half of the share pool is used then, and open connections still
+/// find their share in the rest. Slow callers alone fill the common pool, which is 0.7 of the budget, and don't reach it.
 const PAUSE_PART: f64 = 0.88;
-/// Part of the budget below which connections are taken again; apart from the one above, so that readiness does not flap.
+/// Part of the budget below which accepting resumes; lower than `PAUSE_PART`, so that readiness does not flap.
 const RESUME_PART: f64 = 0.78;
 
-/// A change of what is done with new connections.
+/// A change in accepting connections.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum AcceptChange {
-    /// None are taken from now on.
+    /// Connections are no longer accepted.
     Paused,
-    /// They are taken again.
+    /// Connections are accepted again.
     Resumed,
 }
 
-/// Whether new connections are taken.
+/// Decides whether new connections are accepted.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct AcceptGate {
     paused: bool,
 }
 
 impl AcceptGate {
-    /// Whether none are taken.
+    /// Whether accepting is paused.
     pub fn is_paused(&self) -> bool {
         self.paused
     }
 
-    /// Looks at what is held.
+    /// Updates the gate for `held` bytes. Returns the change, if any.
     pub fn update(&mut self, held: u64, budget: Budget) -> Option<AcceptChange> {
         let max_bytes = budget
             .max_bytes
--- a/components/memory/src/eviction.rs
+++ b/components/memory/src/eviction.rs
@@ -1,31 +1,31 @@
-//! Which caller is ended first when memory is short.
+//! Choice of the answer that is cut off when memory is short.
 
 use std::time::Duration;
 
-/// A caller that took nothing for this long reads nothing: networks and pauses of a collector are shorter.
+/// A caller that read nothing for this long counts as stalled; network delays and garbage collector pauses are shorter.
 const MIN_STALL: Duration = Duration::from_secs(3);
 
-/// An answer on its way to a caller.
+/// An answer that is being delivered to a caller.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Delivery {
-    /// Bytes held for it.
+    /// Bytes held for the answer.
     pub held: u64,
-    /// Time since the caller took some of them.
+    /// Time since the caller last read some of the bytes.
     pub stalled: Duration,
-    /// Time since its endpoint's answer was last read, if reading stopped for want of memory.
+    /// Time since the endpoint's answer was last read, if reading stopped because of lack of memory.
     pub unread: Option<Duration>,
 }
 
-/// What is known of endpoints.
+/// Observed timeouts of endpoints.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct EndpointTimeouts {
-    /// Time after which endpoints cut an unread answer off, once that was seen.
+    /// Time after which endpoints cut off an unread answer; `None` until this was observed.
     pub cut_after: Option<Duration>,
 }
 
-/// The delivery that gives its memory back first: of those that make no progress, or whose endpoint has cut their answer
-/// off by now, the one with the greatest product of bytes held and time without progress. A caller that takes anything at
-/// all, and whose endpoint is not known to have given up, is never chosen.
+/// Returns the index of the delivery to evict: of those without progress, or whose endpoint has cut off the answer by now,
+/// the one with the largest product of bytes held and time without progress. A delivery with progress is never chosen
+/// unless its endpoint is known to have cut it off.
 pub fn eviction_candidate(deliveries: &[Delivery], timeouts: EndpointTimeouts) -> Option<usize> {
     let mut found: Option<(usize, f64)> = None;
     for (i, delivery) in deliveries.iter().enumerate() {
--- a/components/memory/src/ledger.rs
+++ b/components/memory/src/ledger.rs
@@ -1,4 +1,4 @@
-//! Bytes held, by kind and by request.
+//! Ledger of reserved bytes, by kind and by request.
 
 use std::cell::Cell;
 use std::fmt;
@@ -6,23 +6,23 @@
 
 use crate::budget::Budget;
 
-/// What bytes are held for.
+/// What bytes are reserved for.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Kind {
-    /// A caller's body that is being read.
+    /// A caller's request body that is being read.
     BodyRead,
-    /// A whole body, kept until it is sent and need not be sent again.
+    /// A complete request body, kept until it is sent and need not be sent again.
     BodyKept,
-    /// Events of a stream that the caller has not taken yet.
+    /// Events of a stream that the caller has not read yet.
     ReadAhead,
-    /// An answer that is known as a whole, or is being read.
+    /// An answer that is buffered as a whole, complete or still being read.
     WholeAnswer,
-    /// Open connections at a measured cost each.
+    /// Open connections, each at its measured cost.
     Connection,
 }
 
 impl Kind {
-    /// All of them.
+    /// All kinds.
     pub const ALL: [Kind; 5] = [
         Kind::BodyRead,
         Kind::BodyKept,
@@ -43,7 +43,7 @@
     total: Cell<u64>,
     peak: Cell<u64>,
     released: Cell<u64>,
-    // Accounts that hold something other than a connection.
+    // Accounts that hold something besides connections.
     holders: Cell<u64>,
 }
 
@@ -61,7 +61,7 @@
 }
 
 impl Ledger {
-    /// An empty ledger; `on_release` is called whenever bytes were given back.
+    /// An empty ledger; `on_release` is called after each release of bytes by dropping a reservation.
     pub fn new(budget: Budget, on_release: impl Fn() + 'static) -> Self {
         let totals = Totals {
             budget: Cell::new(budget),
@@ -85,42 +85,42 @@
         }
     }
 
-    /// Puts another budget in force. What is held already stays, also beyond it.
+    /// Sets the budget. Existing reservations stay valid, even beyond the new budget.
     pub fn set_budget(&self, budget: Budget) {
         self.totals.budget.set(budget);
     }
 
-    /// The budget in force.
+    /// The current budget.
     pub fn budget(&self) -> Budget {
         self.totals.budget.get()
     }
 
-    /// Bytes held.
+    /// Bytes held in all.
     pub fn total(&self) -> u64 {
         self.totals.total.get()
     }
 
-    /// Bytes held of one kind.
+    /// Bytes held for one kind.
     pub fn held(&self, kind: Kind) -> u64 {
         self.totals.by_kind[kind.index()].get()
     }
 
-    /// Most bytes held at once since the start.
+    /// Maximum of bytes held at once since the start.
     pub fn peak(&self) -> u64 {
         self.totals.peak.get()
     }
 
-    /// Bytes given back since the start.
+    /// Total of bytes released since the start.
     pub fn released(&self) -> u64 {
         self.totals.released.get()
     }
 
-    /// Accounts that hold something other than a connection.
+    /// Number of accounts that hold something besides connections.
     pub fn holders(&self) -> u64 {
         self.totals.holders.get()
     }
 
-    /// Bytes that one request may hold while the common part is used up.
+    /// Bytes that one request may hold while the common pool is used up.
     pub fn share(&self) -> u64 {
         self.budget().share(self.holders())
     }
@@ -148,7 +148,7 @@
     }
 }
 
-/// Bytes held for one request. Clones share it.
+/// The account of one request or connection. Clones share it.
 #[derive(Clone, Debug)]
 pub struct Account {
     ledger: Ledger,
@@ -156,7 +156,7 @@
 }
 
 impl Account {
-    /// A hold of no bytes yet.
+    /// An empty reservation for this account.
     pub fn reservation(&self, kind: Kind) -> Reservation {
         Reservation {
             account: self.clone(),
@@ -165,7 +165,7 @@
         }
     }
 
-    /// Bytes held for it, connections aside.
+    /// Bytes held for this account, excluding connections.
     pub fn held(&self) -> u64 {
         self.held.get()
     }
@@ -195,7 +195,7 @@
     }
 }
 
-/// Reserved bytes. Dropping gives them back.
+/// Reserved bytes, released on drop.
 #[derive(Debug)]
 pub struct Reservation {
     account: Account,
@@ -209,7 +209,7 @@
         self.bytes
     }
 
-    /// Reserves so many bytes more, or none of them.
+    /// Reserves `more` bytes in addition. Returns false and reserves nothing if they don't fit.
     pub fn grow(&mut self, more: u64) -> bool {
         let account = &self.account;
         if !account.ledger.fits(self.kind, account.held(), more) {
@@ -220,7 +220,7 @@
         true
     }
 
-    /// Takes so many of its bytes into a hold of their own; all of them at most.
+    /// Moves `bytes`, or all bytes if there are fewer, into a separate reservation.
     pub fn split(&mut self, bytes: u64) -> Reservation {
         let bytes = bytes.min(self.bytes);
         self.bytes -= bytes;
@@ -231,12 +231,12 @@
         }
     }
 
-    /// Gives so many of its bytes back; all of them at most.
+    /// Releases `bytes`, or all bytes if there are fewer.
     pub fn shrink(&mut self, bytes: u64) {
         drop(self.split(bytes));
     }
 
-    /// The same bytes, held for something else.
+    /// Changes what the bytes are reserved for.
     pub fn change_kind(&mut self, kind: Kind) {
         self.account.remove(self.kind, self.bytes);
         self.account.add(kind, self.bytes);
--- a/components/memory/src/lib.rs
+++ b/components/memory/src/lib.rs
@@ -1,7 +1,7 @@
-//! What a process holds for callers and endpoints, in bytes, against the memory of its VM.
+//! Accounting of the bytes that a process holds for callers and endpoints, against the memory of its VM.
 //!
-//! Bytes are reserved before they are read and given back when what holds them is dropped. Nothing here reads a clock or a
-//! socket; times are passed in.
+//! Bytes are reserved before they are read, and released when their reservation is dropped. The crate reads no clock and
+//! does no I/O; times are passed in.
 
 mod accept_gate;
 mod body_wait;
--- a/components/memory/src/release_rate.rs
+++ b/components/memory/src/release_rate.rs
@@ -1,15 +1,15 @@
-//! How fast memory becomes free.
+//! Estimate of the rate at which memory is released.
 
 use std::time::Duration;
 
-/// Time over which the rate is averaged.
+/// Time constant of the exponential moving average.
 const AVERAGING_TIME: Duration = Duration::from_secs(2);
-/// Least time to come back: a refused caller is not to come back into the same moment.
+/// Minimum retry time: a refused caller must not retry while the shortage that refused it lasts.
 const MIN_WAIT: Duration = Duration::from_millis(100);
-/// Longest time to come back, where next to nothing becomes free.
+/// Maximum retry time, used when almost nothing is released.
 const MAX_WAIT: Duration = Duration::from_secs(5);
 
-/// Bytes a second that were given back lately.
+/// Moving average of bytes released per second.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct ReleaseRate {
     at: Duration,
@@ -18,7 +18,7 @@
 }
 
 impl ReleaseRate {
-    /// Takes the sum of what was given back since the start.
+    /// Adds a sample: the total of bytes released since the start.
     pub fn sample(&mut self, now: Duration, released: u64) {
         let passed = now.saturating_sub(self.at).as_secs_f64();
         if passed <= 0.0 {
@@ -31,7 +31,7 @@
         self.released = released;
     }
 
-    /// When so many bytes are likely to be free.
+    /// Estimated time until so many bytes are released, at least `MIN_WAIT` and at most `MAX_WAIT`.
     pub fn time_until_free(&self, bytes: u64) -> Duration {
         let seconds = bytes as f64 / self.per_second.max(1.0);
         let longest = MAX_WAIT.as_secs_f64();
--- a/components/memory/tests/guarantees.rs
+++ b/components/memory/tests/guarantees.rs
@@ -1,4 +1,4 @@
-//! Promises of the ledger and of what is decided from it.
+//! Guarantees of the ledger and of the decisions based on it.
 
 use std::cell::Cell;
 use std::rc::Rc;
@@ -16,26 +16,26 @@
 enum Step {
     Open,
     Reserve { account: usize, kind: usize },
-    Grow { hold: usize, bytes: u64 },
-    Shrink { hold: usize, bytes: u64 },
-    Split { hold: usize, bytes: u64 },
-    Change { hold: usize, kind: usize },
-    Drop { hold: usize },
+    Grow { reservation: usize, bytes: u64 },
+    Shrink { reservation: usize, bytes: u64 },
+    Split { reservation: usize, bytes: u64 },
+    Change { reservation: usize, kind: usize },
+    Drop { reservation: usize },
 }
 
 impl Arbitrary for Step {
     fn arbitrary(g: &mut Gen) -> Self {
-        let (account, hold) = (usize::arbitrary(g), usize::arbitrary(g));
+        let (account, reservation) = (usize::arbitrary(g), usize::arbitrary(g));
         let kind = usize::arbitrary(g) % Kind::ALL.len();
         let bytes = u64::arbitrary(g) % (BUDGET_BYTES / 8);
         match u8::arbitrary(g) % 10 {
             0 => Step::Open,
             1 | 2 => Step::Reserve { account, kind },
-            3..=5 => Step::Grow { hold, bytes },
-            6 => Step::Shrink { hold, bytes },
-            7 => Step::Split { hold, bytes },
-            8 => Step::Change { hold, kind },
-            _ => Step::Drop { hold },
+            3..=5 => Step::Grow { reservation, bytes },
+            6 => Step::Shrink { reservation, bytes },
+            7 => Step::Split { reservation, bytes },
+            8 => Step::Change { reservation, kind },
+            _ => Step::Drop { reservation },
         }
     }
 }
@@ -44,69 +44,69 @@
     Ledger::new(Budget::of_bytes(BUDGET_BYTES), || {})
 }
 
-fn play(ledger: &Ledger, steps: &[Step]) -> Vec<Reservation> {
+fn run_steps(ledger: &Ledger, steps: &[Step]) -> Vec<Reservation> {
     let mut accounts = vec![ledger.open_account()];
-    let mut holds: Vec<Reservation> = vec![accounts[0].reservation(Kind::WholeAnswer)];
+    let mut reservations: Vec<Reservation> = vec![accounts[0].reservation(Kind::WholeAnswer)];
     for step in steps {
-        let at = |hold: usize| hold % holds.len().max(1);
+        let index_of = |reservation: usize| reservation % reservations.len().max(1);
         match *step {
             Step::Open => accounts.push(ledger.open_account()),
             Step::Reserve { account, kind } => {
                 let account = &accounts[account % accounts.len()];
-                holds.push(account.reservation(Kind::ALL[kind]));
+                reservations.push(account.reservation(Kind::ALL[kind]));
             }
-            _ if holds.is_empty() => {}
-            Step::Grow { hold, bytes } => {
-                let at = at(hold);
-                holds[at].grow(bytes);
+            _ if reservations.is_empty() => {}
+            Step::Grow { reservation, bytes } => {
+                let index = index_of(reservation);
+                reservations[index].grow(bytes);
             }
-            Step::Shrink { hold, bytes } => {
-                let at = at(hold);
-                holds[at].shrink(bytes);
+            Step::Shrink { reservation, bytes } => {
+                let index = index_of(reservation);
+                reservations[index].shrink(bytes);
             }
-            Step::Split { hold, bytes } => {
-                let at = at(hold);
-                let split = holds[at].split(bytes);
-                holds.push(split);
+            Step::Split { reservation, bytes } => {
+                let index = index_of(reservation);
+                let split = reservations[index].split(bytes);
+                reservations.push(split);
             }
-            Step::Change { hold, kind } => {
-                let at = at(hold);
-                holds[at].change_kind(Kind::ALL[kind]);
+            Step::Change { reservation, kind } => {
+                let index = index_of(reservation);
+                reservations[index].change_kind(Kind::ALL[kind]);
             }
-            Step::Drop { hold } => {
-                let at = at(hold);
-                holds.swap_remove(at);
+            Step::Drop { reservation } => {
+                let index = index_of(reservation);
+                reservations.swap_remove(index);
             }
         }
-        let sum: u64 = holds.iter().map(Reservation::bytes).sum();
+        let sum: u64 = reservations.iter().map(Reservation::bytes).sum();
         let kinds: u64 = Kind::ALL.iter().map(|kind| ledger.held(*kind)).sum();
         assert_eq!((sum, kinds), (ledger.total(), ledger.total()));
         assert!(ledger.total() <= BUDGET_BYTES);
     }
-    holds
+    reservations
 }
 
 quickcheck! {
     fn the_ledger_never_exceeds_its_budget_and_is_empty_once_all_reservations_are_dropped(steps: Vec<Step>, from: usize) -> bool {
         let ledger = ledger();
-        let mut holds = play(&ledger, &steps);
-        while !holds.is_empty() {
-            let at = from % holds.len();
-            drop(holds.swap_remove(at));
+        let mut reservations = run_steps(&ledger, &steps);
+        while !reservations.is_empty() {
+            let index = from % reservations.len();
+            drop(reservations.swap_remove(index));
         }
         ledger.total() == 0 && ledger.holders() == 0
     }
 
     fn a_request_within_its_share_can_reserve_while_the_common_pool_is_used_up(holders: u8) -> bool {
         let ledger = ledger();
-        let hog = ledger.open_account();
-        let mut hogged = hog.reservation(Kind::ReadAhead);
-        while hogged.grow(1000) {}
+        let greedy = ledger.open_account();
+        let mut greedy_reservation = greedy.reservation(Kind::ReadAhead);
+        while greedy_reservation.grow(1000) {}
         let others: Vec<Reservation> = (0..holders)
             .map(|_| {
-                let mut hold = ledger.open_account().reservation(Kind::ReadAhead);
-                assert!(hold.grow(ledger.budget().share(ledger.holders() + 1)));
-                hold
+                let mut reservation = ledger.open_account().reservation(Kind::ReadAhead);
+                assert!(reservation.grow(ledger.budget().share(ledger.holders() + 1)));
+                reservation
             })
             .collect();
         others.len() == usize::from(holders) && ledger.total() <= BUDGET_BYTES
@@ -116,8 +116,8 @@
 #[test]
 fn without_a_limit_every_reservation_succeeds() {
     let ledger = Ledger::new(Budget::of_vm(0, TableSizes::default()), || {});
-    let mut hold = ledger.open_account().reservation(Kind::WholeAnswer);
-    assert!(hold.grow(u64::MAX / 2));
+    let mut reservation = ledger.open_account().reservation(Kind::WholeAnswer);
+    assert!(reservation.grow(u64::MAX / 2));
     assert_eq!(ledger.held(Kind::WholeAnswer), u64::MAX / 2);
 }
 
@@ -129,7 +129,7 @@
     };
     let budget = Budget::of_vm(160, tables);
     let max_bytes = budget.max_bytes.unwrap();
-    // What is held, the base of 8 MiB and a tenth that the allocator loses.
+    // Reserved bytes, a tenth of them for allocator fragmentation, and the base of 8 MiB.
     let peak = max_bytes + max_bytes / 10 + (8 << 20);
     assert!((80 << 20..120 << 20).contains(&peak), "{peak}");
     assert!(Budget::of_vm(160, TableSizes::default()).max_bytes > budget.max_bytes);
@@ -137,28 +137,28 @@
 
 #[test]
 fn the_release_callback_runs_on_every_release() {
-    let heard = Rc::new(Cell::new(0));
-    let count = Rc::clone(&heard);
+    let release_count = Rc::new(Cell::new(0));
+    let count = Rc::clone(&release_count);
     let ledger = Ledger::new(Budget::of_bytes(BUDGET_BYTES), move || {
         count.set(count.get() + 1)
     });
-    let mut hold = ledger.open_account().reservation(Kind::WholeAnswer);
-    assert!(hold.grow(10));
-    hold.shrink(4);
-    drop(hold);
-    assert_eq!((heard.get(), ledger.released()), (2, 10));
+    let mut reservation = ledger.open_account().reservation(Kind::WholeAnswer);
+    assert!(reservation.grow(10));
+    reservation.shrink(4);
+    drop(reservation);
+    assert_eq!((release_count.get(), ledger.released()), (2, 10));
 }
 
 #[test]
 fn accepting_pauses_before_the_budget_is_used_up_and_resumes_well_below() {
     let budget = Budget::of_bytes(100);
     let mut gate = AcceptGate::default();
-    let turns: Vec<Option<AcceptChange>> = [50, 87, 89, 87, 79, 77, 87]
+    let changes: Vec<Option<AcceptChange>> = [50, 87, 89, 87, 79, 77, 87]
         .into_iter()
         .map(|held| gate.update(held, budget))
         .collect();
     let (paused, resumed) = (Some(AcceptChange::Paused), Some(AcceptChange::Resumed));
-    assert_eq!(turns, [None, None, paused, None, None, resumed, None]);
+    assert_eq!(changes, [None, None, paused, None, None, resumed, None]);
     assert_eq!(gate.update(u64::MAX, Budget::NONE), None);
 }
 
