--- a/components/directory/src/configuration.rs
+++ b/components/directory/src/configuration.rs
@@ -1,4 +1,4 @@
-//! One version of the configuration, as typed values.
+//! Typed values of one configuration version.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -6,15 +6,15 @@
 /// Everything that operators set for callers and endpoints.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Configuration {
-    /// Version; later ones are higher, not always by one.
+    /// Version number. It increases with each configuration, not always by one.
     pub version: u64,
-    /// Routes by which requests find their service.
+    /// Routes that map requests to services.
     pub routes: Vec<Route>,
     /// Services by name.
     pub services: BTreeMap<String, Service>,
-    /// Tenants; without any, requests need no key.
+    /// Tenants; if there are none, requests need no key.
     pub tenants: Vec<Tenant>,
-    /// Bounds on what callers send.
+    /// Limits on what callers send.
     pub bounds: CallerBounds,
 }
 
@@ -25,15 +25,15 @@
     Repeatable,
     /// Runs at most once.
     Once,
-    /// Answers with a stream of events; a resumable one may go on at another endpoint.
+    /// Answers with a stream of events.
     Stream {
-        /// Whether another run may go on after the last event.
+        /// Whether a run at another endpoint may resume the stream after the last event.
         resumable: bool,
     },
 }
 
 impl Execution {
-    /// Whether a second run is allowed after a first one that may have begun.
+    /// Whether a request may run again after a run that may have begun.
     pub fn is_repeatable(self) -> bool {
         matches!(
             self,
@@ -50,25 +50,25 @@
 /// One route.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Route {
-    /// Name, for logs.
+    /// Name, used in logs.
     pub name: String,
-    /// Host that it serves.
+    /// Host that the route serves.
     pub host: String,
-    /// Path prefix, from slash to slash.
+    /// Path prefix, beginning and ending with a slash.
     pub prefix: String,
-    /// Whether requests may be repeated.
+    /// Whether and how requests may run more than once.
     pub execution: Execution,
-    /// Longest time a request is held.
+    /// Time after which a request is ended.
     pub timeout: Duration,
-    /// Time within which an answer is in time.
+    /// Latency target of an answer.
     pub target: Duration,
-    /// Longest pause between events that is in time.
+    /// Target for the longest gap between events of a stream.
     pub gap_target: Option<Duration>,
-    /// Rank, 0 is the most urgent.
+    /// Priority rank; 0 is the most urgent.
     pub priority: u8,
-    /// Services with their weights.
+    /// Services and their weights.
     pub split: Vec<Share>,
-    /// Most endpoints that one request is sent to.
+    /// Maximum number of endpoints that one request is sent to.
     pub max_attempts: u32,
     /// Whether requests need no key.
     pub public: bool,
@@ -79,81 +79,81 @@
 pub struct Share {
     /// Name of the service.
     pub service: String,
-    /// Weight against the other shares.
+    /// Weight relative to the other shares.
     pub weight: u32,
 }
 
 /// One service.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Service {
-    /// Connections that each endpoint accepts from all gateways together.
+    /// Maximum number of connections that each endpoint accepts from all gateways together.
     pub max_connections: u32,
-    /// Set if its endpoints are model engines.
+    /// Set if the endpoints are model engines.
     pub engine: Option<Engine>,
-    /// Set if its endpoints can be ordered.
+    /// Set if endpoints can be ordered.
     pub scaling: Option<Scaling>,
 }
 
-/// What model engines can do.
+/// Capacity of a model engine.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Engine {
-    /// Requests that run at once.
+    /// Number of requests that run concurrently.
     pub slots: u32,
-    /// Tokens that the memory for prompts and answers holds.
+    /// Capacity of the cache for prompts and answers, in tokens.
     pub cache_tokens: u64,
-    /// Tokens in one event of a stream.
+    /// Number of tokens in one event of a stream.
     pub tokens_per_event: u32,
 }
 
-/// How endpoints are ordered.
+/// Limits and prices for ordering endpoints.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Scaling {
-    /// Least endpoints in each zone, both price classes together.
+    /// Minimum number of endpoints in each zone, both price classes together.
     pub min_per_zone: u32,
-    /// Most endpoints in each zone, both price classes together.
+    /// Maximum number of endpoints in each zone, both price classes together.
     pub max_per_zone: u32,
-    /// Time until an ordered endpoint serves.
+    /// Time from the order of an endpoint until it serves.
     pub boot_time: Duration,
-    /// Price of a reclaimable endpoint as a part of an on-demand one's, if there are any.
+    /// Price of a reclaimable endpoint relative to an on-demand one; `None` if there are no reclaimable endpoints.
     pub relative_reclaimable_price: Option<f64>,
-    /// Price of an on-demand endpoint a second, by zone.
+    /// Price of an on-demand endpoint per second, by zone.
     pub zone_prices: BTreeMap<String, f64>,
 }
 
 /// One tenant.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Tenant {
-    /// Name that endpoints see.
+    /// Name that is passed to endpoints.
     pub name: String,
-    /// Keys that its callers present.
+    /// API keys of the tenant's callers.
     pub keys: Vec<String>,
-    /// Rank before that of the route, 0 is the most urgent.
+    /// Priority rank that overrides the route's; 0 is the most urgent.
     pub priority: Option<u8>,
-    /// Limit over all gateways, if it has one.
+    /// Rate limit over all gateways, if any.
     pub quota: Option<Quota>,
 }
 
-/// A tenant's limit over all gateways, in tokens if `plain_cost` is set, else in requests.
+/// A tenant's rate limit over all gateways, in tokens if `default_token_cost` is set, else in requests.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Quota {
-    /// Units a second.
+    /// Units per second.
     pub rate: f64,
-    /// Units beyond the rate.
+    /// Burst: units in excess of the rate.
     pub burst: f64,
-    /// Tokens that a request without a token count costs.
+    /// Cost in tokens of a request without a token count.
     pub default_token_cost: Option<u64>,
 }
 
-/// Bounds on what callers send and on how long they pause.
+/// Limits on the size of requests and on how long callers may take or idle.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct CallerBounds {
-    /// Largest head of a request, in bytes.
+    /// Maximum size of a request head, in bytes.
     pub max_head_bytes: usize,
-    /// Largest body of a request, in bytes.
+    /// Maximum size of a request body, in bytes.
     pub max_body_bytes: usize,
-    /// Longest time that a head may take.
+    /// Maximum time for receiving a request head.
     pub head_timeout: Duration,
-    /// Longest time that a connection may rest.
+    /// Maximum time that a connection may be idle.
     pub idle_timeout: Duration,
 }
 
--- a/components/directory/src/endpoint.rs
+++ b/components/directory/src/endpoint.rs
@@ -1,4 +1,4 @@
-//! One endpoint as it recorded itself.
+//! An endpoint, as recorded by itself.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -6,43 +6,43 @@
 /// Whether an endpoint takes new work.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum EndpointState {
-    /// Takes work.
+    /// Takes new work.
     Ready,
-    /// Finishes what it has and leaves.
+    /// Finishes its requests and leaves.
     Draining {
-        /// Time left when it said so, if it said.
+        /// Time until it leaves, counted from its record, if known.
         leaves_in: Option<Duration>,
     },
 }
 
-/// One start of one endpoint: with the same id at another `born` it is another process, which holds and knows nothing.
+/// One start of one endpoint. The same id with another `born_ms` is another process without any state of the earlier one.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Endpoint {
-    /// Its id, which it may keep when it starts again.
+    /// Id of the endpoint, which may stay the same after a restart.
     pub id: String,
-    /// When it started by its own clock, in milliseconds since 1970; `None` if it doesn't say. It only tells starts apart: the
-    /// clock may step, so a lower one is as good as a higher one.
+    /// Start time on the endpoint's wall clock, in milliseconds since 1970; `None` if not reported. It only distinguishes
+    /// starts and does not order them, since the clock may step.
     pub born_ms: Option<u64>,
-    /// Service it runs.
+    /// Service that it runs.
     pub service: String,
-    /// Where it listens.
+    /// Address that it listens on.
     pub address: SocketAddr,
-    /// Zone it runs in.
+    /// Zone that it runs in.
     pub zone: String,
-    /// Requests it works on at once.
+    /// Number of requests that it runs concurrently.
     pub slots: u32,
     /// Whether it takes new work.
     pub state: EndpointState,
-    /// Whether it may be taken away at short notice.
+    /// Whether its VM may be reclaimed at short notice.
     pub reclaimable: bool,
-    /// How much longer it is slow after its start.
+    /// Remaining time during which it is slow after its start.
     pub cold: Duration,
     /// Version of its software.
     pub version: String,
 }
 
 impl Endpoint {
-    /// Whether another record of this id speaks of the same process.
+    /// Whether another record with this id belongs to the same process.
     pub fn is_same_start(&self, other: &Endpoint) -> bool {
         let owner = |endpoint: &Endpoint| (endpoint.born_ms, endpoint.address);
         owner(self) == owner(other) && self.service == other.service
--- a/components/directory/src/explanation.rs
+++ b/components/directory/src/explanation.rs
@@ -1,4 +1,4 @@
-//! Which way a request takes, for operators who read their routes.
+//! Explains to operators how requests are routed.
 
 use std::collections::BTreeMap;
 use std::fmt;
@@ -7,52 +7,52 @@
 use crate::endpoint::Endpoint;
 use crate::lookup::Directory;
 
-/// The way that requests for a host and path take.
+/// How requests for a host and path are routed.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Explanation {
-    /// Version of the configuration.
+    /// Configuration version.
     pub version: u64,
-    /// The route, or why there is none.
+    /// The matching route, or why there is none.
     pub outcome: Result<RouteExplanation, NoRouteReason>,
-    /// Region by data hall, as far as it is known.
+    /// Region by data hall, as far as known; filled in by the caller.
     pub regions: BTreeMap<String, String>,
 }
 
-/// A route and what stands behind it.
+/// A route with its services and their endpoints.
 #[derive(Clone, Debug, PartialEq)]
 pub struct RouteExplanation {
-    /// The route: of those that fit, the one with the longest prefix.
+    /// The matching route with the longest prefix.
     pub route: Route,
-    /// Names and prefixes of the other routes that fit, the longest first.
+    /// Names and prefixes of the other matching routes, longest prefix first.
     pub shorter_matches: Vec<String>,
     /// Whether a request needs a key.
     pub needs_key: bool,
-    /// Its services, in the order of the route.
+    /// The route's services, in its order.
     pub services: Vec<ServiceShare>,
 }
 
 /// One service of a route.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ServiceShare {
-    /// Its name.
+    /// Name of the service.
     pub name: String,
-    /// Part of the requests that goes there, in thousandths.
+    /// Share of the requests that the service gets, in thousandths.
     pub share_milli: u64,
-    /// Ready endpoints by data hall.
+    /// Number of ready endpoints by data hall.
     pub ready: BTreeMap<String, usize>,
 }
 
-/// Why a request finds no route.
+/// Why no route matches a request.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum NoRouteReason {
-    /// No route names the host.
+    /// No route serves the host.
     UnknownHost,
-    /// Prefixes of the host's routes, none of which begins the path.
+    /// The path begins with none of these prefixes of the host's routes.
     NoPrefix(Vec<String>),
 }
 
 impl Directory {
-    /// Explains the way of requests for a host and path, given all endpoints.
+    /// Explains how requests for a host and path are routed. `endpoints` holds all known endpoints.
     pub fn explain(&self, host: &str, path: &str, endpoints: &[Endpoint]) -> Explanation {
         Explanation {
             version: self.configuration().version,
--- a/components/directory/src/lib.rs
+++ b/components/directory/src/lib.rs
@@ -1,6 +1,6 @@
-//! What a gateway knows of routes, services, tenants and endpoints, and how fresh that is.
+//! Typed configuration (routes, services, tenants) and endpoints of a gateway, route lookup, and the age of store answers.
 //!
-//! Pure: rows come in as typed values, time as durations on the gateway's monotonic clock.
+//! The crate does no I/O: rows are passed in as typed values, and time as durations on the gateway's monotonic clock.
 
 mod configuration;
 mod endpoint;
--- a/components/directory/src/lookup.rs
+++ b/components/directory/src/lookup.rs
@@ -1,32 +1,32 @@
-//! Which route, tenant and service a request belongs to.
+//! Lookup of a request's route and tenant.
 
 use std::collections::HashMap;
 use std::sync::Arc;
 
 use crate::configuration::{Configuration, Route, Tenant};
 
-/// A configuration with its indexes.
+/// A configuration with indexes for lookups.
 #[derive(Debug)]
 pub struct Directory {
     configuration: Arc<Configuration>,
-    // Routes of a host, the longest prefix first.
+    // Route indexes by host, longest prefix first.
     hosts: HashMap<String, Vec<usize>>,
     keys: HashMap<String, usize>,
 }
 
-/// What the directory says of a request.
+/// Result of a lookup.
 #[derive(Debug, PartialEq)]
 pub enum Lookup<'a> {
-    /// It may run.
+    /// The request may run.
     Allowed {
-        /// Its route.
+        /// Route of the request.
         route: &'a Route,
-        /// Whose key it carries, if it needs one.
+        /// Tenant whose key the request carries; `None` without a known key.
         tenant: Option<&'a Tenant>,
     },
-    /// No route serves its host and path.
+    /// No route serves the host and path.
     NoRoute,
-    /// The route needs a key and this one belongs to nobody.
+    /// The route needs a key, and the request carries none or one of no tenant.
     UnknownKey,
 }
 
@@ -52,12 +52,12 @@
         }
     }
 
-    /// The configuration behind the indexes.
+    /// The indexed configuration.
     pub fn configuration(&self) -> &Arc<Configuration> {
         &self.configuration
     }
 
-    /// Finds route and tenant. `host` may carry a port; `path` is without its query.
+    /// Finds the route and tenant of a request. `host` may include a port; `path` must not include the query.
     pub fn look_up(&self, host: &str, path: &str, key: Option<&str>) -> Lookup<'_> {
         let Some(route) = self.route(host, path) else {
             return Lookup::NoRoute;
@@ -81,7 +81,7 @@
         Some(route(index))
     }
 
-    /// Routes of a host, the longest prefix first; `None` if no route names it.
+    /// Routes of a host, longest prefix first; `None` if no route serves it.
     pub fn routes_for_host(&self, host: &str) -> Option<Vec<&Route>> {
         let indexes = self.route_indexes_for_host(host)?.iter();
         Some(indexes.map(|i| &self.configuration.routes[*i]).collect())
--- a/components/directory/tests/explanations.rs
+++ b/components/directory/tests/explanations.rs
@@ -1,4 +1,4 @@
-//! What operators read of their routes.
+//! Explanations of routes for operators.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
--- a/components/directory/tests/guarantees.rs
+++ b/components/directory/tests/guarantees.rs
@@ -1,4 +1,4 @@
-//! Lookups and freshness.
+//! Route lookups and the dating of store answers.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -85,9 +85,9 @@
 #[test]
 fn a_fast_call_narrows_the_time_of_answers_to_slow_calls() {
     let mut clock = StoreClock::default();
-    // The store's clock is 1 s behind; a fast call was on its way for 2 ms.
+    // The store's clock is 1 s behind; a fast call is answered 2 ms after it was sent.
     assert_eq!(clock.earliest(MS(5_000), MS(5_004), MS(4_002)), MS(5_000));
-    // A call held for 2 s is dated by the fast one, up to drift, and never later than the truth.
+    // The answer to a call held for 2 s is dated by the offset from the fast one, up to drift and never too late.
     let dated = clock.earliest(MS(6_000), MS(8_002), MS(7_000));
     assert!(dated <= MS(8_000) && dated >= MS(7_990), "{dated:?}");
 }
@@ -96,7 +96,7 @@
 fn an_answer_is_never_dated_outside_its_call() {
     let mut clock = StoreClock::default();
     clock.earliest(MS(5_000), MS(5_004), MS(90_000));
-    // Another store answers whose clock began anew.
+    // Another store answers, whose clock has restarted.
     let dated = clock.earliest(MS(6_000), MS(6_500), MS(10));
     assert_eq!(dated, MS(6_000));
 }
