--- a/components/memory/src/release_rate.rs
+++ b/components/memory/src/release_rate.rs
@@ -34,7 +34,7 @@
     /// Estimated time until so many bytes are released, at least `MIN_WAIT` and at most `MAX_WAIT`.
     pub fn time_until_free(&self, bytes: u64) -> Duration {
         let seconds = bytes as f64 / self.per_second.max(1.0);
-        let longest = MAX_WAIT.as_secs_f64();
-        Duration::from_secs_f64(seconds.min(longest)).max(MIN_WAIT)
+        let max_seconds = MAX_WAIT.as_secs_f64();
+        Duration::from_secs_f64(seconds.min(max_seconds)).max(MIN_WAIT)
     }
 }
--- a/components/rollout/src/controller.rs
+++ b/components/rollout/src/controller.rs
@@ -141,19 +141,20 @@
         let due = progress.ordered_at + self.order.time_limit;
         let elapsed = now.saturating_sub(progress.ordered_at).as_secs_f64();
         let per_s = evidence.answers() as f64 / elapsed.max(1.0);
-        let in_all = per_s * self.order.time_limit.as_secs_f64();
-        let may_get = (self.exposure_limit.fraction * in_all + self.exposure_limit.extra)
+        let expected_requests = per_s * self.order.time_limit.as_secs_f64();
+        let usable_exposure = (self.exposure_limit.fraction * expected_requests
+            + self.exposure_limit.extra)
             * SWITCH_BUDGET_PART;
-        let left = (may_get - evidence.new_answers() as f64).max(0.0);
+        let left = (usable_exposure - evidence.new_answers() as f64).max(0.0);
         let write =
             (progress.store_call_time * WRITE_TIME_FACTOR).clamp(MIN_WRITE_TIME, MAX_WRITE_TIME);
-        let span = (SWITCH_TIME + write).min(time_at_rate(left, per_s));
-        let all = due.saturating_sub(span);
-        let left = left - span.as_secs_f64() * per_s;
-        let long_run =
+        let switch_time = (SWITCH_TIME + write).min(time_at_rate(left, per_s));
+        let all = due.saturating_sub(switch_time);
+        let left = left - switch_time.as_secs_f64() * per_s;
+        let long_switch_time =
             MAX_LONG_SWITCH_TIME.min(time_at_rate(left.max(0.0), progress.long_requests_per_s));
         Schedule {
-            long: all.saturating_sub(long_run),
+            long: all.saturating_sub(long_switch_time),
             all,
             write: all.max(due.saturating_sub(write)),
         }
--- a/components/rollout/src/judgement.rs
+++ b/components/rollout/src/judgement.rs
@@ -2,8 +2,8 @@
 //!
 //! On each route, two shares of answers are compared between the versions: failed answers and slow answers. "Worse"
 //! is a sequential test (a mixture likelihood ratio against the old version's share, Robbins 1970; see
-//! docs/decisions/rollouts.md). It can be evaluated at any time: the probability of ever finding a version worse
-//! that is as good as the old one stays below `MAX_FALSE_POSITIVE_RATE`. "As good" is a likelihood ratio against a
+//! docs/decisions/rollouts.md). It can be evaluated at any time: if a share is not worse, the probability that it is
+//! ever found worse is at most `MAX_FALSE_POSITIVE_RATE`. "As good" is a likelihood ratio against a
 //! share that is higher by `MIN_DIFFERENCE`.
 
 use crate::evidence::{Counts, Evidence, RouteEvidence};
@@ -79,7 +79,7 @@
             }
         }
     }
-    let nothing_new = Judgement {
+    let overall = Judgement {
         finding: match evidence.new_answers() {
             0 => Finding::Open,
             _ => Finding::AsGood,
@@ -88,7 +88,7 @@
         new: (evidence.new_answers(), 0),
         old: (evidence.answers() - evidence.new_answers(), 0),
     };
-    open.unwrap_or(nothing_new)
+    open.unwrap_or(overall)
 }
 
 // Bad and total answers of both versions.
@@ -113,16 +113,16 @@
 
 fn share_of(route: &RouteEvidence, count: impl Fn(&Counts) -> (u64, u64)) -> Share {
     let (old, old_bad) = count(&route.old);
-    let of_each: Vec<(u64, u64)> = route.new.values().map(count).collect();
-    let answering = of_each.iter().filter(|(all, _)| *all > 0).count();
+    let by_endpoint: Vec<(u64, u64)> = route.new.values().map(count).collect();
+    let answering = by_endpoint.iter().filter(|(all, _)| *all > 0).count();
     let is_worst_excluded = answering >= MIN_ENDPOINTS_FOR_EXCLUSION;
-    let worst = of_each.iter().copied().max_by_key(|(_, bad)| *bad);
+    let worst = by_endpoint.iter().copied().max_by_key(|(_, bad)| *bad);
     let excluded = worst.filter(|_| is_worst_excluded).unwrap_or_default();
     Share {
         old,
         old_bad,
-        new: of_each.iter().map(|(all, _)| all).sum::<u64>() - excluded.0,
-        new_bad: of_each.iter().map(|(_, bad)| bad).sum::<u64>() - excluded.1,
+        new: by_endpoint.iter().map(|(all, _)| all).sum::<u64>() - excluded.0,
+        new_bad: by_endpoint.iter().map(|(_, bad)| bad).sum::<u64>() - excluded.1,
         is_worst_excluded,
     }
 }
--- a/components/rollout/src/version_selector.rs
+++ b/components/rollout/src/version_selector.rs
@@ -97,8 +97,8 @@
     /// The current stage; `None` if none is known or the last one has expired. A decision does not expire.
     pub fn stage(&self, now: Duration) -> Option<Stage> {
         let (stage, at) = self.stage?;
-        let holds = stage.decision().is_some() || now < at + STAGE_LIFETIME;
-        holds.then_some(stage)
+        let is_valid = stage.decision().is_some() || now < at + STAGE_LIFETIME;
+        is_valid.then_some(stage)
     }
 
     /// The decision, once this gateway knows it.
@@ -119,7 +119,7 @@
         let Some(stage) = self.stage(now) else {
             return old();
         };
-        let is_drawn = !request.is_repeat
+        let is_sampled = !request.is_repeat
             && chance < allowance.fraction * self.route_weight(request.route)
             && self.has_exposure_left(allowance, SAMPLE_BUDGET_PART);
         match stage {
@@ -127,8 +127,8 @@
             Stage::Decided(Decision::Reverted) => old(),
             _ if !self.has_exposure_left(allowance, SWITCH_BUDGET_PART) => old(),
             Stage::SwitchAll => new(),
-            Stage::SwitchLong if request.runs_long || is_drawn => new(),
-            Stage::Sample if is_drawn => new(),
+            Stage::SwitchLong if request.runs_long || is_sampled => new(),
+            Stage::Sample if is_sampled => new(),
             Stage::Sample | Stage::SwitchLong => old(),
         }
     }
@@ -143,8 +143,8 @@
     // Each gateway stays within its own part, so the total stays within the limit without communication.
     fn has_exposure_left(&self, allowance: Allowance, part: f64) -> bool {
         let extra = allowance.extra / allowance.placing_gateways.max(1) as f64;
-        let most = allowance.fraction * self.placed as f64 + extra;
-        (self.placed_new + 1) as f64 <= most * part
+        let limit = allowance.fraction * self.placed as f64 + extra;
+        (self.placed_new + 1) as f64 <= limit * part
     }
 
     // Sampling factor of a route: routes with few placements get more, since each route needs the same number of
--- a/components/rollout/tests/guarantees.rs
+++ b/components/rollout/tests/guarantees.rs
@@ -42,8 +42,8 @@
 fn a_bad_version_never_gets_more_requests_than_the_exposure_limit() {
     for fault in FAULTS {
         for (simulation, outcome) in outcomes(fault) {
-            let most = EXPOSURE_LIMIT.fraction * outcome.requests as f64 + EXPOSURE_LIMIT.extra;
-            assert!(outcome.to_new as f64 <= most, "{simulation:?} {outcome:?}");
+            let limit = EXPOSURE_LIMIT.fraction * outcome.requests as f64 + EXPOSURE_LIMIT.extra;
+            assert!(outcome.to_new as f64 <= limit, "{simulation:?} {outcome:?}");
         }
     }
 }
