--- a/components/directory/src/explanation.rs
+++ b/components/directory/src/explanation.rs
@@ -1,4 +1,4 @@
-//! Which way a request takes, for operators who read their routes.
+//! Explains to operators how requests are routed.
 
 use std::collections::BTreeMap;
 use std::fmt;
@@ -7,79 +7,86 @@
 use crate::endpoint::Endpoint;
 use crate::lookup::Directory;
 
-/// The way that requests for a host and path take.
+/// How requests for a host and path are routed.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Explanation {
-    /// Version of the configuration.
+    /// Configuration version.
     pub version: u64,
-    /// The route, or why there is none.
-    pub outcome: Result<Way, NoWay>,
-    /// Region by data hall, as far as it is known.
+    /// The matching route, or why there is none.
+    pub outcome: Result<RouteExplanation, NoRouteReason>,
+    /// Region by data hall, as far as known; filled in by the caller.
     pub regions: BTreeMap<String, String>,
 }
 
-/// A route and what stands behind it.
+/// A route with its services and their endpoints.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Way {
-    /// The route: of those that fit, the one with the longest prefix.
+pub struct RouteExplanation {
+    /// The matching route with the longest prefix.
     pub route: Route,
-    /// Names and prefixes of the other routes that fit, the longest first.
-    pub passed_over: Vec<String>,
+    /// Names and prefixes of the other matching routes, longest prefix first.
+    pub shorter_matches: Vec<String>,
     /// Whether a request needs a key.
     pub needs_key: bool,
-    /// Its services, in the order of the route.
+    /// The route's services, in its order.
     pub services: Vec<ServiceShare>,
 }
 
 /// One service of a route.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ServiceShare {
-    /// Its name.
+    /// Name of the service.
     pub name: String,
-    /// Part of the requests that goes there, in thousandths.
-    pub milli: u64,
-    /// Ready endpoints by data hall.
+    /// Share of the requests that the service gets, in thousandths.
+    pub share_milli: u64,
+    /// Number of ready endpoints by data hall.
     pub ready: BTreeMap<String, usize>,
 }
 
-/// Why a request finds no route.
+/// Why no route matches a request.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum NoWay {
-    /// No route names the host.
+pub enum NoRouteReason {
+    /// No route serves the host.
     UnknownHost,
-    /// Prefixes of the host's routes, none of which begins the path.
+    /// The path begins with none of these prefixes of the host's routes.
     NoPrefix(Vec<String>),
 }
 
 impl Directory {
-    /// Explains the way of requests for a host and path, given all endpoints.
+    /// Explains how requests for a host and path are routed. `endpoints` holds all known endpoints.
     pub fn explain(&self, host: &str, path: &str, endpoints: &[Endpoint]) -> Explanation {
         Explanation {
             version: self.configuration().version,
-            outcome: self.way(host, path, endpoints),
+            outcome: self.explain_route(host, path, endpoints),
             regions: BTreeMap::new(),
         }
     }
 
-    fn way(&self, host: &str, path: &str, endpoints: &[Endpoint]) -> Result<Way, NoWay> {
-        let routes = self.routes_of(host).ok_or(NoWay::UnknownHost)?;
-        let mut fitting = routes
+    fn explain_route(
+        &self,
+        host: &str,
+        path: &str,
+        endpoints: &[Endpoint],
+    ) -> Result<RouteExplanation, NoRouteReason> {
+        let routes = self
+            .routes_for_host(host)
+            .ok_or(NoRouteReason::UnknownHost)?;
+        let mut matching = routes
             .iter()
             .filter(|route| path.starts_with(&route.prefix));
-        let Some(route) = fitting.next() else {
+        let Some(route) = matching.next() else {
             let prefixes = routes.iter().map(|route| route.prefix.clone());
-            return Err(NoWay::NoPrefix(prefixes.collect()));
+            return Err(NoRouteReason::NoPrefix(prefixes.collect()));
         };
-        let passed_over = fitting.map(|route| format!("{} {}", route.name, route.prefix));
+        let shorter_matches = matching.map(|route| format!("{} {}", route.name, route.prefix));
         let total: u64 = route.split.iter().map(|s| u64::from(s.weight)).sum();
         let services = route.split.iter().map(|share| ServiceShare {
             name: share.service.clone(),
-            milli: u64::from(share.weight) * 1000 / total.max(1),
+            share_milli: u64::from(share.weight) * 1000 / total.max(1),
             ready: ready_by_hall(&share.service, endpoints),
         });
-        Ok(Way {
+        Ok(RouteExplanation {
             route: (*route).clone(),
-            passed_over: passed_over.collect(),
+            shorter_matches: shorter_matches.collect(),
             needs_key: self.needs_key(route),
             services: services.collect(),
         })
@@ -99,9 +106,9 @@
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         writeln!(f, "configuration version {}", self.version)?;
         match &self.outcome {
-            Ok(way) => way.show(f, &self.regions),
-            Err(NoWay::UnknownHost) => writeln!(f, "no route: no route names this host"),
-            Err(NoWay::NoPrefix(prefixes)) => {
+            Ok(route) => route.fmt_lines(f, &self.regions),
+            Err(NoRouteReason::UnknownHost) => writeln!(f, "no route: no route names this host"),
+            Err(NoRouteReason::NoPrefix(prefixes)) => {
                 writeln!(f, "no route: none of these prefixes begins the path")?;
                 prefixes.iter().try_for_each(|p| writeln!(f, "  {p}"))
             }
@@ -109,15 +116,19 @@
     }
 }
 
-impl Way {
-    fn show(&self, f: &mut fmt::Formatter<'_>, regions: &BTreeMap<String, String>) -> fmt::Result {
+impl RouteExplanation {
+    fn fmt_lines(
+        &self,
+        f: &mut fmt::Formatter<'_>,
+        regions: &BTreeMap<String, String>,
+    ) -> fmt::Result {
         let route = &self.route;
         writeln!(
             f,
             "route {}: host {}, prefix {}",
             route.name, route.host, route.prefix
         )?;
-        for other in &self.passed_over {
+        for other in &self.shorter_matches {
             writeln!(f, "  fits too, with a shorter prefix: {other}")?;
         }
         let key = if self.needs_key {
@@ -147,7 +158,7 @@
             writeln!(
                 f,
                 "service {}: {} of 1000 requests, {total} endpoints ready",
-                service.name, service.milli
+                service.name, service.share_milli
             )?;
             for (hall, count) in &service.ready {
                 match regions.get(hall) {
--- a/components/directory/src/lib.rs
+++ b/components/directory/src/lib.rs
@@ -1,17 +1,17 @@
-//! What a gateway knows of routes, services, tenants and endpoints, and how fresh that is.
+//! Typed configuration (routes, services, tenants) and endpoints of a gateway, route lookup, and the age of store answers.
 //!
-//! Pure: rows come in as typed values, time as durations on the gateway's monotonic clock.
+//! The crate does no I/O: rows are passed in as typed values, and time as durations on the gateway's monotonic clock.
 
-mod clock;
 mod configuration;
 mod endpoint;
 mod explanation;
 mod lookup;
+mod store_clock;
 
-pub use clock::StoreClock;
 pub use configuration::{
     CallerBounds, Configuration, Engine, Execution, Quota, Route, Scaling, Service, Share, Tenant,
 };
 pub use endpoint::{Endpoint, EndpointState};
-pub use explanation::{Explanation, NoWay, ServiceShare, Way};
+pub use explanation::{Explanation, NoRouteReason, RouteExplanation, ServiceShare};
 pub use lookup::{Directory, Lookup};
+pub use store_clock::StoreClock;
--- a/components/memory/src/lib.rs
+++ b/components/memory/src/lib.rs
@@ -1,18 +1,18 @@
-//! What a process holds for callers and endpoints, in bytes, against the memory of its VM.
+//! Accounting of the bytes that a process holds for callers and endpoints, against the memory of its VM.
 //!
-//! Bytes are reserved before they are read and given back when what holds them is dropped. Nothing here reads a clock or a
-//! socket; times are passed in.
+//! Bytes are reserved before they are read, and released when their reservation is dropped. The crate reads no clock and
+//! does no I/O; times are passed in.
 
+mod accept_gate;
+mod body_wait;
 mod budget;
+mod eviction;
 mod ledger;
-mod patience;
-mod pause;
-mod rate;
-mod slowest;
+mod release_rate;
 
-pub use budget::{Budget, Tables};
-pub use ledger::{Account, Hold, Kind, Ledger};
-pub use patience::body_patience;
-pub use pause::{PauseGate, Turn};
-pub use rate::ReleaseRate;
-pub use slowest::{slowest, Delivery, Terms};
+pub use accept_gate::{AcceptChange, AcceptGate};
+pub use body_wait::max_body_wait;
+pub use budget::{Budget, TableSizes};
+pub use eviction::{eviction_candidate, Delivery, EndpointTimeouts};
+pub use ledger::{Account, Kind, Ledger, Reservation};
+pub use release_rate::ReleaseRate;
--- a/components/rollout/src/lib.rs
+++ b/components/rollout/src/lib.rs
@@ -1,17 +1,18 @@
-//! Moving the requests of a service to endpoints of another version.
+//! Roll-outs: moving the requests of a service to endpoints of another version.
 //!
-//! The operator orders a version and a time. Whoever holds the lease judges the version by what its endpoints
-//! answer beside the old ones and decides once: completed or reverted. Until then every gateway that places
-//! requests lets a small, counted part of them through. Pure: times, answers and chance come in as values.
+//! The operator orders a version and a time limit. The lease holder compares the answers of the new version with
+//! those of the old one and decides once: completed or reverted. Until then, each gateway that places requests sends
+//! a limited part of them to the new version as a canary. The crate does no I/O: times, answers and random numbers
+//! are passed in.
 
+mod controller;
 mod evidence;
-mod gate;
+mod judgement;
 mod order;
-mod plan;
-mod verdict;
+mod version_selector;
 
+pub use controller::{ExposureLimit, Progress, RolloutController, Step};
 pub use evidence::{Answer, Counts, Evidence, Histogram, RouteEvidence, Side};
-pub use gate::{Allowance, Gate, Lane, Request};
+pub use judgement::{judge, Finding, Judgement};
 pub use order::{Decision, Order, Stage};
-pub use plan::{Plan, Progress, Step, Terms};
-pub use verdict::{judge, Finding, Judgement};
+pub use version_selector::{Allowance, Request, VersionFilter, VersionSelector};
