--- a/components/gateway/src/admission.rs
+++ b/components/gateway/src/admission.rs
@@ -11,7 +11,7 @@
 
 use crate::answer::Refusal;
 use crate::caller::Caller;
-use crate::freshness::Ages;
+use crate::freshness::MaxAges;
 use crate::held::{Gathered, KeptBody};
 use crate::job::{Job, ROUTE_RANKS};
 use crate::ports::CallerHead;
@@ -35,7 +35,7 @@
         let now = self.clock.now();
         let mut state = self.state.borrow_mut();
         let directory = state.directory.clone().ok_or_else(unconfirmed)?;
-        let ages = Ages::of(&state.settings);
+        let ages = MaxAges::of(&state.settings);
         let (route, tenant) = match look_up(&directory, &parts, &head) {
             Lookup::Allowed { route, tenant } => (route, tenant),
             _ if !self.freshness.is_confirmed(now, ages.denials) => return Err(unconfirmed()),
--- a/components/gateway/src/attempt.rs
+++ b/components/gateway/src/attempt.rs
@@ -159,7 +159,7 @@
     ) -> Attempted<D> {
         let mut run = Run {
             traffic: Rc::clone(self),
-            ticket: self.note_sent(job, placement),
+            ticket: self.record_sent(job, placement),
             connection: None,
             reserved: false,
             answered: false,
@@ -173,8 +173,9 @@
         }
         // Opening a connection takes a while, in which the VM may be frozen or suspended, and the endpoint say that it wants
         // nothing more, or name a limit.
-        let is_wanted = self.is_wanted(placement) && self.is_granted(placement, sending.grant);
-        if !self.may_still_send(job) || !is_wanted {
+        let can_send =
+            self.is_accepting_requests(placement) && self.is_granted(placement, sending.grant);
+        if !self.may_still_send(job) || !can_send {
             run.judge(HealthSignal::Inconclusive);
             return Attempted::NotSent;
         }
@@ -198,7 +199,7 @@
         run.answered = true;
         let (head, body) = answer.into_parts();
         let read = self.dialect.read_answer(head.status, &head.headers);
-        self.hear(job, placement, run.sent_at, head.status, &read);
+        self.apply_answer_head(job, placement, run.sent_at, head.status, &read);
         if read.id.as_deref() != Some(job.head.id.as_str()) {
             run.judge(HealthSignal::Faulty);
             return Attempted::Lost("the endpoint answered another request");
@@ -264,7 +265,7 @@
         body: Incoming,
     ) -> Attempted<D> {
         let ran_for = self.clock.now().saturating_sub(run.sent_at);
-        self.note_begun(job, ran_for);
+        self.record_begun(job, ran_for);
         let hold = job.caller.account.hold(Kind::Whole);
         let gathered = self.room.gather(body, hold, MAX_WHOLE_ANSWER, None).await;
         let Ok(body) = gathered else {
@@ -315,7 +316,7 @@
         match events.next().await {
             NextEvent::Event(first) => {
                 events.run.first_token();
-                self.note_begun(job, Duration::ZERO);
+                self.record_begun(job, Duration::ZERO);
                 strip_hop_fields(&mut head.headers);
                 Attempted::Answered(Reply::Events {
                     head,
--- a/components/gateway/src/attempts.rs
+++ b/components/gateway/src/attempts.rs
@@ -9,9 +9,9 @@
 use crate::admission::unconfirmed;
 use crate::answer::Refusal;
 use crate::attempt::{Attempted, Reply, Sending};
-use crate::freshness::Ages;
+use crate::freshness::MaxAges;
 use crate::job::{Job, Progress, SharedJob};
-use crate::placing::Nowhere;
+use crate::placing::NoPlacement;
 use crate::ports::Dialect;
 use crate::traffic::Traffic;
 
@@ -35,9 +35,9 @@
         loop {
             let placement = match placed.take() {
                 Some(placement) => placement,
-                None => match self.find(job, progress).await {
+                None => match self.find_endpoint(job, progress).await {
                     Ok(placement) => placement,
-                    Err(nowhere) => return Err(refused(progress, nowhere)),
+                    Err(no_placement) => return Err(refused(progress, no_placement)),
                 },
             };
             // Word of it may have come meanwhile.
@@ -47,15 +47,15 @@
             if let Some(refusal) = self.overtaken(job, progress) {
                 return Err(refusal);
             }
-            if !self.is_wanted(&placement) {
+            if !self.is_accepting_requests(&placement) {
                 // A coordinator that names it again has no other one.
                 if progress.tried.contains(&placement.endpoint) {
-                    return Err(refused(progress, Nowhere::NO_ENDPOINT));
+                    return Err(refused(progress, NoPlacement::NO_ENDPOINT));
                 }
                 progress.tried.push(placement.endpoint);
                 continue;
             }
-            let Some(grant) = self.grant(job, progress, &placement).await else {
+            let Some(grant) = self.obtain_grant(job, progress, &placement).await else {
                 continue;
             };
             sending.grant = grant;
@@ -71,7 +71,7 @@
                     progress.sent -= 1;
                     unsent += 1;
                     if unsent >= MOST_UNSENT || self.clock.now() >= job.expiry {
-                        return Err(refused(progress, Nowhere::NO_ENDPOINT));
+                        return Err(refused(progress, NoPlacement::NO_ENDPOINT));
                     }
                     continue;
                 }
@@ -116,7 +116,7 @@
     /// Whether a job's time is not over and its key may be used now. Looked at last before it is sent.
     pub fn may_still_send(&self, job: &Job) -> bool {
         let now = self.clock.now();
-        let ages = Ages::of(&self.state.borrow().settings);
+        let ages = MaxAges::of(&self.state.borrow().settings);
         let may_use_key = !job.needs_key || self.freshness.allows_keys(now, ages.keys);
         now < job.expiry && may_use_key
     }
@@ -128,7 +128,7 @@
             && progress.sent < job.route.max_attempts
             && self.clock.now() < job.expiry
             && self.may_go_on(job)
-            && self.may_repeat(&job.work.service)
+            && self.try_spend_retry(&job.work.service)
     }
 
     // A repeatable request with another attempt left does not wait for its deadline.
@@ -147,18 +147,19 @@
             (true, true) => Refusal::maybe_run(Kind::DeadlinePassed, cause.unwrap_or("late")),
             (true, false) => Refusal::maybe_run(Kind::EndpointFailed, cause.unwrap_or("lost")),
             (false, _) => {
-                let pause = self.pause_left(job, progress);
+                let pause = self.remaining_pause(job, progress);
                 let service = &job.work.service;
-                let wait = pause.map_or(NO_ROOM_RETRY, |left| self.paused_for(service, left).wait);
+                let wait =
+                    pause.map_or(NO_ROOM_RETRY, |left| self.pause_refusal(service, left).wait);
                 Refusal::not_run(Kind::Overloaded, "the endpoint has no room").after(wait)
             }
         }
     }
 }
 
-fn refused(progress: &Progress, nowhere: Nowhere) -> Refusal {
+fn refused(progress: &Progress, no_placement: NoPlacement) -> Refusal {
     match progress.maybe_run {
         true => Refusal::maybe_run(Kind::EndpointFailed, "no other endpoint takes work"),
-        false => Refusal::not_run(Kind::NoEndpoint, nowhere.cause).after(nowhere.wait),
+        false => Refusal::not_run(Kind::NoEndpoint, no_placement.cause).after(no_placement.wait),
     }
 }
--- a/components/gateway/src/clock.rs
+++ b/components/gateway/src/clock.rs
@@ -12,37 +12,37 @@
 use tokio::sync::Notify;
 
 /// A shorter stand of the steady clock is no suspension: the two clocks are read one after the other.
-const SHORTEST_SUSPENSION: Duration = Duration::from_millis(50);
+const MIN_SUSPENSION: Duration = Duration::from_millis(50);
 
 // Suspensions are the VM's, so all gateways of a process share them.
-static WOKE: Notify = Notify::const_new();
+static RESUMED: Notify = Notify::const_new();
 
 /// A wait that ended by its time.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Late;
+pub struct Elapsed;
 
 /// The clock of a process that counts suspensions, from its start, and the wall clock.
 #[derive(Clone, Copy, Debug)]
 pub struct Clock {
     start: Duration,
-    steady_start: Instant,
+    monotonic_start: Instant,
     suspended_ms: Option<&'static AtomicU64>,
     // Between this clock and the time of day that is believed, in microseconds.
-    day_us: &'static AtomicI64,
+    wall_offset_us: &'static AtomicI64,
 }
 
 impl Clock {
     /// A clock that starts now.
     pub fn start() -> Self {
         // One for a process; all its threads read it.
-        let day_us: &'static AtomicI64 = Box::leak(Box::default());
+        let wall_offset_us: &'static AtomicI64 = Box::leak(Box::default());
         let clock = Clock {
             start: since_boot(),
-            steady_start: Instant::now(),
+            monotonic_start: Instant::now(),
             suspended_ms: None,
-            day_us,
+            wall_offset_us,
         };
-        clock.believe_day(clock.day_reading_us());
+        clock.set_wall_offset(clock.read_wall_offset_us());
         clock
     }
 
@@ -63,14 +63,14 @@
     /// Waits until a time since the start has come.
     pub async fn sleep_until(&self, at: Duration) {
         loop {
-            let woke = WOKE.notified();
+            let resumed = RESUMED.notified();
             let left = at.saturating_sub(self.now());
             if left.is_zero() {
                 return;
             }
             tokio::select! {
                 () = tokio::time::sleep(left) => {}
-                () = woke => {}
+                () = resumed => {}
             }
         }
     }
@@ -80,32 +80,32 @@
         &self,
         at: Duration,
         awaited: impl Future<Output = T>,
-    ) -> Result<T, Late> {
+    ) -> Result<T, Elapsed> {
         tokio::select! {
             biased;
             output = awaited => Ok(output),
-            () = self.sleep_until(at) => Err(Late),
+            () = self.sleep_until(at) => Err(Elapsed),
         }
     }
 
     /// Time of day since 1970 as it is believed: this clock and an offset, which a clock of the day that jumps doesn't change
-    /// ([`crate::Day`]).
-    pub fn wall(&self) -> Duration {
+    /// ([`crate::WallClockEstimate`]).
+    pub fn wall_time(&self) -> Duration {
         let now_us = self.now().as_micros() as i64;
-        let day_us = self.day_us.load(Ordering::Relaxed);
-        Duration::from_micros(now_us.saturating_add(day_us).max(0) as u64)
+        let wall_offset_us = self.wall_offset_us.load(Ordering::Relaxed);
+        Duration::from_micros(now_us.saturating_add(wall_offset_us).max(0) as u64)
     }
 
     /// What the VM's clock of the day shows now, as an offset from this clock in microseconds.
-    pub fn day_reading_us(&self) -> i64 {
-        let day = SystemTime::now().duration_since(UNIX_EPOCH);
-        let day_us = day.unwrap_or_default().as_micros() as i64;
-        day_us - self.now().as_micros() as i64
+    pub fn read_wall_offset_us(&self) -> i64 {
+        let wall = SystemTime::now().duration_since(UNIX_EPOCH);
+        let wall_us = wall.unwrap_or_default().as_micros() as i64;
+        wall_us - self.now().as_micros() as i64
     }
 
-    /// Sets the offset that [`Clock::wall`] takes.
-    pub fn believe_day(&self, offset_us: i64) {
-        self.day_us.store(offset_us, Ordering::Relaxed);
+    /// Sets the offset that [`Clock::wall_time`] takes.
+    pub fn set_wall_offset(&self, offset_us: i64) {
+        self.wall_offset_us.store(offset_us, Ordering::Relaxed);
     }
 }
 
@@ -118,29 +118,29 @@
 
 /// Notices suspensions.
 #[derive(Debug)]
-pub(crate) struct Suspensions {
+pub(crate) struct SuspensionDetector {
     clock: Clock,
     counted: Duration,
 }
 
-impl Suspensions {
+impl SuspensionDetector {
     pub fn new(clock: Clock) -> Self {
-        Suspensions {
+        SuspensionDetector {
             clock,
             counted: Duration::ZERO,
         }
     }
 
     /// For how long the VM was suspended since the last look; then waits look at the clock again.
-    pub fn look(&mut self) -> Option<Duration> {
-        let steady = self.clock.steady_start.elapsed();
-        let suspended = self.clock.now().saturating_sub(steady);
+    pub fn poll(&mut self) -> Option<Duration> {
+        let monotonic = self.clock.monotonic_start.elapsed();
+        let suspended = self.clock.now().saturating_sub(monotonic);
         let new = suspended.saturating_sub(self.counted);
-        if new < SHORTEST_SUSPENSION {
+        if new < MIN_SUSPENSION {
             return None;
         }
         self.counted = suspended;
-        WOKE.notify_waiters();
+        RESUMED.notify_waiters();
         Some(new)
     }
 }
--- a/components/gateway/src/connecting.rs
+++ b/components/gateway/src/connecting.rs
@@ -63,7 +63,7 @@
 
     fn reserve(&self, job: &Job, placement: &Placement, sending: Sending) -> Reserved {
         let now = self.clock.now();
-        let most = self.most_connections(job);
+        let most = self.max_endpoint_connections(job);
         let mut state = self.state.borrow_mut();
         if sending.after_silence {
             state.pool.forget(&placement.endpoint);
--- a/components/gateway/src/control.rs
+++ b/components/gateway/src/control.rs
@@ -39,7 +39,7 @@
 use usage::Source;
 
 use crate::alone::Alone;
-use crate::clock::{Clock, Suspensions};
+use crate::clock::{Clock, SuspensionDetector};
 pub use crate::control::deflated::{inflate, Encoded, LastDeflated};
 pub use crate::control::echoes::{round_trip, Echoes};
 pub(crate) use crate::control::known::Known;
@@ -122,9 +122,9 @@
         let settings = Arc::clone(&parts.settings);
         let source = Source {
             gateway: settings.name.clone(),
-            incarnation: parts.clock.wall().as_millis() as i64,
+            incarnation: parts.clock.wall_time().as_millis() as i64,
         };
-        let day_us = parts.clock.day_reading_us();
+        let day_us = parts.clock.read_wall_offset_us();
         let peers = parts.sockets.address;
         let listening = PeerAddresses {
             peers,
@@ -168,7 +168,7 @@
             urgent: Notify::new(),
             endpoint_lost: Notify::new(),
             store_answers: Notify::new(),
-            started_wall: parts.clock.wall(),
+            started_wall: parts.clock.wall_time(),
             known: RefCell::new(self.known),
             last_deflated: RefCell::default(),
             store: store(),
@@ -224,10 +224,10 @@
 impl<S: Store + 'static, O: Orders + 'static> Shared<S, O> {
     async fn tick(self: Rc<Self>, signals: Signals, read_settings: ReadSettings) {
         let mut looked_at = Duration::ZERO;
-        let mut suspensions = Suspensions::new(self.clock);
+        let mut suspensions = SuspensionDetector::new(self.clock);
         loop {
             tokio::time::sleep(TICK).await;
-            if let Some(time) = suspensions.look() {
+            if let Some(time) = suspensions.poll() {
                 self.note_suspension(time);
             }
             let now = self.clock.now();
@@ -249,12 +249,12 @@
 
     // Without this four windows of usage were missed on a day on which half of the clocks jumped (one run), with it none.
     fn look_at_day(&self, now: Duration) {
-        let reading_us = self.clock.day_reading_us();
-        let look = self.known.borrow_mut().day.look(now, reading_us);
-        self.clock.believe_day(look.believed_us);
+        let reading_us = self.clock.read_wall_offset_us();
+        let look = self.known.borrow_mut().day.observe_reading(now, reading_us);
+        self.clock.set_wall_offset(look.estimated_us);
         if let Some(jumped_us) = look.jumped_us {
             self.metrics.count(Counter::DayJumps);
-            let believed_ms = (reading_us - look.believed_us) / 1000;
+            let believed_ms = (reading_us - look.estimated_us) / 1000;
             warn!(self.log, "the clock of the day jumped"; "ms" => jumped_us / 1000,
                 "away_from_belief_ms" => believed_ms);
         }
--- a/components/gateway/src/control/accounts.rs
+++ b/components/gateway/src/control/accounts.rs
@@ -13,11 +13,11 @@
     /// A whole topic, or its part for one data hall, was read from the store.
     pub fn note_list(&self, topic: Topic, sent: Duration, list: &ReadList) {
         let took = self.clock.now().saturating_sub(sent);
-        self.metrics.add(Counter::StoreRepeats, list.repeats.into());
+        self.metrics.add(Counter::StoreRepeats, list.retries.into());
         info!(self.log, "topic read from the store"; "topic" => ?topic,
             "rows" => list.rows.rows.len(), "bytes" => list.rows.bytes,
             "revision" => list.rows.revision.number, "era" => self.store.era().newest,
-            "repeats" => list.repeats, "time_ms" => took.as_millis() as u64);
+            "repeats" => list.retries, "time_ms" => took.as_millis() as u64);
     }
 
     /// Bytes of rows that came from the store.
--- a/components/gateway/src/control/engines.rs
+++ b/components/gateway/src/control/engines.rs
@@ -38,7 +38,7 @@
 impl Known {
     /// What all gateways together saw of a service's engines, as far as it is known here.
     pub fn learnt_of(&self, service: &str) -> EngineStats {
-        let own = self.loads.get(service).map(|load| load.learnt);
+        let own = self.loads.get(service).map(|load| load.engine_stats);
         self.engines
             .reports
             .merged_with(own.unwrap_or_default(), service)
@@ -51,9 +51,9 @@
             return None;
         }
         let seen = self.loads.iter();
-        let seen = seen.filter(|(_, load)| load.learnt.steps.count > 0.0);
+        let seen = seen.filter(|(_, load)| load.engine_stats.steps.count > 0.0);
         let reports = seen.take(MOST_SERVICES);
-        let reports = reports.map(|(service, load)| report_of(service, &load.learnt));
+        let reports = reports.map(|(service, load)| report_of(service, &load.engine_stats));
         Some(reports.collect())
     }
 }
--- a/components/gateway/src/control/era.rs
+++ b/components/gateway/src/control/era.rs
@@ -25,7 +25,7 @@
             return;
         }
         let previous_era = std::mem::replace(&mut known.newest_era, era);
-        known.newest_era_seen_at = self.clock.wall();
+        known.newest_era_seen_at = self.clock.wall_time();
         match previous_era {
             Some(previous_era) => {
                 self.metrics.count(Counter::StoreRestored);
--- a/components/gateway/src/control/exchange.rs
+++ b/components/gateway/src/control/exchange.rs
@@ -294,7 +294,7 @@
         let is_far = known.topology.distance(hall) == Distance::OtherRegion;
         drop(known);
         if let Some((hall, round_trip)) = measured {
-            self.update(Update::WayMeasured { hall, round_trip });
+            self.update(Update::RoundTripMeasured { hall, round_trip });
         }
         self.act(actions);
         self.receive_rollouts(gossip);
@@ -303,15 +303,15 @@
             self.receive_digest(topic, reported, from, is_far);
         }
         if !dispatches.is_empty() {
-            self.update(Update::PeerSent(dispatches));
+            self.update(Update::PeerDispatches(dispatches));
         }
         if let Some(told) = &gossip.sights {
             let sights = told.iter().map(|told| received_sight(now, told));
-            self.update(Update::PeerSaw(sights.collect()));
+            self.update(Update::PeerSights(sights.collect()));
         }
         let limits = received_limits(now, gossip.limits.as_ref());
         if !limits.is_empty() {
-            self.update(Update::PeerHeardLimits(limits));
+            self.update(Update::PeerLimits(limits));
         }
         if !gossip.taken.is_empty() {
             self.update(Update::PeerTaken {
--- a/components/gateway/src/control/forwarding.rs
+++ b/components/gateway/src/control/forwarding.rs
@@ -46,7 +46,7 @@
         if !known.peers.coordinates(now) || known.lease.order_epoch(now).is_some() {
             return None;
         }
-        let windows = known.forwarding.due(self.clock.wall(), epoch);
+        let windows = known.forwarding.due(self.clock.wall_time(), epoch);
         if windows.is_empty() {
             return None;
         }
@@ -54,7 +54,7 @@
         info!(self.log, "usage passed on"; "windows" => ?windows, "sources" => reported.len(),
             "holder" => %holder, "epoch" => epoch);
         let mut messages = Vec::new();
-        for some in reported.chunks(gossip::MOST_FORWARDED) {
+        for some in reported.chunks(gossip::MAX_FORWARDED) {
             let mut message = self.message_of(&mut known, now, Content::Usage);
             message.forwarded = Some(some.iter().cloned().map(Box::new).collect());
             messages.push(schema::encode(&message).unwrap_or_default());
--- a/components/gateway/src/control/kept.rs
+++ b/components/gateway/src/control/kept.rs
@@ -87,7 +87,7 @@
             hall: None,
             after: None,
             limit: 1,
-            patience: READ_TIME,
+            response_timeout: READ_TIME,
         };
         match self.store.page(query).await {
             Ok(page) => {
--- a/components/gateway/src/control/known.rs
+++ b/components/gateway/src/control/known.rs
@@ -24,11 +24,11 @@
 use crate::control::rollouts::Rollouts;
 use crate::control::scaling::Demand;
 use crate::control::{Echoes, PASSED_ON};
-use crate::day::Day;
-use crate::limit_reports::UntoldLimits;
+use crate::day::WallClockEstimate;
+use crate::limit_reports::PendingLimits;
 use crate::peers::{Fleet, Listed, Peers};
 use crate::ports::{StoreEra, Topic};
-use crate::tally::{Sent, ServiceLoad};
+use crate::tally::{SentRequest, ServiceLoad};
 
 /// Key of the lease's row.
 const LEASE_KEY: &str = "duties";
@@ -68,11 +68,11 @@
     pub demand: Demand,
     pub loads: BTreeMap<String, ServiceLoad>,
     pub taken: BTreeMap<String, u64>,
-    pub unsent: Vec<Sent>,
+    pub unsent: Vec<SentRequest>,
     /// What answers showed that the other coordinators were not told yet.
     pub sights: Vec<Sight>,
     /// Limits of endpoints that the other coordinators were not told yet.
-    pub limits: UntoldLimits,
+    pub limits: PendingLimits,
     pub sending: SendState,
     // Only kept where there are several regions.
     pub echoes: Option<Echoes>,
@@ -90,7 +90,7 @@
     pub quarantine: Quarantine,
     pub observations: ObservationQueue,
     /// What is believed of the time of day.
-    pub day: Day,
+    pub day: WallClockEstimate,
 }
 
 /// Where other gateways reach this one.
@@ -134,7 +134,7 @@
             taken: BTreeMap::new(),
             unsent: Vec::new(),
             sights: Vec::new(),
-            limits: UntoldLimits::default(),
+            limits: PendingLimits::default(),
             sending: SendState::default(),
             echoes,
             fleet: Fleet::default(),
@@ -145,7 +145,7 @@
             rollouts: Rollouts::default(),
             quarantine: Quarantine::default(),
             observations: ObservationQueue::default(),
-            day: Day::new(day_us),
+            day: WallClockEstimate::new(day_us),
         }
     }
 
--- a/components/gateway/src/control/lease.rs
+++ b/components/gateway/src/control/lease.rs
@@ -9,7 +9,7 @@
 use state::{LeaseAction, LeaseEvent, Reply, TableCall};
 
 use crate::control::{Known, Shared};
-use crate::listing::may_decide_unlisted;
+use crate::listing::can_decide_without_list;
 use crate::ports::{DutyHolder, OrderReply, Orders, ReadRow, Store, StoreError, Topic};
 
 /// Others look at the lease only if its holder was not heard for this long.
@@ -96,7 +96,9 @@
         let peers = &known.peers;
         let may_lead = match peers.coordinates(now) {
             // Until it has read who else runs, each of a fleet that starts at once takes itself for a coordinator.
-            true => peers.knows_own_hall() || may_decide_unlisted(now, known.list_refused, true),
+            true => {
+                peers.knows_own_hall() || can_decide_without_list(now, known.list_refused, true)
+            }
             false => !peers.has_live_coordinator(now),
         };
         let is_first = known.watches_store(now);
@@ -112,7 +114,7 @@
                 LeaseAction::Gained(epoch) => {
                     info!(self.log, "lease gained"; "epoch" => epoch);
                     let mut known = self.known.borrow_mut();
-                    known.lease_held_since = Some(self.clock.wall());
+                    known.lease_held_since = Some(self.clock.wall_time());
                     known.scalers.values_mut().for_each(Scaler::forget_orders);
                 }
                 LeaseAction::Lost => {
--- a/components/gateway/src/control/messages.rs
+++ b/components/gateway/src/control/messages.rs
@@ -13,7 +13,7 @@
 use crate::control::{Known, Shared};
 use crate::gossip;
 use crate::ports::{Orders, Store};
-use crate::sights::{sight_of, MOST_TOLD};
+use crate::sights::{sight_of, MAX_SIGHTS_PER_MESSAGE};
 
 /// Datagrams a second that a coordinator sends to others at most, when nothing is urgent.
 const DATAGRAMS_PER_S: f64 = 100.0;
@@ -185,7 +185,7 @@
         if !is_turn && !self.freshness.is_stopping() {
             return Vec::new();
         }
-        let newest = known.reporter.window_at(self.clock.wall());
+        let newest = known.reporter.window_at(self.clock.wall_time());
         let windows = newest - REPORTED_WINDOWS + 1..=newest;
         let usage = windows.map(|w| gossip::usage_of(w, known.ledger.counts_of(w, &self.source)));
         usage
@@ -248,7 +248,7 @@
         if !content.has_requests() {
             return Vec::new();
         }
-        let count = self.unsent.len().min(gossip::MOST_DISPATCHES);
+        let count = self.unsent.len().min(gossip::MAX_DISPATCHES);
         let dispatches = self.unsent.drain(..count);
         dispatches.map(|s| gossip::dispatch_of(now, &s)).collect()
     }
@@ -256,7 +256,7 @@
     /// Keeps what is to be told, the newest of it where nobody is told for long.
     pub fn keep_sights(&mut self, sights: Vec<Sight>) {
         self.sights.extend(sights);
-        let older = self.sights.len().saturating_sub(MOST_TOLD);
+        let older = self.sights.len().saturating_sub(MAX_SIGHTS_PER_MESSAGE);
         self.sights.drain(..older);
     }
 
--- a/components/gateway/src/control/need.rs
+++ b/components/gateway/src/control/need.rs
@@ -5,7 +5,7 @@
 use slog::info;
 
 use crate::control::{Known, Shared};
-use crate::listing::may_decide_unlisted;
+use crate::listing::can_decide_without_list;
 use crate::ports::{Orders, Store, Topic};
 use crate::update::Update;
 
@@ -25,7 +25,7 @@
     /// Follows the endpoints where requests are placed or endpoints ordered, and forgets them elsewhere.
     pub fn check_need(&self, known: &mut Known, now: Duration) {
         let may_decide = known.peers.knows_own_hall()
-            || may_decide_unlisted(now, known.list_refused, known.peers.hears_any(now));
+            || can_decide_without_list(now, known.list_refused, known.peers.hears_any(now));
         let decides = may_decide && known.speaks_for_others(now);
         if decides || self.has_lost_coordinators(known, now) {
             if known.endpoints_needed_at.replace(now).is_none() {
--- a/components/gateway/src/control/reporting.rs
+++ b/components/gateway/src/control/reporting.rs
@@ -26,7 +26,7 @@
         if self.holder().is_none() || !self.known.borrow().settings.reports_usage {
             return;
         }
-        let wall = self.clock.wall();
+        let wall = self.clock.wall_time();
         let step = {
             let mut known = self.known.borrow_mut();
             let oldest = known.reporter.oldest_window(wall);
--- a/components/gateway/src/control/rollouts.rs
+++ b/components/gateway/src/control/rollouts.rs
@@ -12,7 +12,7 @@
 use usage::Source;
 
 use crate::gossip;
-use crate::versions::Digest;
+use crate::versions::RolloutAnswer;
 
 /// Evidence is sent this often while it grows: a bad version is to be found within seconds.
 const EVIDENCE_PAUSE: Duration = Duration::from_millis(300);
@@ -182,7 +182,7 @@
     }
 
     /// Notes an answer that this gateway saw.
-    pub fn note(&mut self, reported: &Digest) {
+    pub fn note(&mut self, reported: &RolloutAnswer) {
         let ordered = self.orders.get_mut(&reported.service);
         if let Some(ordered) = ordered.filter(|o| o.order.revision == reported.revision) {
             let (route, side, endpoint) = (reported.route, reported.side, reported.endpoint);
--- a/components/gateway/src/cut.rs
+++ b/components/gateway/src/cut.rs
@@ -88,7 +88,7 @@
     }
 
     fn is_over(&self, placement: &Placement) -> bool {
-        self.state.borrow().board.has_restarted_since(placement)
+        self.state.borrow().balancer.has_restarted_since(placement)
     }
 }
 
@@ -125,7 +125,7 @@
 
     // Whether no connection can be made any more; `None` if none may be opened.
     async fn takes_no_connection(&self, job: &SharedJob, placement: &Placement) -> Option<bool> {
-        let most = self.most_connections(job);
+        let most = self.max_endpoint_connections(job);
         let endpoint = &placement.endpoint;
         let reserved = self.state.borrow_mut().pool.reserve(endpoint, most);
         reserved.ok()?;
@@ -147,11 +147,11 @@
     // Whether the endpoint said that it leaves, in an answer or in its record, or its record is gone: its end says nothing of
     // what it ran. Where endpoints aren't followed the record is not known.
     fn was_to_leave(&self, placement: &Placement) -> bool {
-        if self.said_it_leaves(placement) {
+        if self.has_announced_leaving(placement) {
             return true;
         }
         let state = self.state.borrow();
-        let known = state.board.endpoint(&placement.endpoint);
+        let known = state.balancer.endpoint(&placement.endpoint);
         state.endpoints_known && !known.is_some_and(|known| known.is_ready())
     }
 }
--- a/components/gateway/src/day.rs
+++ b/components/gateway/src/day.rs
@@ -8,17 +8,17 @@
 
 /// Readings this close are of one clock that goes on: it is corrected by less than that between two looks, and a window of
 /// usage may be off by 5% of its requests (windows last 5 s).
-const NEAR_US: u64 = 250_000;
+const MAX_DRIFT_US: u64 = 250_000;
 /// A clock that jumped and stays there for so long is believed by its gateway. Steps that somebody takes back last seconds.
-const JUMP_HELD: Duration = Duration::from_secs(120);
+const JUMP_CONFIRM_TIME: Duration = Duration::from_secs(120);
 /// Votes older than this don't count: some messages of each gateway that is alive.
-const VOTE_AGE: Duration = Duration::from_secs(3);
+const MAX_VOTE_AGE: Duration = Duration::from_secs(3);
 
 /// What a look at the clock of the day showed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct DayLook {
+pub struct WallClockReading {
     /// The offset that is believed.
-    pub believed_us: i64,
+    pub estimated_us: i64,
     /// By how much the own clock just jumped away from where it was.
     pub jumped_us: Option<i64>,
 }
@@ -37,17 +37,17 @@
 
 /// What a gateway believes of the time of day.
 #[derive(Clone, Debug)]
-pub struct Day {
+pub struct WallClockEstimate {
     // What this gateway votes for.
     own_us: i64,
     jump: Option<Jump>,
     votes: BTreeMap<String, Vote>,
 }
 
-impl Day {
+impl WallClockEstimate {
     /// Nothing is known but the own clock's first reading, which is believed until others are heard.
     pub fn new(offset_us: i64) -> Self {
-        Day {
+        WallClockEstimate {
             own_us: offset_us,
             jump: None,
             votes: BTreeMap::new(),
@@ -66,16 +66,16 @@
     }
 
     /// Takes a reading of the own clock.
-    pub fn look(&mut self, now: Duration, reading_us: i64) -> DayLook {
-        let jumped_us = self.read(now, reading_us);
-        self.votes.retain(|_, vote| now < vote.at + VOTE_AGE);
-        DayLook {
-            believed_us: self.median_us(),
+    pub fn observe_reading(&mut self, now: Duration, reading_us: i64) -> WallClockReading {
+        let jumped_us = self.update_own_vote(now, reading_us);
+        self.votes.retain(|_, vote| now < vote.at + MAX_VOTE_AGE);
+        WallClockReading {
+            estimated_us: self.median_us(),
             jumped_us,
         }
     }
 
-    fn read(&mut self, now: Duration, reading_us: i64) -> Option<i64> {
+    fn update_own_vote(&mut self, now: Duration, reading_us: i64) -> Option<i64> {
         if is_near(reading_us, self.own_us) {
             self.own_us = reading_us;
             self.jump = None;
@@ -89,7 +89,7 @@
             });
             return Some(reading_us.saturating_sub(self.own_us));
         };
-        if now >= jump.at + JUMP_HELD {
+        if now >= jump.at + JUMP_CONFIRM_TIME {
             self.own_us = reading_us;
             self.jump = None;
         }
@@ -107,5 +107,5 @@
 }
 
 fn is_near(one_us: i64, other_us: i64) -> bool {
-    one_us.abs_diff(other_us) <= NEAR_US
+    one_us.abs_diff(other_us) <= MAX_DRIFT_US
 }
--- a/components/gateway/src/decisions.rs
+++ b/components/gateway/src/decisions.rs
@@ -21,39 +21,39 @@
 use crate::replies::Replies;
 use crate::sights::slowdown_of;
 use crate::traffic::Traffic;
-use crate::versions::Asked;
+use crate::versions::RequestTraits;
 
 /// Largest datagram that is read, in bytes.
-const MAX_DATAGRAM: usize = 8192;
+const MAX_DATAGRAM_BYTES: usize = 8192;
 /// A reply is waited for this long: some hundred times the way within a hall (0.4 ms there and back), so that a
 /// slow processor is not taken for a lost datagram, and an eighth of the shortest target on the sheets (100 ms) is
 /// left for the next coordinator.
-pub(crate) const REPLY_TIME: Duration = Duration::from_millis(40);
+pub(crate) const REPLY_TIMEOUT: Duration = Duration::from_millis(40);
 /// The same for a coordinator of another region: twice the first guess of the way there and back (60 ms) beside it.
-pub(crate) const FAR_REPLY_TIME: Duration = Duration::from_millis(160);
+pub(crate) const OTHER_REGION_REPLY_TIMEOUT: Duration = Duration::from_millis(160);
 /// A coordinator that did not reply is asked last for this long: as long as it would be heard if it died.
-const PASSED_OVER_FOR: Duration = Duration::from_millis(1500);
+const UNRESPONSIVE_TIME: Duration = Duration::from_millis(1500);
 /// Pause before coordinators that have just begun are asked again.
-const STARTING_LOOK: Duration = Duration::from_millis(50);
+const STARTING_RETRY_DELAY: Duration = Duration::from_millis(50);
 /// Endpoints that want nothing from the asking gateway, as one query names them: 10 bytes each, so that it stays one small
 /// datagram. The gateway looks again before it sends.
-const MOST_CLOSED: usize = 48;
+const MAX_CLOSED: usize = 48;
 /// Coordinators asked about one request: the three of the own hall and two of others.
-const MOST_ASKED: usize = 5;
+const MAX_COORDINATORS_ASKED: usize = 5;
 
 /// What was asked for and not answered yet.
 #[derive(Debug, Default)]
-pub(crate) struct Asking {
+pub(crate) struct DecisionQueries {
     socket: RefCell<Option<Rc<UdpSocket>>>,
     replies: Replies<DecisionReply>,
-    passed_over: RefCell<BTreeMap<SocketAddr, Duration>>,
+    unresponsive_until: RefCell<BTreeMap<SocketAddr, Duration>>,
 }
 
 /// What a coordinator decided.
 #[derive(Clone, Debug)]
-pub(crate) struct Decided {
+pub(crate) struct CoordinatorDecision {
     /// The coordinator.
-    pub by: SocketAddr,
+    pub coordinator: SocketAddr,
     /// Where the request goes, or why it goes nowhere.
     pub outcome: Outcome,
 }
@@ -64,7 +64,7 @@
     /// To an endpoint.
     Placed(Placement),
     /// No endpoint takes work.
-    Nowhere,
+    NoEndpoint,
     /// Only another region could take it, and the link there has no room for so long.
     LinkFull(Duration),
     /// The team's limit is used up for so long.
@@ -73,54 +73,69 @@
     Starting,
 }
 
-impl Asking {
+impl DecisionQueries {
     // The coordinators in the order in which they are asked: those that did not reply come last.
-    fn order(&self, now: Duration, fleet: &Fleet) -> Vec<SocketAddr> {
-        let mut passed_over = self.passed_over.borrow_mut();
-        passed_over.retain(|_, until| now < *until);
-        let mut order = [fleet.coordinators.as_slice(), &fleet.others].concat();
-        order.sort_by_key(|address| passed_over.contains_key(address));
-        order.truncate(MOST_ASKED);
-        order
+    fn query_order(&self, now: Duration, fleet: &Fleet) -> Vec<SocketAddr> {
+        let mut unresponsive_until = self.unresponsive_until.borrow_mut();
+        unresponsive_until.retain(|_, until| now < *until);
+        let mut query_order = [fleet.coordinators.as_slice(), &fleet.others].concat();
+        query_order.sort_by_key(|address| unresponsive_until.contains_key(address));
+        query_order.truncate(MAX_COORDINATORS_ASKED);
+        query_order
     }
 
-    fn pass_over(&self, now: Duration, coordinator: SocketAddr) {
-        let mut passed_over = self.passed_over.borrow_mut();
-        passed_over.insert(coordinator, now + PASSED_OVER_FOR);
+    fn mark_unresponsive(&self, now: Duration, coordinator: SocketAddr) {
+        let mut unresponsive_until = self.unresponsive_until.borrow_mut();
+        unresponsive_until.insert(coordinator, now + UNRESPONSIVE_TIME);
     }
 }
 
 impl<D> Traffic<D> {
     /// Asks a coordinator about a request; `None` if there is none or none replies. `charged` says whether its
     /// team was charged for it before.
-    pub async fn ask(&self, job: &Job, tried: &[String], charged: bool) -> Option<Decided> {
-        let order = {
+    pub async fn request_decision(
+        &self,
+        job: &Job,
+        tried: &[String],
+        charged: bool,
+    ) -> Option<CoordinatorDecision> {
+        let query_order = {
             let state = self.state.borrow();
             if state.fleet.decides {
                 return None;
             }
-            self.asking.order(self.clock.now(), &state.fleet)
+            self.decision_queries
+                .query_order(self.clock.now(), &state.fleet)
         };
         let mut starting = None;
-        for by in order {
+        for coordinator in query_order {
             let query = self.query(job, tried, charged);
-            if let Some(reply) = self.send_query(by, query).await {
+            if let Some(reply) = self.send_query(coordinator, query).await {
                 // One that has just begun is there, and is no reason to read all endpoints here.
                 self.alone.decided(self.clock.now());
-                self.take_placed_limit(&reply);
+                self.record_placed_limit(&reply);
                 match outcome_of(&reply)? {
-                    Outcome::Starting => starting = Some(by),
-                    outcome => return Some(Decided { by, outcome }),
+                    Outcome::Starting => starting = Some(coordinator),
+                    outcome => {
+                        return Some(CoordinatorDecision {
+                            coordinator,
+                            outcome,
+                        })
+                    }
                 }
                 continue;
             }
-            self.asking.pass_over(self.clock.now(), by);
+            self.decision_queries
+                .mark_unresponsive(self.clock.now(), coordinator);
             self.metrics.count(Counter::PacketsDropped);
-            info!(self.log, "no decision"; "id" => &job.head.id, "coordinator" => %by);
+            info!(self.log, "no decision"; "id" => &job.head.id, "coordinator" => %coordinator);
         }
-        if let Some(by) = starting {
+        if let Some(coordinator) = starting {
             let outcome = Outcome::Starting;
-            return Some(Decided { by, outcome });
+            return Some(CoordinatorDecision {
+                coordinator,
+                outcome,
+            });
         }
         self.alone.undecided(self.clock.now());
         None
@@ -128,26 +143,28 @@
 
     /// The same, once a coordinator knows enough; they are asked again until then, for as long as a request waits for an
     /// endpoint.
-    pub async fn ask_patiently(
+    pub async fn request_decision_until_ready(
         &self,
         job: &Job,
         tried: &[String],
         charged: bool,
-    ) -> Option<Decided> {
+    ) -> Option<CoordinatorDecision> {
         loop {
-            let decided = self.ask(job, tried, charged).await;
-            let starts = decided
+            let decided = self.request_decision(job, tried, charged).await;
+            let is_starting = decided
                 .as_ref()
                 .is_some_and(|d| matches!(d.outcome, Outcome::Starting));
-            if !starts || self.clock.now() + STARTING_LOOK >= self.waits_until(job) {
+            if !is_starting
+                || self.clock.now() + STARTING_RETRY_DELAY >= self.endpoint_wait_deadline(job)
+            {
                 return decided;
             }
-            tokio::time::sleep(STARTING_LOOK).await;
+            tokio::time::sleep(STARTING_RETRY_DELAY).await;
         }
     }
 
     /// Gives units back that a coordinator charged and that were not used.
-    pub async fn give_back_to(&self, by: SocketAddr, team: &str, units: u64) {
+    pub async fn give_back_to(&self, coordinator: SocketAddr, team: &str, units: u64) {
         let give_back = GiveBack {
             team: team.to_string(),
             units: units as i64,
@@ -156,17 +173,17 @@
             give_back: Some(give_back),
             ..Decision::default()
         };
-        self.send_decision(&message, by).await;
+        self.send_decision(&message, coordinator).await;
     }
 
     /// Answers queries of others and takes replies.
-    pub async fn decide_for_others(self: Rc<Self>, socket: UdpSocket) {
+    pub async fn serve_decisions(self: Rc<Self>, socket: UdpSocket) {
         let socket = Rc::new(socket);
-        *self.asking.socket.borrow_mut() = Some(Rc::clone(&socket));
-        let mut buffer = vec![0; MAX_DATAGRAM];
+        *self.decision_queries.socket.borrow_mut() = Some(Rc::clone(&socket));
+        let mut buffer = vec![0; MAX_DATAGRAM_BYTES];
         loop {
             let Ok((length, from)) = socket.recv_from(&mut buffer).await else {
-                tokio::time::sleep(REPLY_TIME).await;
+                tokio::time::sleep(REPLY_TIMEOUT).await;
                 continue;
             };
             let Ok(message) = schema::decode::<Decision>(&buffer[..length]) else {
@@ -174,14 +191,14 @@
                 continue;
             };
             if let Some(reply) = message.reply {
-                self.asking.replies.take(reply.number, reply);
+                self.decision_queries.replies.take(reply.number, reply);
             }
             if let Some(give_back) = message.give_back {
-                self.take_back(&give_back);
+                self.apply_give_back(&give_back);
             }
-            self.take_told(message.sights.as_ref());
+            self.apply_reported_sights(message.sights.as_ref());
             if let Some(reply) = message.send_reply {
-                self.sends_asked.replies.take(reply.number, reply);
+                self.send_queries.replies.take(reply.number, reply);
             }
             let send_query = message.send_query.as_ref();
             if let Some(reply) = send_query.and_then(|query| self.answer_send(query)) {
@@ -204,9 +221,9 @@
     fn query(&self, job: &Job, tried: &[String], charged: bool) -> DecisionQuery {
         let parts = job.work.parts.iter();
         let excluded = tried.iter().map(|id| endpoint_hash(id) as i64);
-        let asked = job.asked();
+        let traits = job.asked();
         DecisionQuery {
-            number: self.asking.replies.next_number(),
+            number: self.decision_queries.replies.next_number(),
             service_name: job.work.service.clone(),
             team: job.tenant.clone().filter(|_| !charged),
             cost: job.cost as i64,
@@ -221,53 +238,57 @@
                 .collect(),
             excluded: excluded.collect(),
             request: job.head.id.clone(),
-            route: Some(asked.route as i64),
-            is_lost_when_cut: Some(asked.is_lost_when_cut),
-            hall: self.hall_to_tell(),
+            route: Some(traits.route as i64),
+            is_lost_when_cut: Some(traits.is_lost_when_cut),
+            hall: self.reported_hall(),
             body_bytes: Some(job.body.len().min(i32::MAX as usize) as i32),
-            closed: self.closed_to_tell(&job.work.service),
-            sights: self.sights.take(self.clock.now()),
-            limits: self.untold_limits.borrow_mut().take(self.clock.now()),
+            closed: self.reported_closed(&job.work.service),
+            sights: self.pending_sights.take(self.clock.now()),
+            limits: self.pending_limits.borrow_mut().take(self.clock.now()),
         }
     }
 
     // Endpoints that told this gateway that they leave or want a pause.
-    fn closed_to_tell(&self, service: &str) -> Option<Vec<i64>> {
+    fn reported_closed(&self, service: &str) -> Option<Vec<i64>> {
         let now = self.clock.now();
         let state = self.state.borrow();
-        let closed = state.board.notices().closed(now, service, MOST_CLOSED);
+        let closed = state.balancer.notices().closed(now, service, MAX_CLOSED);
         let hashes = closed.iter().map(|start| *start as i64);
         (!closed.is_empty()).then(|| hashes.collect())
     }
 
     // Only where there are several regions.
-    fn hall_to_tell(&self) -> Option<String> {
+    fn reported_hall(&self) -> Option<String> {
         let state = self.state.borrow();
-        let topology = state.board.network_costs().topology();
+        let topology = state.balancer.network_costs().topology();
         let hall = topology.hall().to_string();
         topology.has_several_regions().then_some(hall)
     }
 
-    async fn send_query(&self, by: SocketAddr, query: DecisionQuery) -> Option<DecisionReply> {
-        let is_far = self.state.borrow().fleet.far.contains(&by);
-        let reply_time = match is_far {
-            true => FAR_REPLY_TIME,
-            false => REPLY_TIME,
+    async fn send_query(
+        &self,
+        coordinator: SocketAddr,
+        query: DecisionQuery,
+    ) -> Option<DecisionReply> {
+        let is_in_other_region = self.state.borrow().fleet.far.contains(&coordinator);
+        let reply_timeout = match is_in_other_region {
+            true => OTHER_REGION_REPLY_TIMEOUT,
+            false => REPLY_TIMEOUT,
         };
         let number = query.number;
-        let reply = self.asking.replies.expect(number);
+        let reply = self.decision_queries.replies.expect(number);
         let message = Decision {
             query: Some(query),
             ..Decision::default()
         };
-        self.send_decision(&message, by).await;
-        let replies = &self.asking.replies;
-        replies.within(reply_time, number, reply).await
+        self.send_decision(&message, coordinator).await;
+        let replies = &self.decision_queries.replies;
+        replies.within(reply_timeout, number, reply).await
     }
 
     /// Sends one datagram; what is lost is asked for again.
     pub async fn send_decision(&self, message: &Decision, to: SocketAddr) {
-        let socket = self.asking.socket.borrow().clone();
+        let socket = self.decision_queries.socket.borrow().clone();
         let (Some(socket), Ok(bytes)) = (socket, schema::encode(message)) else {
             self.metrics.count(Counter::PacketsDropped);
             return;
@@ -281,7 +302,7 @@
         }
     }
 
-    fn take_back(&self, give_back: &GiveBack) {
+    fn apply_give_back(&self, give_back: &GiveBack) {
         let now = self.clock.now();
         let mut state = self.state.borrow_mut();
         state.give_back(now, &give_back.team, give_back.units.max(0) as u64);
@@ -290,11 +311,11 @@
     // A gateway that does not coordinate cannot decide for others, nor can one that has no configuration or endpoints yet:
     // it says so, since it will soon.
     fn decide(&self, query: &DecisionQuery) -> Option<DecisionReply> {
-        self.take_told(query.sights.as_ref());
+        self.apply_reported_sights(query.sights.as_ref());
         let now = self.clock.now();
         for limit in received_limits(now, query.limits.as_ref()) {
-            if self.take_limit(&limit) {
-                self.tell_limit(limit);
+            if self.record_limit(&limit) {
+                self.report_limit(limit);
             }
         }
         let mut state = self.state.borrow_mut();
@@ -315,8 +336,8 @@
             reply.retry_ms = Some(wait.as_millis().min(i64::MAX as u128) as i64);
             return Some(reply);
         }
-        let topology = state.board.network_costs().topology();
-        let asked = Asked {
+        let topology = state.balancer.network_costs().topology();
+        let traits = RequestTraits {
             route: query.route.unwrap_or_default() as u64,
             is_lost_when_cut: query.is_lost_when_cut.unwrap_or_default(),
             home_region: query
@@ -326,17 +347,17 @@
         };
         let work = work_of(query);
         let closed = query.closed.as_deref().unwrap_or_default();
-        let placed = state.place_for_other(now, &work, &query.excluded, closed, asked);
+        let placed = state.place_for_peer(now, &work, &query.excluded, closed, traits);
         let link_wait = match placed {
             Some(_) => None,
-            None => state.board.link_wait(now, &work),
+            None => state.balancer.link_wait(now, &work),
         };
         reply.link_wait_ms = link_wait.map(|wait| wait.as_millis() as i64 + 1);
         drop(state);
         let unread_tokens = placed.as_ref().map_or(0, |placed| placed.unread_tokens);
         let is_long = self.is_long(unread_tokens);
         if let Some(placement) = &placed {
-            self.note_departure(&query.request, &work, placement);
+            self.record_region_departure(&query.request, &work, placement);
         }
         reply.placed = placed
             .as_ref()
@@ -401,7 +422,7 @@
         return Some(Outcome::LinkFull(wait));
     }
     let Some(placed) = &reply.placed else {
-        return Some(Outcome::Nowhere);
+        return Some(Outcome::NoEndpoint);
     };
     Some(Outcome::Placed(Placement {
         endpoint: placed.endpoint.clone(),
--- a/components/gateway/src/endpoint_run.rs
+++ b/components/gateway/src/endpoint_run.rs
@@ -39,7 +39,7 @@
 
     /// The whole answer was read: the connection rests.
     pub fn finish(mut self, keep_alive: Option<Duration>) {
-        if self.traffic.said_it_leaves(&self.placement) {
+        if self.traffic.has_announced_leaving(&self.placement) {
             // Dropped, the connection closes.
             return;
         }
@@ -57,14 +57,14 @@
     pub fn first_token(&mut self) {
         let now = self.traffic.clock.now();
         let mut state = self.traffic.state.borrow_mut();
-        state.board.first_token(now, &mut self.ticket);
+        state.balancer.first_token(now, &mut self.ticket);
     }
 
     /// An event of its stream came.
     pub fn event(&mut self) {
         let now = self.traffic.clock.now();
         let mut state = self.traffic.state.borrow_mut();
-        state.board.event(now, &mut self.ticket);
+        state.balancer.event(now, &mut self.ticket);
     }
 
     // What this run says of its endpoint's version, if a roll-out is under way. The time of an engine's answer is
@@ -104,17 +104,17 @@
             let route = &self.job.route;
             let whole = route.timeout.saturating_sub(route.target);
             state
-                .board
+                .balancer
                 .stream_ended(now, &self.ticket, route.gap_target, whole);
         }
-        state.board.ended(now, &self.ticket, verdict);
+        state.balancer.ended(now, &self.ticket, verdict);
         if verdict == HealthSignal::Unresponsive {
             // Its other open connections may say nothing either.
             state.pool.forget(&self.placement.endpoint);
         }
         // The way to another region is none of the version's doing.
         let way_ms = state
-            .board
+            .balancer
             .network_costs()
             .region_round_trip_ms(&self.placement.hall);
         let way = Duration::from_secs_f64(way_ms / 1000.0);
@@ -122,7 +122,7 @@
             let (service, route) = (&self.job.work.service, self.job.asked().route);
             let reported = state
                 .gates
-                .reported(&self.placement, service, route, answer);
+                .answer_report(&self.placement, service, route, answer);
             state.tally.reported.extend(reported);
         }
         if self.reserved {
--- a/components/gateway/src/gather.rs
+++ b/components/gateway/src/gather.rs
@@ -26,45 +26,45 @@
 }
 
 impl Room {
-    /// Reads a body as a whole. Where there is no memory, waits for it as long as `patience` says for the bytes that
+    /// Reads a body as a whole. Where there is no memory, waits for it as long as `wait_time` says for the bytes that
     /// are still needed; without an end if it says nothing. An answer reserves its length before anything of it is read:
     /// answers that are read in part can then not wait for each other.
     pub async fn gather(
         &self,
         mut body: Incoming,
         mut hold: Hold,
-        most: usize,
-        patience: Option<&dyn Fn(u64) -> Duration>,
+        max_bytes: usize,
+        wait_time: Option<&dyn Fn(u64) -> Duration>,
     ) -> Result<Gathered, GatherError> {
         let expected = body.size_hint().exact().map(|length| length as usize);
-        if expected.is_some_and(|length| length > most) {
+        if expected.is_some_and(|length| length > max_bytes) {
             return Err(GatherError::TooLarge);
         }
-        if patience.is_none() {
+        if wait_time.is_none() {
             self.reserve(&mut hold, expected.unwrap_or(0) as u64).await;
         }
         let mut bytes: Vec<u8> = Vec::new();
-        let mut latest = None;
+        let mut deadline = None;
         while let Some(frame) = body.frame().await {
             let frame = frame.map_err(|_| GatherError::Broken)?;
             let Ok(data) = frame.into_data() else {
                 continue;
             };
             let length = bytes.len() + data.len();
-            if length > most {
+            if length > max_bytes {
                 return Err(GatherError::TooLarge);
             }
             self.grow_for(&mut hold, length, expected);
-            if let Some(lacks) = (length as u64).checked_sub(hold.bytes()).filter(|n| *n > 0) {
-                let waits = self.reserve(&mut hold, lacks);
-                match patience {
-                    None => waits.await,
-                    Some(patience) => {
+            if let Some(missing) = (length as u64).checked_sub(hold.bytes()).filter(|n| *n > 0) {
+                let reservation = self.reserve(&mut hold, missing);
+                match wait_time {
+                    None => reservation.await,
+                    Some(wait_time) => {
                         let needed = expected.unwrap_or(length).max(length) - bytes.len();
                         let needed = needed as u64;
                         let until =
-                            *latest.get_or_insert_with(|| self.clock.now() + patience(needed));
-                        let waited = self.clock.timeout_at(until, waits);
+                            *deadline.get_or_insert_with(|| self.clock.now() + wait_time(needed));
+                        let waited = self.clock.timeout_at(until, reservation);
                         waited.await.map_err(|_| GatherError::NoRoom(needed))?;
                     }
                 }
@@ -89,9 +89,9 @@
         if length <= held {
             return;
         }
-        let roomy = held + held / GROWTH_DIVISOR;
+        let grown = held + held / GROWTH_DIVISOR;
         let wanted = length
-            .max(roomy)
+            .max(grown)
             .min(expected.unwrap_or(usize::MAX).max(length));
         hold.grow((wanted - held) as u64);
     }
--- a/components/gateway/src/gossip.rs
+++ b/components/gateway/src/gossip.rs
@@ -17,28 +17,28 @@
 use crate::control::{name_of, topic_of};
 use crate::peers::{Greeting, HallCount, Listed};
 use crate::ports::Topic;
-use crate::tally::Sent;
+use crate::tally::SentRequest;
 
 /// Dispatches reported in one message, so that it fits into one datagram.
-pub(crate) const MOST_DISPATCHES: usize = 30;
+pub(crate) const MAX_DISPATCHES: usize = 30;
 
 /// Processes whose usage is passed on in one message, so that it fits into one datagram: some 200 bytes each.
-pub(crate) const MOST_FORWARDED: usize = 25;
+pub(crate) const MAX_FORWARDED: usize = 25;
 
 /// Counts of answers reported in one message, so that it fits into one datagram: some 60 bytes each.
-const MOST_COUNTS: usize = 100;
+const MAX_COUNTS: usize = 100;
 
 /// Longest time that a request is reported to run, in milliseconds.
-const MOST_HOLD_MS: u128 = 60_000;
+const MAX_HOLD_MS: u128 = 60_000;
 
 /// A dispatch as it is reported.
-pub(crate) fn dispatch_of(now: Duration, sent: &Sent) -> Dispatch {
+pub(crate) fn dispatch_of(now: Duration, sent: &SentRequest) -> Dispatch {
     Dispatch {
         endpoint: sent.endpoint as i64,
         unread_tokens: sent.unread_tokens.min(i32::MAX as u32) as i32,
         shared_prompt: sent.shared_prompt as i64,
         age_ms: now.saturating_sub(sent.at).as_millis().min(60_000) as i32,
-        hold_ms: sent.hold.as_millis().min(MOST_HOLD_MS) as i32,
+        hold_ms: sent.hold.as_millis().min(MAX_HOLD_MS) as i32,
     }
 }
 
@@ -237,7 +237,7 @@
     EvidenceReport {
         service_name: service.to_string(),
         revision: revision as i64,
-        answers: answers.take(MOST_COUNTS).collect(),
+        answers: answers.take(MAX_COUNTS).collect(),
     }
 }
 
@@ -258,14 +258,14 @@
         let buckets = counts.whole.iter();
         let buckets =
             buckets.filter_map(|(b, n)| Some((u8::try_from(*b).ok()?, (*n).max(0) as u64)));
-        let heard = Counts {
+        let received = Counts {
             failed: counts.failed.max(0) as u64,
             whole: Histogram::of(buckets),
         };
         let route = evidence.routes.entry(counts.route as u64).or_default();
         match counts.endpoint {
-            0 => route.old.add(&heard),
-            endpoint => route.new.entry(endpoint as u64).or_default().add(&heard),
+            0 => route.old.add(&received),
+            endpoint => route.new.entry(endpoint as u64).or_default().add(&received),
         }
     }
     evidence
--- a/components/gateway/src/handler.rs
+++ b/components/gateway/src/handler.rs
@@ -17,7 +17,7 @@
 use crate::decisions::Outcome;
 use crate::held::HeldBytes;
 use crate::job::{Job, Progress, SharedJob};
-use crate::placing::Nowhere;
+use crate::placing::NoPlacement;
 use crate::ports::{CallerHead, Dialect};
 use crate::stream::Relay;
 use crate::traffic::Traffic;
@@ -90,13 +90,13 @@
         progress: &mut Progress,
     ) -> Result<Option<Placement>, Refusal> {
         let mut placed = None;
-        match Box::pin(self.ask_patiently(job, &[], false)).await {
+        match Box::pin(self.request_decision_until_ready(job, &[], false)).await {
             None => self.charge_here(job)?,
             Some(decided) => {
-                progress.charged_by = Some(decided.by);
+                progress.charged_by = Some(decided.coordinator);
                 match decided.outcome {
                     Outcome::Placed(placement) => placed = Some(placement),
-                    Outcome::Nowhere | Outcome::LinkFull(_) => {}
+                    Outcome::NoEndpoint | Outcome::LinkFull(_) => {}
                     Outcome::OverLimit(wait) => return Err(over_limit(wait)),
                     Outcome::Starting => return Err(starting()),
                 }
@@ -183,7 +183,7 @@
 
 // Without a coordinator's decision nothing was charged, and there is no endpoint to go to.
 fn starting() -> Refusal {
-    let Nowhere { cause, wait } = Nowhere::STARTING;
+    let NoPlacement { cause, wait } = NoPlacement::STARTING;
     Refusal::not_run(Kind::PlatformUnavailable, cause).after(wait)
 }
 
--- a/components/gateway/src/job.rs
+++ b/components/gateway/src/job.rs
@@ -12,7 +12,7 @@
 use crate::caller::Caller;
 use crate::held::KeptBody;
 use crate::ports::CallerHead;
-use crate::versions::{is_lost_when_cut, route_hash, Asked};
+use crate::versions::{is_lost_when_cut, route_hash, RequestTraits};
 
 /// Ranks of a route within one rank of its tenant.
 pub(crate) const ROUTE_RANKS: u8 = 3;
@@ -56,8 +56,8 @@
 
 impl Job {
     /// What matters for the version that runs it.
-    pub fn asked(&self) -> Asked {
-        Asked {
+    pub fn asked(&self) -> RequestTraits {
+        RequestTraits {
             route: route_hash(&self.route.name),
             is_lost_when_cut: is_lost_when_cut(&self.route),
             home_region: 0,
--- a/components/gateway/src/lib.rs
+++ b/components/gateway/src/lib.rs
@@ -52,7 +52,7 @@
 pub use alone::Alone;
 pub use clock::Clock;
 pub use control::{inflate, round_trip, Echoes, Encoded, LastDeflated};
-pub use day::{Day, DayLook};
+pub use day::{WallClockEstimate, WallClockReading};
 pub use events::{Event, EventSplitter, SplitError};
 pub use freshness::Freshness;
 pub use link_parts::link_parts;
--- a/components/gateway/src/limit_reports.rs
+++ b/components/gateway/src/limit_reports.rs
@@ -7,25 +7,25 @@
 use schema::messages::LimitReport;
 
 /// Limits told in one message, some 30 bytes each, so that a query stays one small datagram.
-const MOST_TOLD: usize = 8;
+const MAX_LIMITS_PER_MESSAGE: usize = 8;
 
 /// Limits that were not told yet, the newest of each endpoint.
 #[derive(Clone, Debug, Default)]
-pub(crate) struct UntoldLimits {
+pub(crate) struct PendingLimits {
     notices: Vec<LimitNotice>,
 }
 
-impl UntoldLimits {
+impl PendingLimits {
     /// Adds what an endpoint said; of too many the oldest give way.
     pub fn push(&mut self, notice: LimitNotice) {
         self.notices.retain(|known| known.start != notice.start);
         self.notices.push(notice);
-        let older = self.notices.len().saturating_sub(MOST_TOLD);
+        let older = self.notices.len().saturating_sub(MAX_LIMITS_PER_MESSAGE);
         self.notices.drain(..older);
     }
 
     /// Adds all of another list.
-    pub fn extend(&mut self, other: UntoldLimits) {
+    pub fn extend(&mut self, other: PendingLimits) {
         other
             .notices
             .into_iter()
--- a/components/gateway/src/placing.rs
+++ b/components/gateway/src/placing.rs
@@ -13,36 +13,36 @@
 use crate::traffic::Traffic;
 
 /// Part of a request's target for which it waits for an endpoint to appear.
-const ENDPOINT_WAIT_PART: u32 = 6;
+const ENDPOINT_WAIT_DIVISOR: u32 = 6;
 /// Pause between looks for an endpoint.
-const ENDPOINT_LOOK: Duration = Duration::from_millis(20);
+const ENDPOINT_POLL_INTERVAL: Duration = Duration::from_millis(20);
 /// Time to come back when no endpoint takes work.
-const NO_ENDPOINT_RETRY: Duration = Duration::from_millis(400);
+const NO_ENDPOINT_RETRY_AFTER: Duration = Duration::from_millis(400);
 
 /// Why a request goes to no endpoint.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) struct Nowhere {
+pub(crate) struct NoPlacement {
     /// Shown to the caller and logged.
     pub cause: &'static str,
     /// Time to come back.
     pub wait: Duration,
 }
 
-impl Nowhere {
+impl NoPlacement {
     /// None is ready, or those that are were tried.
-    pub const NO_ENDPOINT: Nowhere = Nowhere {
+    pub const NO_ENDPOINT: NoPlacement = NoPlacement {
         cause: "no endpoint takes work",
-        wait: NO_ENDPOINT_RETRY,
+        wait: NO_ENDPOINT_RETRY_AFTER,
     };
 
     /// Those who place requests do not know the endpoints yet.
-    pub const STARTING: Nowhere = Nowhere {
+    pub const STARTING: NoPlacement = NoPlacement {
         cause: "the coordinators have just begun",
-        wait: NO_ENDPOINT_RETRY,
+        wait: NO_ENDPOINT_RETRY_AFTER,
     };
 
     fn link_full(wait: Duration) -> Self {
-        Nowhere {
+        NoPlacement {
             cause: "no endpoint of this region takes work, and the link to others is full",
             wait,
         }
@@ -51,31 +51,36 @@
 
 impl<D> Traffic<D> {
     /// Chooses an endpoint that the request may be sent to, or has a coordinator do so; waits a little for one to appear.
-    pub async fn place_granted(
+    pub async fn place_with_grant(
         &self,
         job: &Job,
         progress: &mut Progress,
     ) -> Option<(Placement, Grant)> {
         loop {
-            let placement = self.find(job, progress).await.ok()?;
-            if let Some(grant) = self.grant(job, progress, &placement).await {
+            let placement = self.find_endpoint(job, progress).await.ok()?;
+            if let Some(grant) = self.obtain_grant(job, progress, &placement).await {
                 return Some((placement, grant));
             }
         }
     }
 
     /// The endpoint, or why there is none. Neither the link nor the end of a pause that comes too late is waited for.
-    pub async fn find(&self, job: &Job, progress: &Progress) -> Result<Placement, Nowhere> {
-        let patience = self.waits_until(job);
+    pub async fn find_endpoint(
+        &self,
+        job: &Job,
+        progress: &Progress,
+    ) -> Result<Placement, NoPlacement> {
+        let wait_deadline = self.endpoint_wait_deadline(job);
         loop {
             // Boxed, so that a request that runs holds no memory for it.
-            let asked = Box::pin(self.ask_patiently(job, &progress.tried, true)).await;
+            let asked =
+                Box::pin(self.request_decision_until_ready(job, &progress.tried, true)).await;
             if let Some(decided) = asked {
                 match decided.outcome {
                     Outcome::Placed(placement) => return Ok(placement),
-                    Outcome::LinkFull(wait) => return Err(Nowhere::link_full(wait)),
-                    Outcome::Starting => return Err(Nowhere::STARTING),
-                    Outcome::Nowhere | Outcome::OverLimit(_) => {}
+                    Outcome::LinkFull(wait) => return Err(NoPlacement::link_full(wait)),
+                    Outcome::Starting => return Err(NoPlacement::STARTING),
+                    Outcome::NoEndpoint | Outcome::OverLimit(_) => {}
                 }
             }
             let now = self.clock.now();
@@ -87,30 +92,30 @@
                     ..Exclusion::default()
                 };
                 let placement = state.choose(now, &job.work, exclusion, job.asked());
-                (placement, state.board.link_wait(now, &job.work))
+                (placement, state.balancer.link_wait(now, &job.work))
             };
             if let Some(placement) = placement {
-                self.note_departure(&job.head.id, &job.work, &placement);
+                self.record_region_departure(&job.head.id, &job.work, &placement);
                 return Ok(placement);
             }
             if let Some(wait) = link_wait {
-                return Err(Nowhere::link_full(wait));
+                return Err(NoPlacement::link_full(wait));
             }
-            let pause = self.pause_left(job, progress);
-            if let Some(left) = pause.filter(|left| now.saturating_add(*left) > patience) {
-                return Err(self.paused_for(&job.work.service, left));
+            let pause = self.remaining_pause(job, progress);
+            if let Some(left) = pause.filter(|left| now.saturating_add(*left) > wait_deadline) {
+                return Err(self.pause_refusal(&job.work.service, left));
             }
-            if now >= patience || now >= job.expiry {
-                return Err(Nowhere::NO_ENDPOINT);
+            if now >= wait_deadline || now >= job.expiry {
+                return Err(NoPlacement::NO_ENDPOINT);
             }
             let changed = self.endpoints_changed.notified();
-            let _ = tokio::time::timeout(ENDPOINT_LOOK, changed).await;
+            let _ = tokio::time::timeout(ENDPOINT_POLL_INTERVAL, changed).await;
         }
     }
 
     /// Until when a request waits for an endpoint to appear.
-    pub fn waits_until(&self, job: &Job) -> Duration {
-        job.arrived + job.route.target / ENDPOINT_WAIT_PART
+    pub fn endpoint_wait_deadline(&self, job: &Job) -> Duration {
+        job.arrived + job.route.target / ENDPOINT_WAIT_DIVISOR
     }
 
     /// Logs where a request goes.
@@ -124,7 +129,7 @@
     }
 
     /// Counts and logs what was decided about leaving the region.
-    pub fn note_departure(&self, id: &str, work: &Work, placement: &Placement) {
+    pub fn record_region_departure(&self, id: &str, work: &Work, placement: &Placement) {
         if placement.is_link_limited {
             self.metrics.count(Counter::RegionDeclined);
             info!(self.log, "kept in region, the link has no room"; "id" => id, "service" => &work.service,
@@ -135,12 +140,15 @@
         }
         self.metrics.count(Counter::RegionSent);
         self.metrics.add(Counter::RegionBytes, placement.link_bytes);
-        let way_ms = {
+        let round_trip_ms = {
             let state = self.state.borrow();
-            state.board.network_costs().round_trip_ms(&placement.hall)
+            state
+                .balancer
+                .network_costs()
+                .round_trip_ms(&placement.hall)
         };
         info!(self.log, "leaves region"; "id" => id, "service" => &work.service,
-            "hall" => &placement.hall, "bytes" => placement.link_bytes, "way_ms" => way_ms as u64,
+            "hall" => &placement.hall, "bytes" => placement.link_bytes, "way_ms" => round_trip_ms as u64,
             "expected_ms" => placement.expected_ms as u64,
             "home_ms" => placement.home_ms.map(|ms| ms as u64));
     }
@@ -148,7 +156,7 @@
     // How far a hall is, as it is logged.
     fn distance(&self, hall: &str) -> &'static str {
         let state = self.state.borrow();
-        match state.board.network_costs().topology().distance(hall) {
+        match state.balancer.network_costs().topology().distance(hall) {
             Distance::SameHall => "hall",
             Distance::SameRegion => "region",
             Distance::OtherRegion => "other region",
--- a/components/gateway/src/plain.rs
+++ b/components/gateway/src/plain.rs
@@ -15,11 +15,11 @@
 use tokio::net::TcpListener;
 
 /// Pause after a failed accept.
-const ACCEPT_PAUSE: Duration = Duration::from_millis(20);
+const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(20);
 /// Longest time a head may take, which also bounds how long a connection rests.
-const HEAD_TIME: Duration = Duration::from_secs(15);
+const HEADER_READ_TIMEOUT: Duration = Duration::from_secs(15);
 /// Connections open at once.
-const MOST_OPEN: usize = 128;
+const MAX_CONNECTIONS: usize = 128;
 
 /// Answers every request on a listener until the runtime ends.
 pub(crate) async fn serve<H, F>(listener: TcpListener, handler: H)
@@ -32,10 +32,10 @@
     let open = Rc::new(());
     loop {
         let Ok((stream, _)) = listener.accept().await else {
-            tokio::time::sleep(ACCEPT_PAUSE).await;
+            tokio::time::sleep(ACCEPT_RETRY_DELAY).await;
             continue;
         };
-        if Rc::strong_count(&open) > MOST_OPEN {
+        if Rc::strong_count(&open) > MAX_CONNECTIONS {
             continue;
         }
         let (handler, open) = (Rc::clone(&handler), Rc::clone(&open));
@@ -47,7 +47,7 @@
             let mut builder = Builder::new();
             builder
                 .timer(TokioTimer::new())
-                .header_read_timeout(HEAD_TIME);
+                .header_read_timeout(HEADER_READ_TIMEOUT);
             let _ = builder
                 .serve_connection(TokioIo::new(stream), service)
                 .await;
--- a/components/gateway/src/ports.rs
+++ b/components/gateway/src/ports.rs
@@ -74,12 +74,12 @@
     /// Time for which the endpoint, turning a request away, asks this gateway for a pause.
     pub pause: Option<Result<Duration, HeadFault>>,
     /// What it says of the rate at which the endpoint that is meant takes requests.
-    pub limit: LimitSaid,
+    pub limit: ReportedLimit,
 }
 
 /// What an answer says of the rate at which its endpoint takes requests of all gateways together.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub enum LimitSaid {
+pub enum ReportedLimit {
     /// The endpoint names no limit.
     #[default]
     NoLimit,
@@ -189,7 +189,7 @@
     /// Rows at most.
     pub limit: usize,
     /// Longest time without anything of the answer.
-    pub patience: Duration,
+    pub response_timeout: Duration,
 }
 
 /// One page of a topic's rows, by rising key.
@@ -243,14 +243,14 @@
     /// One row.
     fn read(&self, topic: Topic, key: &str) -> impl Future<Output = Result<ReadRow, StoreError>>;
 
-    /// Changes of a topic after a revision; the call is held for `wait` if there are none. Past that, `patience` is
+    /// Changes of a topic after a revision; the call is held for `wait` if there are none. Past that, `response_timeout` is
     /// the longest time without anything of the answer.
     fn changes(
         &self,
         topic: Topic,
         after: Revision,
         wait: Duration,
-        patience: Duration,
+        response_timeout: Duration,
     ) -> impl Future<Output = Result<Rows, StoreError>>;
 
     /// Writes a row, if it has the expected revision ([`Revision::ABSENT`]: there is none), and returns the new one. The
--- a/components/gateway/src/room.rs
+++ b/components/gateway/src/room.rs
@@ -207,7 +207,7 @@
         let (mib, tables) = {
             let state = self.state.borrow();
             let tables = Tables {
-                endpoints: state.board.endpoint_count() as u64,
+                endpoints: state.balancer.endpoint_count() as u64,
                 gateways: state.fleet.gateways as u64,
             };
             (state.settings.memory_mib.max(0) as u64, tables)
--- a/components/gateway/src/run.rs
+++ b/components/gateway/src/run.rs
@@ -27,9 +27,9 @@
 use crate::update::Update;
 
 /// Tallies that wait for the control thread; further ones are dropped.
-const TALLIES_WAITING: usize = 256;
+const MAX_QUEUED_TALLIES: usize = 256;
 /// Pause between looks at whether a stop was asked for or is over.
-const STOP_LOOK: Duration = Duration::from_millis(100);
+const STOP_POLL_INTERVAL: Duration = Duration::from_millis(100);
 const NOT_BOUND: &str = "an address could not be bound; free it or change it in the settings";
 /// A stop is over so long before the process would be killed.
 const STOP_MARGIN: Duration = Duration::from_millis(700);
@@ -108,8 +108,8 @@
         let alone = Arc::new(Alone::default());
         let metrics = Metrics::new(None).change_context(GatewayError("no metrics"))?;
         let metrics = Arc::new(metrics);
-        let (tallies, tallied) = flume::bounded(TALLIES_WAITING);
-        let (updates, updated) = flume::unbounded();
+        let (tallies, queued_tallies) = flume::bounded(MAX_QUEUED_TALLIES);
+        let (updates, queued_updates) = flume::unbounded();
         let signals = Signals::default();
         let sockets = peer_sockets(&settings.peers)?;
         let peer_address = sockets.address;
@@ -128,12 +128,12 @@
             metrics: Arc::clone(&metrics),
             log: parts.log.clone(),
             updates,
-            tallies: tallied,
+            tallies: queued_tallies,
             decisions_port,
         });
         let (store, orders) = (parts.store, parts.orders);
         spawn("control", move || control.run(store, orders))?;
-        let shown = Arc::clone(&metrics);
+        let shared_metrics = Arc::clone(&metrics);
         let traffic = TrafficParts {
             dialect: parts.dialect,
             clock,
@@ -146,7 +146,7 @@
         };
         let (bound, listening) = flume::bounded(1);
         let traffic = spawn("traffic", move || {
-            run_traffic(traffic, decisions, updated, &bound)
+            run_traffic(traffic, decisions, queued_updates, &bound)
         })?;
         let listening = listening
             .recv()
@@ -155,7 +155,7 @@
             listening,
             peer_address,
             signals,
-            metrics: shown,
+            metrics: shared_metrics,
             traffic,
         })
     }
@@ -339,34 +339,34 @@
     }
     match tokio::net::UdpSocket::from_std(decisions) {
         Ok(socket) => {
-            tokio::task::spawn_local(Rc::clone(&traffic).decide_for_others(socket));
+            tokio::task::spawn_local(Rc::clone(&traffic).serve_decisions(socket));
         }
         Err(error) => warn!(traffic.log, "no decisions for others; raise the limit of descriptors";
             "cause" => %error),
     }
     let following = Rc::clone(&traffic);
-    tokio::task::spawn_local(async move { following.follow(updates).await });
+    tokio::task::spawn_local(async move { following.apply_updates(updates).await });
     while !traffic.freshness.is_stopping() {
-        tokio::time::sleep(STOP_LOOK).await;
+        tokio::time::sleep(STOP_POLL_INTERVAL).await;
     }
-    finish(&traffic, &settings).await;
+    drain(&traffic, &settings).await;
 }
 
-async fn finish<D: Dialect + 'static>(traffic: &Traffic<D>, settings: &GatewaySettings) {
-    let asked = traffic.clock.now();
+async fn drain<D: Dialect + 'static>(traffic: &Traffic<D>, settings: &GatewaySettings) {
+    let stop_requested_at = traffic.clock.now();
     info!(traffic.log, "stop asked for"; "in_flight" => traffic.in_flight.get());
     let grace = Duration::from_millis(settings.stop_grace_ms.max(0) as u64);
-    let latest = asked + grace.saturating_sub(STOP_MARGIN);
+    let drain_deadline = stop_requested_at + grace.saturating_sub(STOP_MARGIN);
     loop {
-        tokio::time::sleep(STOP_LOOK).await;
+        tokio::time::sleep(STOP_POLL_INTERVAL).await;
         let now = traffic.clock.now();
-        let quiet = traffic.in_flight.get() == 0 && traffic.freshness.is_closed(now);
-        if quiet || now >= latest {
+        let is_drained = traffic.in_flight.get() == 0 && traffic.freshness.is_closed(now);
+        if is_drained || now >= drain_deadline {
             break;
         }
     }
     traffic.send_tally();
-    tokio::time::sleep(STOP_LOOK).await;
+    tokio::time::sleep(STOP_POLL_INTERVAL).await;
     info!(traffic.log, "stop"; "in_flight" => traffic.in_flight.get());
 }
 
--- a/components/gateway/src/said.rs
+++ b/components/gateway/src/said.rs
@@ -10,20 +10,20 @@
 use telemetry::Counter;
 
 use crate::job::{Job, Progress};
-use crate::placing::Nowhere;
-use crate::ports::{AnswerHead, LimitSaid};
+use crate::placing::NoPlacement;
+use crate::ports::{AnswerHead, ReportedLimit};
 use crate::traffic::Traffic;
 
 /// Part of a pause by which those who are to come back after it are spread, at random: they would all come at its end.
-const SPREAD_PART: f64 = 0.25;
+const JITTER_FRACTION: f64 = 0.25;
 /// Most of that.
-const MOST_SPREAD: Duration = Duration::from_secs(2);
+const MAX_JITTER: Duration = Duration::from_secs(2);
 
 impl<D> Traffic<D> {
     /// Takes what an endpoint says of itself in an answer. It is kept by the start of the endpoint that was meant, whatever
     /// its record says later: without that, ten requests in six seconds went on through the gateway that had been told, to an
     /// endpoint that left while the store was silent, as the logs of a day of faults showed.
-    pub fn hear(
+    pub fn apply_answer_head(
         &self,
         job: &Job,
         placement: &Placement,
@@ -31,18 +31,18 @@
         status: StatusCode,
         read: &AnswerHead,
     ) {
-        self.see_load(&job.head.id, placement, read);
+        self.record_load_report(&job.head.id, placement, read);
         let (id, endpoint) = (&job.head.id, &placement.endpoint);
         if read.not_run {
             info!(self.log, "endpoint turned a request away"; "id" => id, "endpoint" => endpoint,
                 "status" => status.as_u16());
         }
         if read.leaving {
-            self.hear_leaving(job, placement);
+            self.apply_leaving(job, placement);
         }
         match &read.pause {
             None => {}
-            Some(Ok(pause)) => self.hear_pause(job, placement, *pause),
+            Some(Ok(pause)) => self.apply_pause(job, placement, *pause),
             Some(Err(fault)) => {
                 warn!(self.log, "pause passed over; the endpoint has to name seconds"; "id" => id,
                     "endpoint" => endpoint, "cause" => fault.0);
@@ -51,31 +51,33 @@
         let is_answer = read.id.as_deref() == Some(id.as_str());
         match read.limit {
             // A surplus answer was asked for earlier.
-            LimitSaid::NoLimit if !is_answer => {}
-            said => self.hear_limit(job, placement, asked_at, said),
+            ReportedLimit::NoLimit if !is_answer => {}
+            reported => self.apply_limit(job, placement, asked_at, reported),
         }
     }
 
     /// Whether an endpoint wants requests of this gateway. Looked at last before one is sent: a coordinator that chose it
     /// need not know, and a connection takes a while to open.
-    pub fn is_wanted(&self, placement: &Placement) -> bool {
+    pub fn is_accepting_requests(&self, placement: &Placement) -> bool {
         self.standing(placement) == Standing::Open
     }
 
     /// Whether an endpoint told this gateway that it leaves.
-    pub fn said_it_leaves(&self, placement: &Placement) -> bool {
+    pub fn has_announced_leaving(&self, placement: &Placement) -> bool {
         self.standing(placement) == Standing::Leaving
     }
 
     /// Time until the first endpoint of a job's service wants requests, if all of them paused or their limits are used up.
-    pub fn pause_left(&self, job: &Job, progress: &Progress) -> Option<Duration> {
+    pub fn remaining_pause(&self, job: &Job, progress: &Progress) -> Option<Duration> {
         let now = self.clock.now();
         let state = self.state.borrow();
         let service = &job.work.service;
         let left = match state.endpoints_known {
-            true => state.board.time_until_open(now, service),
+            true => state.balancer.time_until_open(now, service),
             // A coordinator found none, so all that it knows are closed to this gateway.
-            false if progress.tried.is_empty() => state.board.notices().least_pause(now, service),
+            false if progress.tried.is_empty() => {
+                state.balancer.notices().least_pause(now, service)
+            }
             // Those that the job was tried at may be open.
             false => None,
         };
@@ -83,49 +85,55 @@
     }
 
     /// Why a request of a service is refused while all its endpoints are paused, or their limits used up.
-    pub fn paused_for(&self, service: &str, left: Duration) -> Nowhere {
-        let spread = left.mul_f64(SPREAD_PART).min(MOST_SPREAD);
+    pub fn pause_refusal(&self, service: &str, left: Duration) -> NoPlacement {
+        let jitter = left.mul_f64(JITTER_FRACTION).min(MAX_JITTER);
         let now = self.clock.now();
         let mut state = self.state.borrow_mut();
         let part = state.rng.random::<f64>();
-        Nowhere {
-            cause: match state.board.notices().is_any_spent(now, service) {
+        NoPlacement {
+            cause: match state.balancer.notices().is_any_spent(now, service) {
                 true => "the limits that the endpoints named are used up",
                 false => "the endpoints asked for a pause",
             },
-            wait: left.saturating_add(spread.mul_f64(part)),
+            wait: left.saturating_add(jitter.mul_f64(part)),
         }
     }
 
     fn standing(&self, placement: &Placement) -> Standing {
         let state = self.state.borrow();
-        let notices = state.board.notices();
+        let notices = state.balancer.notices();
         notices.standing(self.clock.now(), placement.incarnation)
     }
 
-    fn hear_leaving(&self, job: &Job, placement: &Placement) {
+    fn apply_leaving(&self, job: &Job, placement: &Placement) {
         self.metrics.count(Counter::LeavingSaid);
         let mut state = self.state.borrow_mut();
         state.pool.forget(&placement.endpoint);
-        let notices = state.board.notices_mut();
+        let notices = state.balancer.notices_mut();
         if notices.note_leaving(placement.incarnation, &job.work.service) {
             info!(self.log, "endpoint says that it leaves"; "id" => &job.head.id,
                 "endpoint" => &placement.endpoint);
         }
     }
 
-    fn hear_limit(&self, job: &Job, placement: &Placement, asked_at: Duration, said: LimitSaid) {
+    fn apply_limit(
+        &self,
+        job: &Job,
+        placement: &Placement,
+        asked_at: Duration,
+        reported: ReportedLimit,
+    ) {
         let (id, endpoint) = (&job.head.id, &placement.endpoint);
-        let rate = match said {
-            LimitSaid::OtherProcess => return,
-            LimitSaid::NoLimit => None,
-            LimitSaid::Limit(rate) => {
+        let rate = match reported {
+            ReportedLimit::OtherProcess => return,
+            ReportedLimit::NoLimit => None,
+            ReportedLimit::Limit(rate) => {
                 self.metrics.count(Counter::LimitNamed);
                 info!(self.log, "endpoint names a limit"; "id" => id, "endpoint" => endpoint,
                     "per_s" => rate.per_s());
                 Some(rate)
             }
-            LimitSaid::Fault(fault) => {
+            ReportedLimit::Fault(fault) => {
                 warn!(self.log, "limit passed over; the endpoint has to name requests a second"; "id" => id,
                     "endpoint" => endpoint, "cause" => fault.0);
                 return;
@@ -137,22 +145,22 @@
             rate,
             asked_at,
         };
-        if !self.take_limit(&limit) {
+        if !self.record_limit(&limit) {
             return;
         }
         if rate.is_none() {
             info!(self.log, "endpoint names no limit any more"; "id" => id, "endpoint" => endpoint);
         }
-        self.tell_limit(limit);
+        self.report_limit(limit);
     }
 
-    fn hear_pause(&self, job: &Job, placement: &Placement, pause: Duration) {
+    fn apply_pause(&self, job: &Job, placement: &Placement, pause: Duration) {
         self.metrics.count(Counter::PauseAsked);
         info!(self.log, "endpoint asks for a pause"; "id" => &job.head.id,
             "endpoint" => &placement.endpoint, "pause_ms" => pause.as_millis() as u64);
         let now = self.clock.now();
         let mut state = self.state.borrow_mut();
-        let notices = state.board.notices_mut();
+        let notices = state.balancer.notices_mut();
         notices.note_pause(now, placement.incarnation, &job.work.service, pause);
     }
 }
--- a/components/gateway/src/sends.rs
+++ b/components/gateway/src/sends.rs
@@ -16,7 +16,7 @@
 use telemetry::Counter;
 use topology::Distance;
 
-use crate::decisions::{placed_of, FAR_REPLY_TIME, REPLY_TIME};
+use crate::decisions::{placed_of, OTHER_REGION_REPLY_TIMEOUT, REPLY_TIMEOUT};
 use crate::job::{Job, Progress};
 use crate::limit_reports::{received_limit, report_of_limit};
 use crate::replies::Replies;
@@ -24,32 +24,32 @@
 use crate::traffic::Traffic;
 
 /// A granted send that did not leave by then is lost: later it would count where others were granted the same time.
-const GRANT_LIFE: Duration = Duration::from_millis(250);
+const GRANT_LIFETIME: Duration = Duration::from_millis(250);
 /// Sends that were not granted, after which a request comes to no endpoint a second time that refuses it.
-const MOST_UNGRANTED: usize = 3;
+const MAX_REFUSED_GRANTS: usize = 3;
 /// An endpoint whose keeper does not reply, or is not known, is passed over for so long.
-const KEEPER_PAUSE: Duration = Duration::from_millis(250);
+const KEEPER_RETRY_DELAY: Duration = Duration::from_millis(250);
 
 /// Queries that keepers have not replied to yet, and the keepers that coordinators named.
 #[derive(Debug)]
-pub(crate) struct SendsAsked {
+pub(crate) struct SendQueries {
     pub replies: Replies<SendReply>,
     // By the hash of the endpoint's start; as many as there may be accounts.
     keepers: RefCell<LruCache<u64, SocketAddr>>,
 }
 
-impl Default for SendsAsked {
+impl Default for SendQueries {
     fn default() -> Self {
-        SendsAsked {
+        SendQueries {
             replies: Replies::default(),
             keepers: RefCell::new(LruCache::unbounded()),
         }
     }
 }
 
-impl SendsAsked {
+impl SendQueries {
     /// A coordinator says who keeps the account of an endpoint's limit, or that nobody does.
-    pub fn note_keeper(&self, start: u64, keeper: Option<SocketAddr>) {
+    pub fn set_keeper(&self, start: u64, keeper: Option<SocketAddr>) {
         let mut keepers = self.keepers.borrow_mut();
         match keeper {
             Some(keeper) => keepers.put(start, keeper),
@@ -132,16 +132,16 @@
 
 impl<D> Traffic<D> {
     // Has a send granted, if the endpoint named a limit.
-    async fn ask_to_send(&self, job: &Job, placement: &Placement) -> Grant {
+    async fn request_grant(&self, job: &Job, placement: &Placement) -> Grant {
         let now = self.clock.now();
         let start = placement.incarnation;
         let (limit, keeper) = {
             let state = self.state.borrow();
             let keeper = match state.fleet.decides {
                 true => state.keeper(start, &placement.hall),
-                false => self.sends_asked.keeper(start).map(Keeper::Other),
+                false => self.send_queries.keeper(start).map(Keeper::Other),
             };
-            (state.board.notices().limit_notice(start), keeper)
+            (state.balancer.notices().limit_notice(start), keeper)
         };
         let Some((rate, limit)) = limit.and_then(|limit| Some((limit.rate?, limit))) else {
             return Grant::Unlimited;
@@ -153,8 +153,8 @@
             }
             Some(Keeper::Other(address)) => self.ask_keeper(address, job, placement, &limit).await,
             None => {
-                self.tell_limit(limit);
-                Err(KEEPER_PAUSE)
+                self.report_limit(limit);
+                Err(KEEPER_RETRY_DELAY)
             }
         };
         info!(self.log, "send asked for"; "id" => &job.head.id, "endpoint" => &placement.endpoint,
@@ -168,12 +168,12 @@
         self.metrics.count(Counter::SendsRefused);
         let now = self.clock.now();
         let mut state = self.state.borrow_mut();
-        state.board.notices_mut().note_spent(now, start, wait);
+        state.balancer.notices_mut().note_spent(now, start, wait);
         Grant::Refused
     }
 
     /// Has a send of a job granted; `None` if it is to go elsewhere.
-    pub async fn grant(
+    pub async fn obtain_grant(
         &self,
         job: &Job,
         progress: &mut Progress,
@@ -183,12 +183,12 @@
             return Some(Grant::Unlimited);
         }
         // Boxed, so that it takes memory only where there is a limit.
-        let grant = Box::pin(self.ask_to_send(job, placement)).await;
+        let grant = Box::pin(self.request_grant(job, placement)).await;
         if grant != Grant::Refused {
             return Some(grant);
         }
         progress.ungranted += 1;
-        if progress.ungranted >= MOST_UNGRANTED {
+        if progress.ungranted >= MAX_REFUSED_GRANTS {
             progress.tried.push(placement.endpoint.clone());
         }
         None
@@ -199,14 +199,18 @@
     pub fn is_granted(&self, placement: &Placement, grant: Grant) -> bool {
         match grant {
             Grant::Refused => false,
-            Grant::Granted(at) => self.clock.now() < at + GRANT_LIFE,
+            Grant::Granted(at) => self.clock.now() < at + GRANT_LIFETIME,
             Grant::Unlimited => !self.is_limited(placement),
         }
     }
 
     fn is_limited(&self, placement: &Placement) -> bool {
         let state = self.state.borrow();
-        state.board.notices().limit(placement.incarnation).is_some()
+        state
+            .balancer
+            .notices()
+            .limit(placement.incarnation)
+            .is_some()
     }
 
     async fn ask_keeper(
@@ -216,7 +220,7 @@
         placement: &Placement,
         limit: &LimitNotice,
     ) -> Result<(), Duration> {
-        let replies = &self.sends_asked.replies;
+        let replies = &self.send_queries.replies;
         let number = replies.next_number();
         let query = SendQuery {
             number,
@@ -231,16 +235,16 @@
         };
         let reply = replies.expect(number);
         self.send_decision(&message, keeper).await;
-        let reply_time = match self.is_beyond_region(&placement.hall) {
-            true => FAR_REPLY_TIME,
-            false => REPLY_TIME,
+        let reply_timeout = match self.is_in_other_region(&placement.hall) {
+            true => OTHER_REGION_REPLY_TIMEOUT,
+            false => REPLY_TIMEOUT,
         };
-        let Some(reply) = replies.within(reply_time, number, reply).await else {
-            return Err(KEEPER_PAUSE);
+        let Some(reply) = replies.within(reply_timeout, number, reply).await else {
+            return Err(KEEPER_RETRY_DELAY);
         };
         let now = self.clock.now();
         if let Some(known) = received_limit(now, &reply.limit) {
-            self.take_limit(&known);
+            self.record_limit(&known);
         }
         match reply.retry_ms {
             None => Ok(()),
@@ -249,23 +253,23 @@
     }
 
     /// Takes what an endpoint said of its limit, here or to another gateway. Says whether it is news.
-    pub fn take_limit(&self, limit: &LimitNotice) -> bool {
+    pub fn record_limit(&self, limit: &LimitNotice) -> bool {
         let mut state = self.state.borrow_mut();
-        state.board.notices_mut().note_limit(limit)
+        state.balancer.notices_mut().note_limit(limit)
     }
 
     /// Tells those who place requests of a limit.
-    pub fn tell_limit(&self, limit: LimitNotice) {
+    pub fn report_limit(&self, limit: LimitNotice) {
         let mut state = self.state.borrow_mut();
         match state.fleet.decides {
             true => state.tally.limits.push(limit),
-            false => self.untold_limits.borrow_mut().push(limit),
+            false => self.pending_limits.borrow_mut().push(limit),
         }
     }
 
-    fn is_beyond_region(&self, hall: &str) -> bool {
+    fn is_in_other_region(&self, hall: &str) -> bool {
         let state = self.state.borrow();
-        let topology = state.board.network_costs().topology();
+        let topology = state.balancer.network_costs().topology();
         topology.distance(hall) == Distance::OtherRegion
     }
 
@@ -274,16 +278,20 @@
         let now = self.clock.now();
         let asked = received_limit(now, &query.limit)?;
         let start = asked.start;
-        self.take_limit(&asked);
+        self.record_limit(&asked);
         let mut state = self.state.borrow_mut();
         if !state.fleet.decides {
             return None;
         }
-        let known = state.board.notices().limit_notice(start).unwrap_or(asked);
+        let known = state
+            .balancer
+            .notices()
+            .limit_notice(start)
+            .unwrap_or(asked);
         let keeps = matches!(state.keeper(start, &query.hall), Some(Keeper::Own(_)));
         let granted = match known.rate {
             None => Ok(()),
-            Some(_) if !keeps => Err(KEEPER_PAUSE),
+            Some(_) if !keeps => Err(KEEPER_RETRY_DELAY),
             Some(rate) => state.grant(now, start, rate, query.urgent),
         };
         drop(state);
@@ -298,7 +306,7 @@
     }
 
     /// Takes what a coordinator says of the limit of the endpoint that it placed a request on, and who keeps its account.
-    pub fn take_placed_limit(&self, reply: &DecisionReply) {
+    pub fn record_placed_limit(&self, reply: &DecisionReply) {
         let placed = reply.placed.as_ref();
         let Some(report) = placed.and_then(|placed| placed.limit.as_ref()) else {
             return;
@@ -308,15 +316,15 @@
         };
         let keeper = placed.and_then(|placed| placed.keeper.as_ref());
         let keeper = keeper.and_then(|keeper| keeper.parse().ok());
-        self.sends_asked.note_keeper(limit.start, keeper);
-        self.take_limit(&limit);
+        self.send_queries.set_keeper(limit.start, keeper);
+        self.record_limit(&limit);
     }
 
     /// A placement as it is reported, with the limit of its endpoint and who grants the send.
     pub fn placed_with_limit(&self, now: Duration, placement: &Placement) -> PlacedAt {
         let state = self.state.borrow();
         let start = placement.incarnation;
-        let Some(limit) = state.board.notices().limit_notice(start) else {
+        let Some(limit) = state.balancer.notices().limit_notice(start) else {
             return placed_of(placement);
         };
         let keeper = limit
--- a/components/gateway/src/sights.rs
+++ b/components/gateway/src/sights.rs
@@ -13,43 +13,46 @@
 use crate::traffic::Traffic;
 
 /// Sights that wait for the next query; the oldest give way.
-const MOST_WAITING: usize = 32;
+const MAX_PENDING: usize = 32;
 /// Sights told in one message, some 20 bytes each, so that a query stays one small datagram.
-pub(crate) const MOST_TOLD: usize = 16;
+pub(crate) const MAX_SIGHTS_PER_MESSAGE: usize = 16;
 /// Older ones are not told: the endpoint's machine has other work by then.
-const LONGEST_WAIT: Duration = Duration::from_secs(1);
+const MAX_SIGHT_AGE: Duration = Duration::from_secs(1);
 
 /// Sights that were not told yet.
 #[derive(Debug, Default)]
-pub(crate) struct Sights {
-    waiting: RefCell<VecDeque<Sight>>,
+pub(crate) struct PendingSights {
+    pending: RefCell<VecDeque<Sight>>,
 }
 
-impl Sights {
+impl PendingSights {
     fn push(&self, sight: Sight) {
-        let mut waiting = self.waiting.borrow_mut();
-        if waiting.len() == MOST_WAITING {
-            waiting.pop_front();
+        let mut pending = self.pending.borrow_mut();
+        if pending.len() == MAX_PENDING {
+            pending.pop_front();
         }
-        waiting.push_back(sight);
+        pending.push_back(sight);
     }
 
     /// The newest ones, as they are told; none of the others is told later.
     pub fn take(&self, now: Duration) -> Option<Vec<messages::Sight>> {
-        let waiting = self.waiting.take();
-        let fresh = waiting.iter().rev().filter(|s| now < s.at + LONGEST_WAIT);
-        let told: Vec<_> = fresh.take(MOST_TOLD).map(|s| sight_of(now, s)).collect();
-        (!told.is_empty()).then_some(told)
+        let pending = self.pending.take();
+        let fresh = pending.iter().rev().filter(|s| now < s.at + MAX_SIGHT_AGE);
+        let reported: Vec<_> = fresh
+            .take(MAX_SIGHTS_PER_MESSAGE)
+            .map(|s| sight_of(now, s))
+            .collect();
+        (!reported.is_empty()).then_some(reported)
     }
 }
 
 impl<D> Traffic<D> {
     /// Takes the load of an endpoint, as an answer of it told.
-    pub fn see_load(&self, id: &str, placement: &Placement, read: &AnswerHead) {
+    pub fn record_load_report(&self, id: &str, placement: &Placement, read: &AnswerHead) {
         let Some(load) = read.load else {
             return;
         };
-        let slowdown = load.slowdown.and_then(|told| match told {
+        let slowdown = load.slowdown.and_then(|reported| match reported {
             Ok(slowdown) => Some(slowdown),
             Err(fault) => {
                 info!(self.log, "figure of a load passed over"; "id" => id,
@@ -57,7 +60,7 @@
                 None
             }
         });
-        self.see(Sight {
+        self.record_sight(Sight {
             endpoint: placement.incarnation,
             at: self.clock.now(),
             requests: Some(load.running.saturating_add(load.queued)),
@@ -66,30 +69,30 @@
     }
 
     /// Takes what other gateways saw.
-    pub fn take_sights(&self, sights: &[Sight]) {
+    pub fn apply_peer_sights(&self, sights: &[Sight]) {
         let mut state = self.state.borrow_mut();
         for sight in sights {
-            state.board.observe(*sight);
+            state.balancer.observe(*sight);
         }
     }
 
     /// Takes what a gateway that asks this one saw, and passes on what others would choose otherwise by.
-    pub fn take_told(&self, sights: Option<&Vec<messages::Sight>>) {
+    pub fn apply_reported_sights(&self, sights: Option<&Vec<messages::Sight>>) {
         let now = self.clock.now();
         let mut state = self.state.borrow_mut();
         for sight in sights.into_iter().flatten() {
             let sight = received_sight(now, sight);
-            if state.board.observe(sight) {
+            if state.balancer.observe(sight) {
                 state.tally.sights.push(sight);
             }
         }
     }
 
-    fn see(&self, sight: Sight) {
+    fn record_sight(&self, sight: Sight) {
         let mut state = self.state.borrow_mut();
         if !state.fleet.decides {
-            self.sights.push(sight);
-        } else if state.board.observe(sight) {
+            self.pending_sights.push(sight);
+        } else if state.balancer.observe(sight) {
             state.tally.sights.push(sight);
         }
     }
@@ -109,13 +112,13 @@
 }
 
 /// A sight as it was heard. A figure that cannot be one is passed over.
-pub(crate) fn received_sight(now: Duration, told: &messages::Sight) -> Sight {
-    let age = Duration::from_millis(told.age_ms.max(0) as u64);
+pub(crate) fn received_sight(now: Duration, reported: &messages::Sight) -> Sight {
+    let age = Duration::from_millis(reported.age_ms.max(0) as u64);
     Sight {
-        endpoint: told.endpoint as u64,
+        endpoint: reported.endpoint as u64,
         at: now.saturating_sub(age),
-        requests: told.requests.map(|count| count.max(0) as u32),
-        slowdown: slowdown_of(told.slowdown_percent),
+        requests: reported.requests.map(|count| count.max(0) as u32),
+        slowdown: slowdown_of(reported.slowdown_percent),
     }
 }
 
--- a/components/gateway/src/state.rs
+++ b/components/gateway/src/state.rs
@@ -19,26 +19,26 @@
 use crate::link_parts::link_parts;
 use crate::peers::Fleet;
 use crate::pool::Pool;
-use crate::tally::{Sent, ServiceLoad, Tally};
-use crate::versions::{Asked, Gates};
+use crate::tally::{SentRequest, ServiceLoad, Tally};
+use crate::versions::{RequestTraits, RolloutGates};
 
 /// Everything the traffic thread decides from.
 #[derive(Debug)]
 pub(crate) struct State {
-    pub board: Balancer,
+    pub balancer: Balancer,
     // Whether the board holds all endpoints.
     pub endpoints_known: bool,
     pub directory: Option<Rc<Directory>>,
     pub pool: Pool,
     pub quotas: BTreeMap<String, SharedQuota>,
-    pub repeats: BTreeMap<String, RetryBudget>,
+    pub retry_budgets: BTreeMap<String, RetryBudget>,
     pub tally: Tally,
     pub fleet: Fleet,
     // The most gateways that were ever known.
-    most_gateways: usize,
+    max_known_gateways: usize,
     pub rng: ChaCha8Rng,
     pub settings: Arc<GatewaySettings>,
-    pub gates: Gates,
+    pub gates: RolloutGates,
     pub quarantine: Quarantine,
     pub cuts: Cuts,
     /// Accounts of endpoints that name limits, those that this gateway keeps.
@@ -49,18 +49,18 @@
     /// Nothing known yet.
     pub fn new(settings: Arc<GatewaySettings>, ledger: &Ledger) -> Self {
         let mut state = State {
-            board: board_of(&settings),
+            balancer: balancer_of(&settings),
             endpoints_known: false,
             directory: None,
             pool: Pool::new(ledger),
             quotas: BTreeMap::new(),
-            repeats: BTreeMap::new(),
+            retry_budgets: BTreeMap::new(),
             tally: Tally::default(),
             fleet: Fleet::default(),
-            most_gateways: 1,
+            max_known_gateways: 1,
             rng: ChaCha8Rng::from_rng(&mut rand::rng()),
             settings,
-            gates: Gates::default(),
+            gates: RolloutGates::default(),
             quarantine: Quarantine::default(),
             cuts: Cuts::default(),
             accounts: SendAccounts::default(),
@@ -77,13 +77,13 @@
     }
 
     /// Places a request of another gateway, if some endpoint takes work.
-    pub fn place_for_other(
+    pub fn place_for_peer(
         &mut self,
         now: Duration,
         work: &Work,
         excluded: &[i64],
         closed: &[i64],
-        asked: Asked,
+        traits: RequestTraits,
     ) -> Option<Placement> {
         let (tried, closed) = (self.ids_of(excluded), self.ids_of(closed));
         let exclusion = Exclusion {
@@ -92,9 +92,9 @@
             // Pauses were asked of the gateway that sends it, not of this one.
             sent_here: false,
         };
-        let mut placement = self.choose(now, work, exclusion, asked)?;
-        self.board.placed_for_peer(now, work, &placement);
-        self.tally.sent.push(sent_of(now, &placement));
+        let mut placement = self.choose(now, work, exclusion, traits)?;
+        self.balancer.placed_for_peer(now, work, &placement);
+        self.tally.sent.push(sent_request(now, &placement));
         if self.gates.under_way(&work.service).is_none() {
             placement.version = None;
         }
@@ -104,7 +104,9 @@
     // Ids of those endpoints here that go by these hashes.
     fn ids_of(&self, hashes: &[i64]) -> Vec<String> {
         let hashes = hashes.iter().map(|hash| *hash as u64);
-        hashes.filter_map(|hash| self.board.id_of(hash)).collect()
+        hashes
+            .filter_map(|hash| self.balancer.id_of(hash))
+            .collect()
     }
 
     /// Picks one of a route's services by weight.
@@ -126,8 +128,8 @@
 
     /// Counts a request of a service.
     pub fn count_request(&mut self, now: Duration, service: &str) {
-        let terms = self.repeat_terms();
-        let budgets = &mut self.repeats;
+        let terms = self.retry_terms();
+        let budgets = &mut self.retry_budgets;
         budgets
             .entry(service.to_string())
             .or_insert_with(|| RetryBudget::new(terms))
@@ -136,7 +138,7 @@
 
     /// Puts a configuration in force.
     pub fn configure(&mut self, now: Duration, configuration: Arc<Configuration>) {
-        self.board.configure(&configuration);
+        self.balancer.configure(&configuration);
         let part = self.fleet.part;
         let mut quotas = BTreeMap::new();
         for team in &configuration.tenants {
@@ -172,7 +174,7 @@
     /// Takes how many gateways there are, and who decides.
     pub fn set_fleet(&mut self, now: Duration, fleet: Fleet) {
         let part = fleet.part;
-        self.most_gateways = self.most_gateways.max(fleet.gateways);
+        self.max_known_gateways = self.max_known_gateways.max(fleet.gateways);
         self.fleet = fleet;
         for quota in self.quotas.values_mut() {
             quota.set_part(now, part);
@@ -184,23 +186,23 @@
     pub fn set_settings(&mut self, now: Duration, settings: Arc<GatewaySettings>) {
         self.settings = settings;
         let kbit = self.settings.region_link_kbit.max(0) as u64;
-        self.board.network_costs_mut().set_link_rate(kbit);
+        self.balancer.network_costs_mut().set_link_rate(kbit);
         self.set_link_parts(now);
     }
 
     fn set_link_parts(&mut self, now: Duration) {
         let kbit = self.settings.region_link_kbit.max(0) as u64;
         let parts = link_parts(
-            self.board.network_costs().topology(),
+            self.balancer.network_costs().topology(),
             kbit,
             self.fleet.decides,
-            self.most_gateways,
+            self.max_known_gateways,
         );
-        self.board.set_link_rates(now, &parts);
+        self.balancer.set_link_rates(now, &parts);
     }
 
     /// What repeats are allowed.
-    pub fn repeat_terms(&self) -> RetryTerms {
+    pub fn retry_terms(&self) -> RetryTerms {
         RetryTerms {
             ratio: f64::from(self.settings.repeats_milli) / 1000.0,
             extra: f64::from(self.settings.repeats_extra),
@@ -218,9 +220,9 @@
         scaled
             .map(|(name, _)| {
                 let load = ServiceLoad {
-                    halls: self.board.occupancy(now, name),
-                    has_engines: self.board.has_engines(name),
-                    learnt: self.board.learnt(name),
+                    halls: self.balancer.occupancy(now, name),
+                    has_engines: self.balancer.has_engines(name),
+                    engine_stats: self.balancer.learnt(name),
                 };
                 (name.clone(), load)
             })
@@ -228,17 +230,17 @@
     }
 }
 
-fn board_of(settings: &GatewaySettings) -> Balancer {
+fn balancer_of(settings: &GatewaySettings) -> Balancer {
     let topology = Topology::new(&settings.zone, &settings.region, &settings.halls);
-    let mut board = Balancer::with_topology(topology);
+    let mut balancer = Balancer::with_topology(topology);
     let kbit = settings.region_link_kbit.max(0) as u64;
-    board.network_costs_mut().set_link_rate(kbit);
-    board
+    balancer.network_costs_mut().set_link_rate(kbit);
+    balancer
 }
 
 /// A request as the others are reported it.
-pub(crate) fn sent_of(now: Duration, placement: &Placement) -> Sent {
-    Sent {
+pub(crate) fn sent_request(now: Duration, placement: &Placement) -> SentRequest {
+    SentRequest {
         endpoint: placement.incarnation,
         unread_tokens: placement.unread_tokens,
         shared_prompt: placement.shared_prompt,
--- a/components/gateway/src/stream.rs
+++ b/components/gateway/src/stream.rs
@@ -122,7 +122,7 @@
                 () = self.traffic.restarted(&placement) => return End::Broken,
                 () = clock.sleep_until(expiry) => return End::TimedOut,
                 () = tokio::time::sleep(patience), if self.may_resume() => {
-                    if self.traffic.may_repeat(&self.job.work.service) {
+                    if self.traffic.try_spend_retry(&self.job.work.service) {
                         return End::Silent;
                     }
                     continue;
@@ -200,13 +200,14 @@
         let after_silence = granted;
         let mut granted = granted;
         while self.may_resume()
-            && (std::mem::take(&mut granted) || self.traffic.may_repeat(&self.job.work.service))
+            && (std::mem::take(&mut granted)
+                || self.traffic.try_spend_retry(&self.job.work.service))
         {
             self.progress.tried.push(from.to_string());
             let (clock, expiry) = (self.traffic.clock, self.job.expiry);
             let (placement, grant) = self
                 .traffic
-                .place_granted(&self.job, &mut self.progress)
+                .place_with_grant(&self.job, &mut self.progress)
                 .await?;
             self.progress.sent += 1;
             info!(self.traffic.log, "stream goes on"; "id" => &self.job.head.id, "content" => %self.job.content, "from" => from,
--- a/components/gateway/src/tally.rs
+++ b/components/gateway/src/tally.rs
@@ -7,12 +7,12 @@
 use quarantine::Observation;
 use routing::placement::{HallLoad, Sight};
 
-use crate::limit_reports::UntoldLimits;
-use crate::versions::Digest;
+use crate::limit_reports::PendingLimits;
+use crate::versions::RolloutAnswer;
 
 /// A request that was sent to an endpoint.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Sent {
+pub struct SentRequest {
     /// Hash of the endpoint.
     pub endpoint: u64,
     /// Tokens it is expected to read.
@@ -33,7 +33,7 @@
     /// Whether its endpoints are engines.
     pub has_engines: bool,
     /// What this gateway saw of its engines since its start.
-    pub learnt: EngineStats,
+    pub engine_stats: EngineStats,
 }
 
 impl ServiceLoad {
@@ -47,11 +47,11 @@
 #[derive(Clone, Debug, Default)]
 pub(crate) struct Tally {
     /// Requests sent.
-    pub sent: Vec<Sent>,
+    pub sent: Vec<SentRequest>,
     /// What answers showed that the others place requests by.
     pub sights: Vec<Sight>,
     /// What endpoints said of their limits.
-    pub limits: UntoldLimits,
+    pub limits: PendingLimits,
     /// Tenant and wall time of each request that began to run.
     pub begun: Vec<(String, Duration)>,
     /// Units that tenants took since the start.
@@ -59,7 +59,7 @@
     /// Loads of the services.
     pub loads: BTreeMap<String, ServiceLoad>,
     /// Answers that speak of the versions in roll-outs that are under way.
-    pub reported: Vec<Digest>,
+    pub reported: Vec<RolloutAnswer>,
     /// What was seen of contents whose endpoints ended.
     pub observations: Vec<Observation>,
 }
--- a/components/gateway/src/traffic.rs
+++ b/components/gateway/src/traffic.rs
@@ -14,23 +14,23 @@
 
 use crate::alone::Alone;
 use crate::clock::Clock;
-use crate::decisions::Asking;
-use crate::freshness::{Ages, Freshness};
+use crate::decisions::DecisionQueries;
+use crate::freshness::{Freshness, MaxAges};
 use crate::job::Job;
-use crate::limit_reports::UntoldLimits;
+use crate::limit_reports::PendingLimits;
 use crate::room::Room;
-use crate::sends::SendsAsked;
-use crate::sights::Sights;
-use crate::state::{sent_of, State};
+use crate::sends::SendQueries;
+use crate::sights::PendingSights;
+use crate::state::{sent_request, State};
 use crate::tally::Tally;
 use crate::update::Update;
 
 /// Prompts of which at least so many tokens are to be read are reported to the others at once.
 pub(crate) const LONG_PROMPT_TOKENS: u32 = 4000;
 /// Pause between tallies.
-const TALLY_PAUSE: Duration = Duration::from_millis(100);
+const TALLY_INTERVAL: Duration = Duration::from_millis(100);
 /// Part of an endpoint's connections that gateways use together.
-const CONNECTIONS_USED: f64 = 0.8;
+const CONNECTIONS_USED_FRACTION: f64 = 0.8;
 
 /// The traffic thread.
 #[derive(Debug)]
@@ -45,10 +45,10 @@
     pub endpoints_changed: Notify,
     pub endpoint_restarted: Notify,
     pub in_flight: Cell<usize>,
-    pub asking: Asking,
-    pub sights: Sights,
-    pub sends_asked: SendsAsked,
-    pub untold_limits: RefCell<UntoldLimits>,
+    pub decision_queries: DecisionQueries,
+    pub pending_sights: PendingSights,
+    pub send_queries: SendQueries,
+    pub pending_limits: RefCell<PendingLimits>,
     pub room: Room,
     tallies: flume::Sender<Tally>,
 }
@@ -82,17 +82,17 @@
             endpoints_changed: Notify::new(),
             endpoint_restarted: Notify::new(),
             in_flight: Cell::new(0),
-            asking: Asking::default(),
-            sights: Sights::default(),
-            sends_asked: SendsAsked::default(),
-            untold_limits: RefCell::default(),
+            decision_queries: DecisionQueries::default(),
+            pending_sights: PendingSights::default(),
+            send_queries: SendQueries::default(),
+            pending_limits: RefCell::default(),
             room,
             tallies: parts.tallies,
         }
     }
 
     /// Takes one update of the control thread.
-    pub fn take(&self, update: Update) {
+    pub fn apply_update(&self, update: Update) {
         let now = self.clock.now();
         let mut state = self.state.borrow_mut();
         match update {
@@ -103,13 +103,13 @@
             }
             Update::Confirmed(at) => self.freshness.confirm(at),
             Update::Endpoint(endpoint) => {
-                let known = state.board.endpoint(&endpoint.id);
+                let known = state.balancer.endpoint(&endpoint.id);
                 let ended = known.filter(|known| !known.is_same_start(&endpoint));
                 let ended = ended.map(|known| incarnation(&known.id, known.born_ms));
                 if ended.is_some() || !endpoint.is_ready() {
                     state.pool.forget(&endpoint.id);
                 }
-                state.board.insert(now, endpoint);
+                state.balancer.insert(now, endpoint);
                 drop(state);
                 self.endpoints_changed.notify_waiters();
                 if let Some(incarnation) = ended {
@@ -118,26 +118,26 @@
             }
             Update::EndpointGone(id) => {
                 state.pool.forget(&id);
-                state.board.remove(&id);
+                state.balancer.remove(&id);
             }
             Update::EndpointsKnown => state.endpoints_known = true,
             Update::EndpointsForgotten => {
                 state.endpoints_known = false;
-                state.board.remove_all();
+                state.balancer.remove_all();
             }
             Update::Fleet(fleet) => state.set_fleet(now, fleet),
-            Update::PeerSent(dispatches) => {
+            Update::PeerDispatches(dispatches) => {
                 for dispatch in dispatches {
-                    state.board.peer_sent(now, dispatch);
+                    state.balancer.peer_sent(now, dispatch);
                 }
             }
-            Update::PeerSaw(sights) => {
+            Update::PeerSights(sights) => {
                 drop(state);
-                self.take_sights(&sights);
+                self.apply_peer_sights(&sights);
             }
-            Update::PeerHeardLimits(limits) => {
+            Update::PeerLimits(limits) => {
                 for limit in &limits {
-                    state.board.notices_mut().note_limit(limit);
+                    state.balancer.notices_mut().note_limit(limit);
                 }
             }
             Update::PeerTaken {
@@ -152,9 +152,9 @@
                     }
                 }
             }
-            Update::WayMeasured { hall, round_trip } => {
+            Update::RoundTripMeasured { hall, round_trip } => {
                 state
-                    .board
+                    .balancer
                     .network_costs_mut()
                     .record_round_trip(&hall, round_trip);
             }
@@ -184,21 +184,21 @@
     /// Whether callers are to be sent here.
     pub fn is_ready(&self) -> bool {
         let state = self.state.borrow();
-        let longest = Ages::of(&state.settings).keys;
-        let fresh = self.freshness.allows_keys(self.clock.now(), longest);
+        let max_age = MaxAges::of(&state.settings).keys;
+        let fresh = self.freshness.allows_keys(self.clock.now(), max_age);
         let places = state.endpoints_known || !state.fleet.decides;
         let takes = !self.freshness.is_stopping() && !self.room.is_paused();
         state.directory.is_some() && places && fresh && takes
     }
 
     /// Notes that a job goes to an endpoint.
-    pub fn note_sent(&self, job: &Job, placement: &Placement) -> Ticket {
+    pub fn record_sent(&self, job: &Job, placement: &Placement) -> Ticket {
         let now = self.clock.now();
         let mut state = self.state.borrow_mut();
-        let ticket = state.board.sent(now, &job.work, placement);
+        let ticket = state.balancer.sent(now, &job.work, placement);
         // The coordinator that placed it reports it to the others.
         if !placement.is_placed_by_peer {
-            state.tally.sent.push(sent_of(now, placement));
+            state.tally.sent.push(sent_request(now, placement));
         }
         drop(state);
         if !placement.is_placed_by_peer && self.is_long(placement.unread_tokens) {
@@ -213,11 +213,11 @@
     }
 
     /// Notes that a job began to run, by the wall time `ago` before now.
-    pub fn note_begun(&self, job: &Job, ago: Duration) {
+    pub fn record_begun(&self, job: &Job, ago: Duration) {
         let Some(tenant) = &job.tenant else {
             return;
         };
-        let at = self.clock.wall().saturating_sub(ago);
+        let at = self.clock.wall_time().saturating_sub(ago);
         let mut state = self.state.borrow_mut();
         state.tally.begun.push((tenant.clone(), at));
     }
@@ -232,12 +232,12 @@
     }
 
     /// Whether a job may be sent once more.
-    pub fn may_repeat(&self, service: &str) -> bool {
+    pub fn try_spend_retry(&self, service: &str) -> bool {
         let now = self.clock.now();
         let mut state = self.state.borrow_mut();
         let gateways = state.fleet.gateways;
-        let terms = state.repeat_terms();
-        let budgets = &mut state.repeats;
+        let terms = state.retry_terms();
+        let budgets = &mut state.retry_budgets;
         let budget = budgets
             .entry(service.to_string())
             .or_insert_with(|| RetryBudget::new(terms));
@@ -250,9 +250,9 @@
     }
 
     /// Most connections to one endpoint of a service that this gateway opens.
-    pub fn most_connections(&self, job: &Job) -> u32 {
+    pub fn max_endpoint_connections(&self, job: &Job) -> u32 {
         let gateways = self.state.borrow().fleet.gateways as f64;
-        let part = f64::from(job.max_connections) * CONNECTIONS_USED / gateways;
+        let part = f64::from(job.max_connections) * CONNECTIONS_USED_FRACTION / gateways;
         (part as u32).max(2)
     }
 
@@ -277,17 +277,17 @@
     }
 
     /// Takes updates and sends tallies until the control thread is gone.
-    pub async fn follow(&self, updates: flume::Receiver<Update>) {
-        let mut pause = tokio::time::interval(TALLY_PAUSE);
-        pause.set_missed_tick_behavior(tokio::time::MissedTickBehavior::Delay);
+    pub async fn apply_updates(&self, updates: flume::Receiver<Update>) {
+        let mut interval = tokio::time::interval(TALLY_INTERVAL);
+        interval.set_missed_tick_behavior(tokio::time::MissedTickBehavior::Delay);
         loop {
             tokio::select! {
                 biased;
                 update = updates.recv_async() => match update {
-                    Ok(update) => self.take(update),
+                    Ok(update) => self.apply_update(update),
                     Err(_) => return,
                 },
-                _ = pause.tick() => {
+                _ = interval.tick() => {
                     let now = self.clock.now();
                     self.state.borrow_mut().pool.sweep(now);
                     self.look_at_memory();
--- a/components/gateway/src/update.rs
+++ b/components/gateway/src/update.rs
@@ -31,11 +31,11 @@
     /// The gateways as they are known now, and who of them decides.
     Fleet(Fleet),
     /// Another gateway sent these.
-    PeerSent(Vec<PeerDispatch>),
+    PeerDispatches(Vec<PeerDispatch>),
     /// Answers showed another gateway these.
-    PeerSaw(Vec<Sight>),
+    PeerSights(Vec<Sight>),
     /// Endpoints named these limits to another gateway, or none any more.
-    PeerHeardLimits(Vec<LimitNotice>),
+    PeerLimits(Vec<LimitNotice>),
     /// Units that teams took at another gateway since its start.
     PeerTaken {
         /// Its name.
@@ -48,7 +48,7 @@
         recent: bool,
     },
     /// A message to a hall and its echo took so long.
-    WayMeasured {
+    RoundTripMeasured {
         /// The hall.
         hall: String,
         /// Time there and back.
--- a/components/gateway/src/versions.rs
+++ b/components/gateway/src/versions.rs
@@ -13,14 +13,14 @@
 
 /// Fewest endpoints of the ordered version that get a part of the requests: one of them that is ill is then distinguished
 /// from a bad version.
-const LEAST_SAMPLED: usize = 3;
+const MIN_SAMPLED: usize = 3;
 /// Part of the old endpoints as many of the ordered version get a part of the requests: as small as that part, so
 /// that they are loaded as the old ones are.
-const SAMPLED_PART: f64 = 0.05;
+const SAMPLED_FRACTION: f64 = 0.05;
 
 /// What matters of a request for the version that runs it.
 #[derive(Clone, Copy, Debug)]
-pub(crate) struct Asked {
+pub(crate) struct RequestTraits {
     /// Hash of its route.
     pub route: u64,
     /// Whether its run would be lost if its endpoint ended.
@@ -31,7 +31,7 @@
 
 /// An answer that speaks of a version.
 #[derive(Clone, Debug, PartialEq)]
-pub(crate) struct Digest {
+pub(crate) struct RolloutAnswer {
     /// Service of the endpoint.
     pub service: String,
     /// Revision of the order.
@@ -58,11 +58,11 @@
 
 /// What is known of the ordered versions, by service.
 #[derive(Debug, Default)]
-pub(crate) struct Gates {
+pub(crate) struct RolloutGates {
     gates: BTreeMap<String, Gate>,
 }
 
-impl Gates {
+impl RolloutGates {
     /// Takes a new order, which replaces an earlier one of its service.
     pub fn order(&mut self, order: Order) {
         let service = order.service.clone();
@@ -89,13 +89,13 @@
     }
 
     /// What an answer of an endpoint says of a roll-out, if one is under way.
-    pub fn reported(
+    pub fn answer_report(
         &self,
         placement: &Placement,
         service: &str,
         route: u64,
         answer: Answer,
-    ) -> Option<Digest> {
+    ) -> Option<RolloutAnswer> {
         let order = self.under_way(service)?.order();
         if placement.is_cold {
             return None;
@@ -104,7 +104,7 @@
             true => Side::New,
             false => Side::Old,
         };
-        Some(Digest {
+        Some(RolloutAnswer {
             service: service.to_string(),
             revision: order.revision,
             route,
@@ -128,21 +128,21 @@
         now: Duration,
         work: &Work,
         exclusion: Exclusion,
-        asked: Asked,
+        traits: RequestTraits,
     ) -> Option<Placement> {
-        let lane = self.lane(now, work, exclusion, asked);
-        let mut placed = self.choose_in(now, work, exclusion, &lane, asked.home_region);
+        let lane = self.lane(now, work, exclusion, traits);
+        let mut placed = self.choose_in(now, work, exclusion, &lane, traits.home_region);
         if let (None, Lane::Only(version)) = (&placed, &lane) {
             let elsewhere = match self.gates.under_way(&work.service) {
                 Some(_) => Lane::Not(version.clone()),
                 // Endpoints may have been replaced by a later version without an order.
                 None => Lane::Any,
             };
-            placed = self.choose_in(now, work, exclusion, &elsewhere, asked.home_region);
+            placed = self.choose_in(now, work, exclusion, &elsewhere, traits.home_region);
         }
         if let (Some(gate), Some(placement)) = (self.gates.gates.get_mut(&work.service), &placed) {
             let is_new = placement.version.as_ref() == Some(&gate.order().version);
-            gate.note(asked.route, is_new);
+            gate.note(traits.route, is_new);
         }
         placed
     }
@@ -162,19 +162,25 @@
             Lane::Not(version) => Versions::Not(version),
             Lane::Only(version) if is_sampled => {
                 let old = self
-                    .board
+                    .balancer
                     .ready_count(now, &work.service, Versions::Not(version));
-                let few = (old as f64 * SAMPLED_PART).ceil() as usize;
-                Versions::Few(version, few.max(LEAST_SAMPLED))
+                let few = (old as f64 * SAMPLED_FRACTION).ceil() as usize;
+                Versions::Few(version, few.max(MIN_SAMPLED))
             }
             Lane::Only(version) => Versions::Only(version),
         };
         let rng = &mut self.rng;
-        self.board
+        self.balancer
             .choose_from(home_region, now, work, exclusion, versions, rng)
     }
 
-    fn lane(&mut self, now: Duration, work: &Work, exclusion: Exclusion, asked: Asked) -> Lane {
+    fn lane(
+        &mut self,
+        now: Duration,
+        work: &Work,
+        exclusion: Exclusion,
+        traits: RequestTraits,
+    ) -> Lane {
         let allowance = Allowance {
             fraction: f64::from(self.settings.exposure_milli) / 1000.0,
             extra: f64::from(self.settings.exposure_extra),
@@ -186,12 +192,12 @@
         // Nothing is known of the order: it was decided before this process began, if no old endpoint is left.
         let version = &gate.order().version;
         let old = Versions::Not(version);
-        if gate.stage(now).is_none() && self.board.ready_count(now, &work.service, old) == 0 {
+        if gate.stage(now).is_none() && self.balancer.ready_count(now, &work.service, old) == 0 {
             return Lane::Any;
         }
         let request = Request {
-            route: asked.route,
-            runs_long: asked.is_lost_when_cut,
+            route: traits.route,
+            runs_long: traits.is_lost_when_cut,
             is_repeat: !exclusion.tried.is_empty(),
         };
         gate.lane(now, allowance, request, self.rng.random())
--- a/components/gateway/tests/common/mod.rs
+++ b/components/gateway/tests/common/mod.rs
@@ -16,7 +16,7 @@
 
 use directory::{Configuration, Endpoint, EndpointState, Execution, Route, Service, Share, Tenant};
 use gateway::ports::{
-    AnswerHead, AttemptHead, CallerHead, Dialect, EndpointLoad, HeadFault, LimitSaid,
+    AnswerHead, AttemptHead, CallerHead, Dialect, EndpointLoad, HeadFault, ReportedLimit,
 };
 use gateway::{Clock, Gateway, Parts};
 use http::{request, HeaderMap, HeaderValue, StatusCode};
@@ -103,10 +103,13 @@
             leaving: fields.contains_key("x-leaving"),
             pause: number(fields, "x-pause-ms").map(|ms| Ok(Duration::from_millis(ms))),
             limit: match text(fields, "x-limit") {
-                None => LimitSaid::NoLimit,
+                None => ReportedLimit::NoLimit,
                 Some(text) => {
                     let rate = text.parse().ok().and_then(SendRate::from_per_s);
-                    rate.map_or(LimitSaid::Fault(HeadFault("no rate")), LimitSaid::Limit)
+                    rate.map_or(
+                        ReportedLimit::Fault(HeadFault("no rate")),
+                        ReportedLimit::Limit,
+                    )
                 }
             },
         }
--- a/components/gateway/tests/days.rs
+++ b/components/gateway/tests/days.rs
@@ -6,7 +6,7 @@
 
 use std::time::Duration;
 
-use gateway::Day;
+use gateway::WallClockEstimate;
 use quickcheck::quickcheck;
 
 const S: i64 = 1_000_000;
@@ -17,54 +17,68 @@
 
 #[test]
 fn a_clock_that_jumps_and_comes_back_changes_nothing_even_alone() {
-    let mut day = Day::new(100 * S);
-    let look = day.look(s(10), 104 * S);
-    assert_eq!((look.believed_us, look.jumped_us), (100 * S, Some(4 * S)));
-    assert_eq!(day.look(s(11), 104 * S).jumped_us, None, "told once");
-    let back = day.look(s(18), 100 * S + 20);
-    assert_eq!((back.believed_us, back.jumped_us), (100 * S + 20, None));
+    let mut day = WallClockEstimate::new(100 * S);
+    let look = day.observe_reading(s(10), 104 * S);
+    assert_eq!((look.estimated_us, look.jumped_us), (100 * S, Some(4 * S)));
+    assert_eq!(
+        day.observe_reading(s(11), 104 * S).jumped_us,
+        None,
+        "told once"
+    );
+    let back = day.observe_reading(s(18), 100 * S + 20);
+    assert_eq!((back.estimated_us, back.jumped_us), (100 * S + 20, None));
 }
 
 #[test]
 fn a_clock_that_stays_where_it_jumped_to_is_believed_after_a_while() {
-    let mut day = Day::new(0);
-    day.look(s(10), 4 * S);
-    assert_eq!(day.look(s(129), 4 * S).believed_us, 0);
-    assert_eq!(day.look(s(130), 4 * S).believed_us, 4 * S);
+    let mut day = WallClockEstimate::new(0);
+    day.observe_reading(s(10), 4 * S);
+    assert_eq!(day.observe_reading(s(129), 4 * S).estimated_us, 0);
+    assert_eq!(day.observe_reading(s(130), 4 * S).estimated_us, 4 * S);
 }
 
 #[test]
 fn a_clock_that_stays_away_from_all_others_is_outvoted_for_good() {
-    let mut day = Day::new(0);
+    let mut day = WallClockEstimate::new(0);
     for second in 1..600 {
         day.receive(s(second), "a", 5);
         day.receive(s(second), "b", 7);
-        assert!(day.look(s(second), 4 * S).believed_us <= 7, "{second}");
+        assert!(
+            day.observe_reading(s(second), 4 * S).estimated_us <= 7,
+            "{second}"
+        );
     }
 }
 
 #[test]
 fn a_process_that_starts_while_its_clock_is_wrong_believes_the_others_once_heard() {
-    let mut day = Day::new(-5 * S);
-    assert_eq!(day.look(s(0), -5 * S).believed_us, -5 * S);
+    let mut day = WallClockEstimate::new(-5 * S);
+    assert_eq!(day.observe_reading(s(0), -5 * S).estimated_us, -5 * S);
     day.receive(s(1), "a", 3);
     day.receive(s(1), "b", 4);
-    assert_eq!(day.look(s(1), -5 * S).believed_us, 3);
-    assert_eq!(day.look(s(60), -5 * S).believed_us, -5 * S, "alone again");
+    assert_eq!(day.observe_reading(s(1), -5 * S).estimated_us, 3);
+    assert_eq!(
+        day.observe_reading(s(60), -5 * S).estimated_us,
+        -5 * S,
+        "alone again"
+    );
 }
 
 #[test]
 fn corrections_of_a_clock_that_goes_on_are_followed() {
-    let mut day = Day::new(0);
+    let mut day = WallClockEstimate::new(0);
     for step in 1..=100 {
         let offset = step * 100_000;
-        assert_eq!(day.look(s(step as u64), offset).believed_us, offset);
+        assert_eq!(
+            day.observe_reading(s(step as u64), offset).estimated_us,
+            offset
+        );
     }
 }
 
 quickcheck! {
     fn whatever_a_minority_says_the_belief_is_within_what_the_others_say(wrong: Vec<i64>, right: Vec<u8>) -> bool {
-        let mut day = Day::new(0);
+        let mut day = WallClockEstimate::new(0);
         let wrong = wrong.into_iter().take(right.len());
         for (i, offset) in wrong.enumerate() {
             day.receive(s(1), &format!("wrong {i}"), offset);
@@ -72,7 +86,7 @@
         for (i, offset) in right.iter().enumerate() {
             day.receive(s(1), &format!("right {i}"), i64::from(*offset));
         }
-        let believed = day.look(s(1), 0).believed_us;
+        let believed = day.observe_reading(s(1), 0).estimated_us;
         (0..=255).contains(&believed)
     }
 }
--- a/components/gateway/tests/listing.rs
+++ b/components/gateway/tests/listing.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use gateway::listing::{may_decide_unlisted, Listing, FIRST_PATIENCE};
+use gateway::listing::{can_decide_without_list, Listing, INITIAL_RESPONSE_TIMEOUT};
 use gateway::ports::{Page, Row, Rows, Topic};
 use replica::Revision;
 
@@ -32,9 +32,9 @@
 fn pages_follow_each_other_and_what_changed_after_the_first_is_asked_for_again() {
     let mut listing = Listing::new(Topic::Endpoints, None);
     assert_eq!(listing.query().after, None);
-    assert!(!listing.take(page(&["a", "b"], 3, true)));
+    assert!(!listing.add_page(page(&["a", "b"], 3, true)));
     assert_eq!(listing.query().after, Some("b"));
-    assert!(listing.take(page(&["c"], 4, false)));
+    assert!(listing.add_page(page(&["c"], 4, false)));
     let rows = listing.into_rows();
     assert_eq!(
         (rows.rows.len(), rows.revision.number, rows.bytes),
@@ -46,36 +46,39 @@
 #[test]
 fn a_page_that_does_not_come_is_asked_for_smaller_later_and_with_more_patience() {
     let mut listing = Listing::new(Topic::Endpoints, Some("h1"));
-    listing.take(page(&["a", "b"], 3, true));
-    let (mut limit, mut patience, mut pause) =
-        (listing.query().limit, FIRST_PATIENCE, Duration::ZERO);
-    while let Some(next) = listing.missed(0.5) {
+    listing.add_page(page(&["a", "b"], 3, true));
+    let (mut limit, mut patience, mut pause) = (
+        listing.query().limit,
+        INITIAL_RESPONSE_TIMEOUT,
+        Duration::ZERO,
+    );
+    while let Some(next) = listing.record_failure(0.5) {
         let query = listing.query();
-        assert!(query.limit < limit && query.patience >= patience && next > pause);
+        assert!(query.limit < limit && query.response_timeout >= patience && next > pause);
         assert_eq!(query.after, Some("b"), "what came is kept");
-        (limit, patience, pause) = (query.limit, query.patience, next);
+        (limit, patience, pause) = (query.limit, query.response_timeout, next);
     }
-    assert!(patience >= FIRST_PATIENCE * 2);
-    assert_eq!(listing.repeats(), 3, "repeats have an end");
+    assert!(patience >= INITIAL_RESPONSE_TIMEOUT * 2);
+    assert_eq!(listing.retries(), 3, "repeats have an end");
 }
 
 #[test]
 fn gateways_whose_pages_did_not_come_ask_again_at_different_times() {
-    let pause = |spread| Listing::new(Topic::Endpoints, None).missed(spread);
+    let pause = |spread| Listing::new(Topic::Endpoints, None).record_failure(spread);
     assert_ne!(pause(0.1), pause(0.9));
 }
 
 #[test]
 fn an_empty_page_is_the_last_one() {
     let mut listing = Listing::new(Topic::Gateways, Some("h1"));
-    assert!(listing.take(page(&[], 3, true)));
+    assert!(listing.add_page(page(&[], 3, true)));
 }
 
 #[test]
 fn a_gateway_whose_list_is_slow_reads_the_endpoints_later_than_one_that_is_refused() {
     let first = |refused| {
         let mut seconds = 0..60;
-        seconds.find(|s| may_decide_unlisted(Duration::from_secs(*s), refused, true))
+        seconds.find(|s| can_decide_without_list(Duration::from_secs(*s), refused, true))
     };
     let (refused, slow) = (first(true).unwrap(), first(false).unwrap());
     assert!(refused >= 1 && slow >= refused * 2, "{refused} s, {slow} s");
@@ -84,7 +87,7 @@
 #[test]
 fn a_gateway_without_the_list_that_hears_nobody_reads_no_endpoints() {
     for refused in [true, false] {
-        assert!(!may_decide_unlisted(
+        assert!(!can_decide_without_list(
             Duration::from_secs(60),
             refused,
             false
@@ -95,10 +98,10 @@
 #[test]
 fn a_list_restarts_if_the_store_is_restored_between_pages() {
     let mut listing = Listing::new(Topic::Endpoints, None);
-    assert!(!listing.take(page(&["a", "b"], 30, true)));
-    assert!(!listing.take(page_in_era(1, &["c"], 20, false)));
+    assert!(!listing.add_page(page(&["a", "b"], 30, true)));
+    assert!(!listing.add_page(page_in_era(1, &["c"], 20, false)));
     assert_eq!(listing.query().after, None);
-    assert!(listing.take(page_in_era(1, &["a", "c"], 20, false)));
+    assert!(listing.add_page(page_in_era(1, &["a", "c"], 20, false)));
     let rows = listing.into_rows();
     assert_eq!(rows.revision, Revision::new(1, 20));
     assert_eq!(rows.rows.len(), 2);
