--- a/components/gateway/src/control/known.rs
+++ b/components/gateway/src/control/known.rs
@@ -24,11 +24,11 @@
 use crate::control::rollouts::Rollouts;
 use crate::control::scaling::Demand;
 use crate::control::{Echoes, PASSED_ON};
-use crate::day::WallClockEstimate;
 use crate::limit_reports::PendingLimits;
 use crate::peers::{Fleet, Listed, Peers};
 use crate::ports::{StoreEra, Topic};
 use crate::tally::{SentRequest, ServiceLoad};
+use crate::wall_clock::WallClockEstimate;
 
 /// Key of the lease's row.
 const LEASE_KEY: &str = "duties";
--- a/components/gateway/src/control/passing.rs
+++ b/components/gateway/src/control/passing.rs
@@ -21,8 +21,8 @@
 use crate::control::deflated::{inflate, Encoded};
 use crate::control::Shared;
 use crate::gossip::{received_revision, reported_era};
-use crate::plain;
 use crate::ports::{Orders, Store, Topic};
+use crate::simple_http;
 
 /// Longest time that a new connection may take.
 const CONNECT_TIME: Duration = Duration::from_millis(300);
@@ -133,7 +133,7 @@
 
     /// Serves the rows known here to other gateways.
     pub async fn pass_on(self: Rc<Self>, listener: TcpListener) {
-        plain::serve(listener, move |request| {
+        simple_http::serve(listener, move |request| {
             let shared = Rc::clone(&self);
             async move { shared.answer_query(request).await }
         })
@@ -144,7 +144,7 @@
         let collected = Limited::new(request.into_body(), MAX_QUERY).collect().await;
         let bytes = collected.map(|body| body.to_bytes()).unwrap_or_default();
         let Ok(query) = schema::decode::<RowsQuery>(&bytes) else {
-            return plain::answer(StatusCode::BAD_REQUEST, Bytes::new());
+            return simple_http::answer(StatusCode::BAD_REQUEST, Bytes::new());
         };
         let topic = topic_of(query.topic);
         let reply = topic.and_then(|topic| self.reply_to(topic, &query));
@@ -155,9 +155,9 @@
         let is_paged = query.most_bytes.is_some();
         let sent = sent.filter(|sent| is_paged || sent.bytes.len() <= MOST_PASSED_ON);
         let Some(sent) = sent else {
-            return plain::answer(StatusCode::NOT_FOUND, Bytes::new());
+            return simple_http::answer(StatusCode::NOT_FOUND, Bytes::new());
         };
-        let mut answer = plain::answer(StatusCode::OK, sent.bytes);
+        let mut answer = simple_http::answer(StatusCode::OK, sent.bytes);
         if sent.is_deflated {
             answer.headers_mut().insert(CONTENT_ENCODING, DEFLATED);
         }
--- a/components/gateway/src/server.rs
+++ b/components/gateway/src/server.rs
@@ -20,8 +20,8 @@
 use tokio::net::{TcpListener, TcpStream};
 
 use crate::caller::{Caller, Watched};
-use crate::plain;
 use crate::ports::Dialect;
+use crate::simple_http;
 use crate::traffic::Traffic;
 
 /// Connections that wait to be accepted.
@@ -243,7 +243,7 @@
     listener: TcpListener,
 ) {
     let was_ready = Cell::new(false);
-    plain::serve(listener, move |_| {
+    simple_http::serve(listener, move |_| {
         let ready = traffic.is_ready();
         if was_ready.replace(ready) != ready {
             info!(traffic.log, "readiness changed"; "ready" => ready);
@@ -252,16 +252,16 @@
             true => StatusCode::OK,
             false => StatusCode::SERVICE_UNAVAILABLE,
         };
-        std::future::ready(plain::answer(status, Bytes::new()))
+        std::future::ready(simple_http::answer(status, Bytes::new()))
     })
     .await;
 }
 
 /// Shows the metrics as text.
 pub(crate) async fn serve_metrics(metrics: Arc<Metrics>, listener: TcpListener) {
-    plain::serve(listener, move |_| {
+    simple_http::serve(listener, move |_| {
         let text = metrics.text();
-        std::future::ready(plain::answer(StatusCode::OK, text.into()))
+        std::future::ready(simple_http::answer(StatusCode::OK, text.into()))
     })
     .await;
 }
