--- a/components/gateway/src/gather.rs
+++ b/components/gateway/src/gather.rs
@@ -1,4 +1,4 @@
-//! Reading a body as a whole into memory that is reserved first.
+//! Reads a complete body into memory that is reserved first.
 
 use std::time::Duration;
 
@@ -11,60 +11,61 @@
 use crate::held::Gathered;
 use crate::room::Room;
 
-/// A body that is read grows by at least this part of itself, so that it is seldom moved.
+/// The buffer grows by at least its size divided by this, so that its contents are seldom moved.
 const GROWTH_DIVISOR: usize = 8;
 
-/// Why a body is not known as a whole.
+/// Reason why a body was not read completely.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum GatherError {
-    /// It is larger than it may be.
+    /// It exceeds the maximum size.
     TooLarge,
-    /// It broke off.
+    /// The connection was lost, or the length was wrong.
     Broken,
-    /// There was no memory in time for so many bytes more.
+    /// The memory for this many more bytes was not available in time.
     NoRoom(u64),
 }
 
 impl Room {
-    /// Reads a body as a whole. Where there is no memory, waits for it as long as `patience` says for the bytes that
-    /// are still needed; without an end if it says nothing. An answer reserves its length before anything of it is read:
-    /// answers that are read in part can then not wait for each other.
+    /// Reads a complete body of at most `max_bytes`. If memory is short, waits for it for the time that
+    /// `wait_time` returns for the number of missing bytes, or without a limit if it is `None`. In that case,
+    /// which is that of answers, the full length is reserved before the first read: otherwise partly read
+    /// answers could wait for each other's memory forever.
     pub async fn gather(
         &self,
         mut body: Incoming,
         mut hold: Reservation,
-        most: usize,
-        patience: Option<&dyn Fn(u64) -> Duration>,
+        max_bytes: usize,
+        wait_time: Option<&dyn Fn(u64) -> Duration>,
     ) -> Result<Gathered, GatherError> {
         let expected = body.size_hint().exact().map(|length| length as usize);
-        if expected.is_some_and(|length| length > most) {
+        if expected.is_some_and(|length| length > max_bytes) {
             return Err(GatherError::TooLarge);
         }
-        if patience.is_none() {
+        if wait_time.is_none() {
             self.reserve(&mut hold, expected.unwrap_or(0) as u64).await;
         }
         let mut bytes: Vec<u8> = Vec::new();
-        let mut latest = None;
+        let mut deadline = None;
         while let Some(frame) = body.frame().await {
             let frame = frame.map_err(|_| GatherError::Broken)?;
             let Ok(data) = frame.into_data() else {
                 continue;
             };
             let length = bytes.len() + data.len();
-            if length > most {
+            if length > max_bytes {
                 return Err(GatherError::TooLarge);
             }
             self.grow_for(&mut hold, length, expected);
-            if let Some(lacks) = (length as u64).checked_sub(hold.bytes()).filter(|n| *n > 0) {
-                let waits = self.reserve(&mut hold, lacks);
-                match patience {
-                    None => waits.await,
-                    Some(patience) => {
+            if let Some(missing) = (length as u64).checked_sub(hold.bytes()).filter(|n| *n > 0) {
+                let reservation = self.reserve(&mut hold, missing);
+                match wait_time {
+                    None => reservation.await,
+                    Some(wait_time) => {
                         let needed = expected.unwrap_or(length).max(length) - bytes.len();
                         let needed = needed as u64;
                         let until =
-                            *latest.get_or_insert_with(|| self.clock.now() + patience(needed));
-                        let waited = self.clock.timeout_at(until, waits);
+                            *deadline.get_or_insert_with(|| self.clock.now() + wait_time(needed));
+                        let waited = self.clock.timeout_at(until, reservation);
                         waited.await.map_err(|_| GatherError::NoRoom(needed))?;
                     }
                 }
@@ -83,15 +84,15 @@
         })
     }
 
-    // Takes more than is needed at once, if there is plenty.
+    // Reserves more than needed if memory is plentiful.
     fn grow_for(&self, hold: &mut Reservation, length: usize, expected: Option<usize>) {
         let held = hold.bytes() as usize;
         if length <= held {
             return;
         }
-        let roomy = held + held / GROWTH_DIVISOR;
+        let grown = held + held / GROWTH_DIVISOR;
         let wanted = length
-            .max(roomy)
+            .max(grown)
             .min(expected.unwrap_or(usize::MAX).max(length));
         hold.grow((wanted - held) as u64);
     }
--- a/components/gateway/src/sends.rs
+++ b/components/gateway/src/sends.rs
@@ -1,7 +1,8 @@
-//! Sends to endpoints that name a limit for all gateways together.
+//! Sends to endpoints that state a rate limit for all gateways together.
 //!
-//! One coordinator keeps the account of such an endpoint, and every send is granted by it: what gateways count for themselves
-//! adds up to more than the limit. Whoever cannot reach the keeper sends nothing there.
+//! One coordinator keeps the account of such an endpoint, and grants every send to it: limits that each
+//! gateway counts by itself would add up to more than the endpoint's limit. A gateway that cannot reach the
+//! keeper of the account sends nothing to that endpoint.
 
 use std::cell::RefCell;
 use std::net::SocketAddr;
@@ -16,40 +17,41 @@
 use telemetry::Counter;
 use topology::Distance;
 
-use crate::decisions::{placed_of, FAR_REPLY_TIME, REPLY_TIME};
+use crate::decisions::{placed_of, OTHER_REGION_REPLY_TIMEOUT, REPLY_TIMEOUT};
 use crate::job::{Job, Progress};
 use crate::limit_reports::{received_limit, report_of_limit};
 use crate::replies::Replies;
 use crate::state::State;
 use crate::traffic::Traffic;
 
-/// A granted send that did not leave by then is lost: later it would count where others were granted the same time.
-const GRANT_LIFE: Duration = Duration::from_millis(250);
-/// Sends that were not granted, after which a request comes to no endpoint a second time that refuses it.
-const MOST_UNGRANTED: usize = 3;
-/// An endpoint whose keeper does not reply, or is not known, is passed over for so long.
-const KEEPER_PAUSE: Duration = Duration::from_millis(250);
+/// A grant that is not used within this time is lost: a later send would add to the sends granted to others
+/// for that time.
+const GRANT_LIFETIME: Duration = Duration::from_millis(250);
+/// After this many refused grants, a request excludes each endpoint that refuses it.
+const MAX_REFUSED_GRANTS: usize = 3;
+/// Time for which an endpoint is skipped whose keeper does not reply or is not known.
+const KEEPER_RETRY_DELAY: Duration = Duration::from_millis(250);
 
-/// Queries that keepers have not replied to yet, and the keepers that coordinators named.
+/// Send queries without a reply yet, and the keepers that coordinators reported.
 #[derive(Debug)]
-pub(crate) struct SendsAsked {
+pub(crate) struct SendQueries {
     pub replies: Replies<SendReply>,
-    // By the hash of the endpoint's start; as many as there may be accounts.
+    // By the endpoint's incarnation hash. At most as many as there can be accounts.
     keepers: RefCell<LruCache<u64, SocketAddr>>,
 }
 
-impl Default for SendsAsked {
+impl Default for SendQueries {
     fn default() -> Self {
-        SendsAsked {
+        SendQueries {
             replies: Replies::default(),
             keepers: RefCell::new(LruCache::unbounded()),
         }
     }
 }
 
-impl SendsAsked {
-    /// A coordinator says who keeps the account of an endpoint's limit, or that nobody does.
-    pub fn note_keeper(&self, start: u64, keeper: Option<SocketAddr>) {
+impl SendQueries {
+    /// Sets the keeper of the account of an endpoint's limit, as reported by a coordinator.
+    pub fn set_keeper(&self, start: u64, keeper: Option<SocketAddr>) {
         let mut keepers = self.keepers.borrow_mut();
         match keeper {
             Some(keeper) => keepers.put(start, keeper),
@@ -65,29 +67,29 @@
     }
 }
 
-/// Who keeps the account of an endpoint's limit.
+/// Gateway that keeps the account of an endpoint's limit.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Keeper {
-    /// This gateway.
+    /// This gateway, with its own address.
     Own(SocketAddr),
-    /// Another coordinator, and where it is asked.
+    /// Another coordinator, with the address for queries.
     Other(SocketAddr),
 }
 
-/// Whether a request may be sent to an endpoint as far as the endpoint's limit goes.
+/// Result of asking whether a request may be sent under the endpoint's rate limit.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub(crate) enum Grant {
-    /// The endpoint named no limit.
+    /// The endpoint stated no limit.
     #[default]
     Unlimited,
-    /// One send was granted at this time.
+    /// One send was granted, at this time.
     Granted(Duration),
-    /// None was granted.
+    /// No send was granted.
     Refused,
 }
 
 impl Keeper {
-    /// Where it is asked.
+    /// Address for queries.
     pub fn address(self) -> SocketAddr {
         match self {
             Keeper::Own(address) | Keeper::Other(address) => address,
@@ -96,8 +98,8 @@
 }
 
 impl State {
-    /// Who keeps the account of an endpoint of a data hall, as far as this gateway knows: a coordinator of that hall that is
-    /// heard, or of any hall if none is.
+    /// The keeper of the account of an endpoint in a data hall, as far as this gateway knows: a live
+    /// coordinator of that hall, chosen by rendezvous hashing, or one of any hall if there is none.
     pub fn keeper(&self, start: u64, hall: &str) -> Option<Keeper> {
         let all = &self.fleet.keepers;
         let near = all.iter().filter(|keeper| keeper.hall == hall);
@@ -113,7 +115,7 @@
         })
     }
 
-    /// Charges a send to the account that is kept here, or says when to ask again.
+    /// Charges a send to an account that this gateway keeps. The error is the time after which to ask again.
     fn grant(
         &mut self,
         now: Duration,
@@ -131,17 +133,17 @@
 }
 
 impl<D> Traffic<D> {
-    // Has a send granted, if the endpoint named a limit.
-    async fn ask_to_send(&self, job: &Job, placement: &Placement) -> Grant {
+    // Requests a grant for one send, if the endpoint stated a limit.
+    async fn request_grant(&self, job: &Job, placement: &Placement) -> Grant {
         let now = self.clock.now();
         let start = placement.incarnation;
         let (limit, keeper) = {
             let state = self.state.borrow();
             let keeper = match state.fleet.decides {
                 true => state.keeper(start, &placement.hall),
-                false => self.sends_asked.keeper(start).map(Keeper::Other),
+                false => self.send_queries.keeper(start).map(Keeper::Other),
             };
-            (state.board.notices().limit_notice(start), keeper)
+            (state.balancer.notices().limit_notice(start), keeper)
         };
         let Some((rate, limit)) = limit.and_then(|limit| Some((limit.rate?, limit))) else {
             return Grant::Unlimited;
@@ -153,8 +155,8 @@
             }
             Some(Keeper::Other(address)) => self.ask_keeper(address, job, placement, &limit).await,
             None => {
-                self.tell_limit(limit);
-                Err(KEEPER_PAUSE)
+                self.report_limit(limit);
+                Err(KEEPER_RETRY_DELAY)
             }
         };
         info!(self.log, "send asked for"; "id" => &job.head.id, "endpoint" => &placement.endpoint,
@@ -169,14 +171,14 @@
         let now = self.clock.now();
         let mut state = self.state.borrow_mut();
         state
-            .board
+            .balancer
             .notices_mut()
             .record_limit_exhausted(now, start, wait);
         Grant::Refused
     }
 
-    /// Has a send of a job granted; `None` if it is to go elsewhere.
-    pub async fn grant(
+    /// Obtains a grant to send a job to an endpoint; `None` if the job has to be placed again.
+    pub async fn obtain_grant(
         &self,
         job: &Job,
         progress: &mut Progress,
@@ -185,31 +187,35 @@
         if !self.is_limited(placement) {
             return Some(Grant::Unlimited);
         }
-        // Boxed, so that it takes memory only where there is a limit.
-        let grant = Box::pin(self.ask_to_send(job, placement)).await;
+        // Boxed, so that it takes memory only for endpoints with a limit.
+        let grant = Box::pin(self.request_grant(job, placement)).await;
         if grant != Grant::Refused {
             return Some(grant);
         }
         progress.ungranted += 1;
-        if progress.ungranted >= MOST_UNGRANTED {
+        if progress.ungranted >= MAX_REFUSED_GRANTS {
             progress.tried.push(placement.endpoint.clone());
         }
         None
     }
 
-    /// Whether a send is still granted. Looked at last: the endpoint may have named its limit meanwhile, and a process that
-    /// stood still holds a grant of another time.
+    /// Whether a grant is still valid. Checked right before a send: the endpoint may have stated a limit in
+    /// the meantime, and a process that was suspended may hold an expired grant.
     pub fn is_granted(&self, placement: &Placement, grant: Grant) -> bool {
         match grant {
             Grant::Refused => false,
-            Grant::Granted(at) => self.clock.now() < at + GRANT_LIFE,
+            Grant::Granted(at) => self.clock.now() < at + GRANT_LIFETIME,
             Grant::Unlimited => !self.is_limited(placement),
         }
     }
 
     fn is_limited(&self, placement: &Placement) -> bool {
         let state = self.state.borrow();
-        state.board.notices().limit(placement.incarnation).is_some()
+        state
+            .balancer
+            .notices()
+            .limit(placement.incarnation)
+            .is_some()
     }
 
     async fn ask_keeper(
@@ -219,7 +225,7 @@
         placement: &Placement,
         limit: &LimitNotice,
     ) -> Result<(), Duration> {
-        let replies = &self.sends_asked.replies;
+        let replies = &self.send_queries.replies;
         let number = replies.next_number();
         let query = SendQuery {
             number,
@@ -234,16 +240,16 @@
         };
         let reply = replies.expect(number);
         self.send_decision(&message, keeper).await;
-        let reply_time = match self.is_beyond_region(&placement.hall) {
-            true => FAR_REPLY_TIME,
-            false => REPLY_TIME,
+        let reply_timeout = match self.is_in_other_region(&placement.hall) {
+            true => OTHER_REGION_REPLY_TIMEOUT,
+            false => REPLY_TIMEOUT,
         };
-        let Some(reply) = replies.within(reply_time, number, reply).await else {
-            return Err(KEEPER_PAUSE);
+        let Some(reply) = replies.within(reply_timeout, number, reply).await else {
+            return Err(KEEPER_RETRY_DELAY);
         };
         let now = self.clock.now();
         if let Some(known) = received_limit(now, &reply.limit) {
-            self.take_limit(&known);
+            self.record_limit(&known);
         }
         match reply.retry_ms {
             None => Ok(()),
@@ -251,42 +257,49 @@
         }
     }
 
-    /// Takes what an endpoint said of its limit, here or to another gateway. Says whether it is news.
-    pub fn take_limit(&self, limit: &LimitNotice) -> bool {
+    /// Records a limit that an endpoint stated to this or another gateway. Returns whether it was news.
+    pub fn record_limit(&self, limit: &LimitNotice) -> bool {
         let mut state = self.state.borrow_mut();
-        state.board.notices_mut().record_limit(limit)
+        state.balancer.notices_mut().record_limit(limit)
     }
 
-    /// Tells those who place requests of a limit.
-    pub fn tell_limit(&self, limit: LimitNotice) {
+    /// Queues a limit for the coordinators: in the next tally on a coordinator, in the next query on other
+    /// gateways.
+    pub fn report_limit(&self, limit: LimitNotice) {
         let mut state = self.state.borrow_mut();
         match state.fleet.decides {
             true => state.tally.limits.push(limit),
-            false => self.untold_limits.borrow_mut().push(limit),
+            false => self.pending_limits.borrow_mut().push(limit),
         }
     }
 
-    fn is_beyond_region(&self, hall: &str) -> bool {
+    fn is_in_other_region(&self, hall: &str) -> bool {
         let state = self.state.borrow();
-        let topology = state.board.network_costs().topology();
+        let topology = state.balancer.network_costs().topology();
         topology.distance(hall) == Distance::OtherRegion
     }
 
-    /// Answers a gateway that asks to send to an endpoint whose account is kept here.
+    /// Answers a send query about an endpoint whose account this gateway keeps. A gateway that is not the
+    /// keeper refuses the send for now. Returns `None` on a gateway that is not a coordinator, or if the
+    /// reported limit is invalid.
     pub fn answer_send(&self, query: &SendQuery) -> Option<SendReply> {
         let now = self.clock.now();
         let asked = received_limit(now, &query.limit)?;
         let start = asked.start;
-        self.take_limit(&asked);
+        self.record_limit(&asked);
         let mut state = self.state.borrow_mut();
         if !state.fleet.decides {
             return None;
         }
-        let known = state.board.notices().limit_notice(start).unwrap_or(asked);
+        let known = state
+            .balancer
+            .notices()
+            .limit_notice(start)
+            .unwrap_or(asked);
         let keeps = matches!(state.keeper(start, &query.hall), Some(Keeper::Own(_)));
         let granted = match known.rate {
             None => Ok(()),
-            Some(_) if !keeps => Err(KEEPER_PAUSE),
+            Some(_) if !keeps => Err(KEEPER_RETRY_DELAY),
             Some(rate) => state.grant(now, start, rate, query.urgent),
         };
         drop(state);
@@ -300,8 +313,9 @@
         })
     }
 
-    /// Takes what a coordinator says of the limit of the endpoint that it placed a request on, and who keeps its account.
-    pub fn take_placed_limit(&self, reply: &DecisionReply) {
+    /// Records the limit of the endpoint that a coordinator placed a request on, and the keeper of its
+    /// account.
+    pub fn record_placed_limit(&self, reply: &DecisionReply) {
         let placed = reply.placed.as_ref();
         let Some(report) = placed.and_then(|placed| placed.limit.as_ref()) else {
             return;
@@ -311,15 +325,15 @@
         };
         let keeper = placed.and_then(|placed| placed.keeper.as_ref());
         let keeper = keeper.and_then(|keeper| keeper.parse().ok());
-        self.sends_asked.note_keeper(limit.start, keeper);
-        self.take_limit(&limit);
+        self.send_queries.set_keeper(limit.start, keeper);
+        self.record_limit(&limit);
     }
 
-    /// A placement as it is reported, with the limit of its endpoint and who grants the send.
+    /// Encodes a placement for a message, with the limit of its endpoint and the keeper that grants sends.
     pub fn placed_with_limit(&self, now: Duration, placement: &Placement) -> PlacedAt {
         let state = self.state.borrow();
         let start = placement.incarnation;
-        let Some(limit) = state.board.notices().limit_notice(start) else {
+        let Some(limit) = state.balancer.notices().limit_notice(start) else {
             return placed_of(placement);
         };
         let keeper = limit
--- a/components/gateway/src/plain.rs
+++ b/components/gateway/src/simple_http.rs
@@ -1,4 +1,4 @@
-//! Small answers over HTTP to those that run the gateway, or to other gateways.
+//! Small HTTP server for readiness, metrics and requests of other gateways.
 
 use std::convert::Infallible;
 use std::future::Future;
@@ -14,12 +14,12 @@
 use hyper_util::rt::{TokioIo, TokioTimer};
 use tokio::net::TcpListener;
 
-/// Pause after a failed accept.
-const ACCEPT_PAUSE: Duration = Duration::from_millis(20);
-/// Longest time a head may take, which also bounds how long a connection rests.
-const HEAD_TIME: Duration = Duration::from_secs(15);
-/// Connections open at once.
-const MOST_OPEN: usize = 128;
+/// Delay after a failed accept.
+const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(20);
+/// Maximum time to receive a request head, which also bounds how long a connection is idle.
+const HEADER_READ_TIMEOUT: Duration = Duration::from_secs(15);
+/// Maximum number of open connections.
+const MAX_CONNECTIONS: usize = 128;
 
 /// Answers every request on a listener until the runtime ends.
 pub(crate) async fn serve<H, F>(listener: TcpListener, handler: H)
@@ -28,14 +28,14 @@
     F: Future<Output = Response<Full<Bytes>>> + 'static,
 {
     let handler = Rc::new(handler);
-    // Each connection holds a clone while it is open.
+    // Each open connection holds a clone.
     let open = Rc::new(());
     loop {
         let Ok((stream, _)) = listener.accept().await else {
-            tokio::time::sleep(ACCEPT_PAUSE).await;
+            tokio::time::sleep(ACCEPT_RETRY_DELAY).await;
             continue;
         };
-        if Rc::strong_count(&open) > MOST_OPEN {
+        if Rc::strong_count(&open) > MAX_CONNECTIONS {
             continue;
         }
         let (handler, open) = (Rc::clone(&handler), Rc::clone(&open));
@@ -47,7 +47,7 @@
             let mut builder = Builder::new();
             builder
                 .timer(TokioTimer::new())
-                .header_read_timeout(HEAD_TIME);
+                .header_read_timeout(HEADER_READ_TIMEOUT);
             let _ = builder
                 .serve_connection(TokioIo::new(stream), service)
                 .await;
@@ -56,7 +56,7 @@
     }
 }
 
-/// An answer with a body.
+/// A response with a body.
 pub(crate) fn answer(status: StatusCode, body: Bytes) -> Response<Full<Bytes>> {
     let mut answer = Response::new(Full::new(body));
     *answer.status_mut() = status;
--- a/components/gateway/src/state.rs
+++ b/components/gateway/src/state.rs
@@ -1,4 +1,4 @@
-//! Everything the traffic thread decides from.
+//! State of the traffic thread that its decisions are based on.
 
 use std::collections::BTreeMap;
 use std::rc::Rc;
@@ -19,48 +19,48 @@
 use crate::link_parts::link_parts;
 use crate::peers::Fleet;
 use crate::pool::Pool;
-use crate::tally::{Sent, ServiceLoad, Tally};
-use crate::versions::{Asked, Gates};
+use crate::tally::{SentRequest, ServiceLoad, Tally};
+use crate::versions::{RequestTraits, RolloutGates};
 
-/// Everything the traffic thread decides from.
+/// State of the traffic thread that its decisions are based on.
 #[derive(Debug)]
 pub(crate) struct State {
-    pub board: Balancer,
-    // Whether the board holds all endpoints.
+    pub balancer: Balancer,
+    // Whether the balancer has all endpoints.
     pub endpoints_known: bool,
     pub directory: Option<Rc<Directory>>,
     pub pool: Pool,
     pub quotas: BTreeMap<String, SharedQuota>,
-    pub repeats: BTreeMap<String, RetryBudget>,
+    pub retry_budgets: BTreeMap<String, RetryBudget>,
     pub tally: Tally,
     pub fleet: Fleet,
-    // The most gateways that were ever known.
-    most_gateways: usize,
+    // Largest number of gateways known at any time since the start.
+    max_known_gateways: usize,
     pub rng: ChaCha8Rng,
     pub settings: Arc<GatewaySettings>,
-    pub gates: Gates,
+    pub gates: RolloutGates,
     pub quarantine: Quarantine,
     pub cuts: Cuts,
-    /// Accounts of endpoints that name limits, those that this gateway keeps.
+    /// Send accounts that this gateway keeps, of endpoints with a stated limit.
     pub accounts: SendAccounts,
 }
 
 impl State {
-    /// Nothing known yet.
+    /// Initial state, without a configuration or endpoints.
     pub fn new(settings: Arc<GatewaySettings>, ledger: &Ledger) -> Self {
         let mut state = State {
-            board: board_of(&settings),
+            balancer: balancer_of(&settings),
             endpoints_known: false,
             directory: None,
             pool: Pool::new(ledger),
             quotas: BTreeMap::new(),
-            repeats: BTreeMap::new(),
+            retry_budgets: BTreeMap::new(),
             tally: Tally::default(),
             fleet: Fleet::default(),
-            most_gateways: 1,
+            max_known_gateways: 1,
             rng: ChaCha8Rng::from_rng(&mut rand::rng()),
             settings,
-            gates: Gates::default(),
+            gates: RolloutGates::default(),
             quarantine: Quarantine::default(),
             cuts: Cuts::default(),
             accounts: SendAccounts::default(),
@@ -69,45 +69,48 @@
         state
     }
 
-    /// Gives units of a team's limit back that were charged here and not used.
+    /// Returns units of a team's limit that were charged here and not used.
     pub fn give_back(&mut self, now: Duration, team: &str, units: u64) {
         if let Some(quota) = self.quotas.get_mut(team) {
             quota.give_back(now, units);
         }
     }
 
-    /// Places a request of another gateway, if some endpoint takes work.
-    pub fn place_for_other(
+    /// Places a request of another gateway, if an endpoint accepts work. `excluded` and `closed` are hashes of
+    /// endpoints.
+    pub fn place_for_peer(
         &mut self,
         now: Duration,
         work: &Work,
         excluded: &[i64],
         closed: &[i64],
-        asked: Asked,
+        traits: RequestTraits,
     ) -> Option<Placement> {
         let (tried, closed) = (self.ids_of(excluded), self.ids_of(closed));
         let exclusion = Exclusion {
             tried: &tried,
             closed: &closed,
-            // Pauses were asked of the gateway that sends it, not of this one.
+            // Pauses were asked of the gateway that sends the request, not of this one.
             sent_here: false,
         };
-        let mut placement = self.choose(now, work, exclusion, asked)?;
-        self.board.placed_for_peer(now, work, &placement);
-        self.tally.sent.push(sent_of(now, &placement));
+        let mut placement = self.choose(now, work, exclusion, traits)?;
+        self.balancer.placed_for_peer(now, work, &placement);
+        self.tally.sent.push(sent_request(now, &placement));
         if self.gates.under_way(&work.service).is_none() {
             placement.version = None;
         }
         Some(placement)
     }
 
-    // Ids of those endpoints here that go by these hashes.
+    // Ids of the known endpoints with these hashes.
     fn ids_of(&self, hashes: &[i64]) -> Vec<String> {
         let hashes = hashes.iter().map(|hash| *hash as u64);
-        hashes.filter_map(|hash| self.board.id_of(hash)).collect()
+        hashes
+            .filter_map(|hash| self.balancer.id_of(hash))
+            .collect()
     }
 
-    /// Picks one of a route's services by weight.
+    /// Picks one of a route's services at random, by weight.
     pub fn pick_service(&mut self, split: &[directory::Share]) -> Option<String> {
         let total: u64 = split.iter().map(|share| u64::from(share.weight)).sum();
         if split.len() < 2 || total == 0 {
@@ -124,19 +127,19 @@
         None
     }
 
-    /// Counts a request of a service.
+    /// Adds a request to the retry budget of a service.
     pub fn count_request(&mut self, now: Duration, service: &str) {
-        let terms = self.repeat_terms();
-        let budgets = &mut self.repeats;
+        let terms = self.retry_terms();
+        let budgets = &mut self.retry_budgets;
         budgets
             .entry(service.to_string())
             .or_insert_with(|| RetryBudget::new(terms))
             .record_request(now);
     }
 
-    /// Puts a configuration in force.
+    /// Applies a configuration.
     pub fn configure(&mut self, now: Duration, configuration: Arc<Configuration>) {
-        self.board.configure(&configuration);
+        self.balancer.configure(&configuration);
         let part = self.fleet.part;
         let mut quotas = BTreeMap::new();
         for team in &configuration.tenants {
@@ -155,7 +158,8 @@
         self.directory = Some(Rc::new(Directory::new(configuration)));
     }
 
-    // A part of what may be taken beyond the limit evens out the age of the others' gossip.
+    // Rate limit of a team. The burst of a limit in tokens has slack for the age of the other gateways'
+    // reports: a quarter of the configured one.
     fn limit_of(&self, team: &Tenant) -> Option<RateLimit> {
         const SLACK_PART: f64 = 0.25;
         let quota = team.quota?;
@@ -169,10 +173,10 @@
         })
     }
 
-    /// Takes how many gateways there are, and who decides.
+    /// Applies a change of the known gateways and coordinators.
     pub fn set_fleet(&mut self, now: Duration, fleet: Fleet) {
         let part = fleet.part;
-        self.most_gateways = self.most_gateways.max(fleet.gateways);
+        self.max_known_gateways = self.max_known_gateways.max(fleet.gateways);
         self.fleet = fleet;
         for quota in self.quotas.values_mut() {
             quota.set_part(now, part);
@@ -180,27 +184,26 @@
         self.set_link_parts(now);
     }
 
-    /// Takes new settings.
     pub fn set_settings(&mut self, now: Duration, settings: Arc<GatewaySettings>) {
         self.settings = settings;
         let kbit = self.settings.region_link_kbit.max(0) as u64;
-        self.board.network_costs_mut().set_link_rate(kbit);
+        self.balancer.network_costs_mut().set_link_rate(kbit);
         self.set_link_parts(now);
     }
 
     fn set_link_parts(&mut self, now: Duration) {
         let kbit = self.settings.region_link_kbit.max(0) as u64;
         let parts = link_parts(
-            self.board.network_costs().topology(),
+            self.balancer.network_costs().topology(),
             kbit,
             self.fleet.decides,
-            self.most_gateways,
+            self.max_known_gateways,
         );
-        self.board.set_link_rates(now, &parts);
+        self.balancer.set_link_rates(now, &parts);
     }
 
-    /// What repeats are allowed.
-    pub fn repeat_terms(&self) -> RetryTerms {
+    /// Terms of the retry budgets, from the settings.
+    pub fn retry_terms(&self) -> RetryTerms {
         RetryTerms {
             ratio: f64::from(self.settings.repeats_milli) / 1000.0,
             extra: f64::from(self.settings.repeats_extra),
@@ -208,7 +211,7 @@
         }
     }
 
-    /// Loads of the services whose endpoints are ordered.
+    /// Loads of the services that are scaled.
     pub fn loads(&mut self, now: Duration) -> BTreeMap<String, ServiceLoad> {
         let Some(directory) = self.directory.clone() else {
             return BTreeMap::new();
@@ -218,9 +221,9 @@
         scaled
             .map(|(name, _)| {
                 let load = ServiceLoad {
-                    halls: self.board.occupancy(now, name),
-                    has_engines: self.board.has_engines(name),
-                    learnt: self.board.learnt(name),
+                    halls: self.balancer.occupancy(now, name),
+                    has_engines: self.balancer.has_engines(name),
+                    engine_stats: self.balancer.learnt(name),
                 };
                 (name.clone(), load)
             })
@@ -228,17 +231,17 @@
     }
 }
 
-fn board_of(settings: &GatewaySettings) -> Balancer {
+fn balancer_of(settings: &GatewaySettings) -> Balancer {
     let topology = Topology::new(&settings.zone, &settings.region, &settings.halls);
-    let mut board = Balancer::with_topology(topology);
+    let mut balancer = Balancer::with_topology(topology);
     let kbit = settings.region_link_kbit.max(0) as u64;
-    board.network_costs_mut().set_link_rate(kbit);
-    board
+    balancer.network_costs_mut().set_link_rate(kbit);
+    balancer
 }
 
-/// A request as the others are reported it.
-pub(crate) fn sent_of(now: Duration, placement: &Placement) -> Sent {
-    Sent {
+/// The record of a sent request for the other gateways.
+pub(crate) fn sent_request(now: Duration, placement: &Placement) -> SentRequest {
+    SentRequest {
         endpoint: placement.incarnation,
         unread_tokens: placement.unread_tokens,
         shared_prompt: placement.shared_prompt,
--- a/components/gateway/src/versions.rs
+++ b/components/gateway/src/versions.rs
@@ -1,4 +1,4 @@
-//! Which version of a service's software runs a request while a roll-out is ordered.
+//! Choice of the software version that runs a request while a roll-out is ordered.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -11,59 +11,60 @@
 
 use crate::state::State;
 
-/// Fewest endpoints of the ordered version that get a part of the requests: one of them that is ill is then distinguished
-/// from a bad version.
-const LEAST_SAMPLED: usize = 3;
-/// Part of the old endpoints as many of the ordered version get a part of the requests: as small as that part, so
-/// that they are loaded as the old ones are.
-const SAMPLED_PART: f64 = 0.05;
+/// Minimum number of endpoints of the ordered version that get a sample of the requests: with three, one
+/// faulty endpoint can be told from a bad version.
+const MIN_SAMPLED: usize = 3;
+/// Number of sampled endpoints of the ordered version, as a fraction of the old endpoints. It is as small as
+/// the sample of the requests, so that they carry the same load as the old ones.
+const SAMPLED_FRACTION: f64 = 0.05;
 
-/// What matters of a request for the version that runs it.
+/// Properties of a request that decide which version runs it.
 #[derive(Clone, Copy, Debug)]
-pub(crate) struct Asked {
+pub(crate) struct RequestTraits {
     /// Hash of its route.
     pub route: u64,
-    /// Whether its run would be lost if its endpoint ended.
+    /// Whether its run is lost if its endpoint ends.
     pub is_lost_when_cut: bool,
-    /// Place of the region that it comes from, 0 for the own one.
+    /// Index of the region that it comes from, 0 for the own region.
     pub home_region: usize,
 }
 
-/// An answer that speaks of a version.
+/// Result of a request at an endpoint of a known version, as evidence for a roll-out.
 #[derive(Clone, Debug, PartialEq)]
-pub(crate) struct Digest {
+pub(crate) struct RolloutAnswer {
     /// Service of the endpoint.
     pub service: String,
-    /// Revision of the order.
+    /// Revision of the roll-out order.
     pub revision: u64,
     /// Hash of the request's route.
     pub route: u64,
-    /// Its version.
+    /// Whether the endpoint runs the ordered or an old version.
     pub side: Side,
-    /// Hash of the endpoint.
+    /// Incarnation hash of the endpoint.
     pub endpoint: u64,
-    /// How it answered.
+    /// Result of the request.
     pub answer: Answer,
 }
 
-/// Hash under which gateways name a route to each other.
+/// Hash that identifies a route in messages between gateways.
 pub(crate) fn route_hash(name: &str) -> u64 {
     xxh3_64(name.as_bytes())
 }
 
-/// Whether a run on a route is lost if its endpoint ends: it takes long, and no other endpoint can go on with it.
+/// Whether a run on a route is lost if its endpoint ends: it takes long, and no other endpoint can continue
+/// it.
 pub(crate) fn is_lost_when_cut(route: &Route) -> bool {
     route.execution.is_stream() && !route.execution.is_repeatable()
 }
 
-/// What is known of the ordered versions, by service.
+/// Roll-out gates by service.
 #[derive(Debug, Default)]
-pub(crate) struct Gates {
+pub(crate) struct RolloutGates {
     gates: BTreeMap<String, VersionSelector>,
 }
 
-impl Gates {
-    /// Takes a new order, which replaces an earlier one of its service.
+impl RolloutGates {
+    /// Adds a new order, which replaces an earlier one of the same service.
     pub fn order(&mut self, order: Order) {
         let service = order.service.clone();
         self.gates.insert(service, VersionSelector::new(order));
@@ -76,26 +77,27 @@
         }
     }
 
-    /// An order was withdrawn.
+    /// Removes the withdrawn order of a service.
     pub fn withdraw(&mut self, service: &str) {
         self.gates.remove(service);
     }
 
-    /// Takes what the holder said of an order, and when.
+    /// Applies a stage that the lease holder reported at time `at`.
     pub fn receive(&mut self, at: Duration, service: &str, revision: u64, stage: Stage) {
         if let Some(gate) = self.gates.get_mut(service) {
             gate.receive(at, revision, stage);
         }
     }
 
-    /// What an answer of an endpoint says of a roll-out, if one is under way.
-    pub fn reported(
+    /// The evidence that an answer gives for a roll-out, if one is under way and the version of the endpoint
+    /// is known.
+    pub fn answer_report(
         &self,
         placement: &Placement,
         service: &str,
         route: u64,
         answer: Answer,
-    ) -> Option<Digest> {
+    ) -> Option<RolloutAnswer> {
         let order = self.under_way(service)?.order();
         if placement.is_cold {
             return None;
@@ -104,7 +106,7 @@
             true => Side::New,
             false => Side::Old,
         };
-        Some(Digest {
+        Some(RolloutAnswer {
             service: service.to_string(),
             revision: order.revision,
             route,
@@ -122,27 +124,27 @@
 }
 
 impl State {
-    /// Chooses an endpoint, of the version that is to run the request.
+    /// Chooses an endpoint, preferably of the version that the roll-out assigns to the request.
     pub fn choose(
         &mut self,
         now: Duration,
         work: &Work,
         exclusion: Exclusion,
-        asked: Asked,
+        traits: RequestTraits,
     ) -> Option<Placement> {
-        let lane = self.lane(now, work, exclusion, asked);
-        let mut placed = self.choose_in(now, work, exclusion, &lane, asked.home_region);
+        let lane = self.lane(now, work, exclusion, traits);
+        let mut placed = self.choose_in(now, work, exclusion, &lane, traits.home_region);
         if let (None, VersionFilter::Only(version)) = (&placed, &lane) {
             let elsewhere = match self.gates.under_way(&work.service) {
                 Some(_) => VersionFilter::Not(version.clone()),
                 // Endpoints may have been replaced by a later version without an order.
                 None => VersionFilter::Any,
             };
-            placed = self.choose_in(now, work, exclusion, &elsewhere, asked.home_region);
+            placed = self.choose_in(now, work, exclusion, &elsewhere, traits.home_region);
         }
         if let (Some(gate), Some(placement)) = (self.gates.gates.get_mut(&work.service), &placed) {
             let is_new = placement.version.as_ref() == Some(&gate.order().version);
-            gate.record_placement(asked.route, is_new);
+            gate.record_placement(traits.route, is_new);
         }
         placed
     }
@@ -162,15 +164,15 @@
             VersionFilter::Not(version) => Versions::Not(version),
             VersionFilter::Only(version) if is_sampled => {
                 let old = self
-                    .board
+                    .balancer
                     .ready_count(now, &work.service, Versions::Not(version));
-                let few = (old as f64 * SAMPLED_PART).ceil() as usize;
-                Versions::Few(version, few.max(LEAST_SAMPLED))
+                let few = (old as f64 * SAMPLED_FRACTION).ceil() as usize;
+                Versions::Few(version, few.max(MIN_SAMPLED))
             }
             VersionFilter::Only(version) => Versions::Only(version),
         };
         let rng = &mut self.rng;
-        self.board
+        self.balancer
             .choose_from(home_region, now, work, exclusion, versions, rng)
     }
 
@@ -179,7 +181,7 @@
         now: Duration,
         work: &Work,
         exclusion: Exclusion,
-        asked: Asked,
+        traits: RequestTraits,
     ) -> VersionFilter {
         let allowance = Allowance {
             fraction: f64::from(self.settings.exposure_milli) / 1000.0,
@@ -189,15 +191,15 @@
         let Some(gate) = self.gates.gates.get(&work.service) else {
             return VersionFilter::Any;
         };
-        // Nothing is known of the order: it was decided before this process began, if no old endpoint is left.
+        // Without a known stage and without old endpoints, the order was decided before this process started.
         let version = &gate.order().version;
         let old = Versions::Not(version);
-        if gate.stage(now).is_none() && self.board.ready_count(now, &work.service, old) == 0 {
+        if gate.stage(now).is_none() && self.balancer.ready_count(now, &work.service, old) == 0 {
             return VersionFilter::Any;
         }
         let request = Request {
-            route: asked.route,
-            runs_long: asked.is_lost_when_cut,
+            route: traits.route,
+            runs_long: traits.is_lost_when_cut,
             is_repeat: !exclusion.tried.is_empty(),
         };
         gate.select_versions(now, allowance, request, self.rng.random())
