--- a/components/gateway/src/admission.rs
+++ b/components/gateway/src/admission.rs
@@ -10,9 +10,9 @@
 use routing::placement::Work;
 
 use crate::answer::Refusal;
+use crate::buffers::{Gathered, KeptBody};
 use crate::caller::Caller;
 use crate::freshness::Ages;
-use crate::held::{Gathered, KeptBody};
 use crate::job::{Job, ROUTE_RANKS};
 use crate::ports::CallerHead;
 use crate::traffic::Traffic;
--- a/components/gateway/src/answer.rs
+++ b/components/gateway/src/answer.rs
@@ -13,7 +13,7 @@
 use http_body::{Body, Frame, SizeHint};
 use tokio::sync::mpsc;
 
-use crate::held::HeldBytes;
+use crate::buffers::HeldBytes;
 
 /// An answer that ends early; its connection is closed so that it does not look complete.
 #[derive(Clone, Copy, Debug)]
--- a/components/gateway/src/attempt.rs
+++ b/components/gateway/src/attempt.rs
@@ -13,9 +13,9 @@
 use telemetry::Counter;
 use transport::{ConnectionError, FullBody};
 
+use crate::buffers::Gathered;
 use crate::endpoint_run::Run;
 use crate::events::{Event, EventSplitter};
-use crate::held::Gathered;
 use crate::job::{Job, SharedJob};
 use crate::ports::{AnswerHead, AttemptHead, Dialect};
 use crate::sends::Grant;
--- a/components/gateway/src/body.rs
+++ b/components/gateway/src/body.rs
@@ -11,10 +11,10 @@
 
 use crate::admission::{look_up, rank, LAST_RANK};
 use crate::answer::Refusal;
+use crate::buffers::Gathered;
 use crate::caller::Caller;
 use crate::gather::GatherError;
 use crate::handler::UNROUTED_TIME;
-use crate::held::Gathered;
 use crate::ports::{CallerHead, Dialect};
 use crate::traffic::Traffic;
 
--- a/components/gateway/src/connecting.rs
+++ b/components/gateway/src/connecting.rs
@@ -8,9 +8,9 @@
 use transport::Connection;
 
 use crate::attempt::Sending;
+use crate::connection_pool::Unopened;
 use crate::endpoint_run::Run;
 use crate::job::Job;
-use crate::pool::Unopened;
 use crate::ports::Dialect;
 use crate::traffic::Traffic;
 
--- a/components/gateway/src/pool.rs
+++ b/components/gateway/src/connection_pool.rs
@@ -6,7 +6,7 @@
 use memory::{Hold, Kind, Ledger};
 use transport::Connection;
 
-use crate::room::ENDPOINT_CONNECTION;
+use crate::memory_manager::ENDPOINT_CONNECTION;
 
 /// A resting connection is dropped so long before its endpoint would close it.
 const CLOSE_MARGIN: Duration = Duration::from_millis(700);
--- a/components/gateway/src/control.rs
+++ b/components/gateway/src/control.rs
@@ -38,7 +38,6 @@
 use tokio::task::LocalSet;
 use usage::Source;
 
-use crate::alone::Alone;
 use crate::clock::{Clock, Suspensions};
 pub use crate::control::deflated::{inflate, Encoded, LastDeflated};
 pub use crate::control::echoes::{round_trip, Echoes};
@@ -46,6 +45,7 @@
 use crate::control::known::{change_due, PeerAddresses};
 pub(crate) use crate::control::passing::{name_of, topic_of, PASSED_ON};
 use crate::control::region::spread_of;
+use crate::coordinator_contact::Alone;
 use crate::freshness::Freshness;
 use crate::ports::{Orders, Store};
 use crate::run::{ReadSettings, Signals};
--- a/components/gateway/src/decisions.rs
+++ b/components/gateway/src/decisions.rs
@@ -18,7 +18,7 @@
 use crate::job::Job;
 use crate::limit_reports::received_limits;
 use crate::peers::Fleet;
-use crate::replies::Replies;
+use crate::pending_replies::Replies;
 use crate::sights::slowdown_of;
 use crate::traffic::Traffic;
 use crate::versions::Asked;
--- a/components/gateway/src/gather.rs
+++ b/components/gateway/src/gather.rs
@@ -8,8 +8,8 @@
 use hyper::body::Incoming;
 use memory::Hold;
 
-use crate::held::Gathered;
-use crate::room::Room;
+use crate::buffers::Gathered;
+use crate::memory_manager::Room;
 
 /// A body that is read grows by at least this part of itself, so that it is seldom moved.
 const GROWTH_DIVISOR: usize = 8;
--- a/components/gateway/src/handler.rs
+++ b/components/gateway/src/handler.rs
@@ -13,9 +13,9 @@
 
 use crate::answer::{Answer, AnswerBody, Refusal};
 use crate::attempt::Reply;
+use crate::buffers::HeldBytes;
 use crate::caller::Caller;
 use crate::decisions::Outcome;
-use crate::held::HeldBytes;
 use crate::job::{Job, Progress, SharedJob};
 use crate::placing::Nowhere;
 use crate::ports::{CallerHead, Dialect};
--- a/components/gateway/src/job.rs
+++ b/components/gateway/src/job.rs
@@ -9,8 +9,8 @@
 use quarantine::Fingerprint;
 use routing::placement::Work;
 
+use crate::buffers::KeptBody;
 use crate::caller::Caller;
-use crate::held::KeptBody;
 use crate::ports::CallerHead;
 use crate::versions::{is_lost_when_cut, route_hash, Asked};
 
--- a/components/gateway/src/run.rs
+++ b/components/gateway/src/run.rs
@@ -17,9 +17,9 @@
 use tokio::runtime::Builder;
 use tokio::task::LocalSet;
 
-use crate::alone::Alone;
 use crate::clock::Clock;
 use crate::control::{Control, ControlParts, PeerSockets};
+use crate::coordinator_contact::Alone;
 use crate::freshness::Freshness;
 use crate::ports::{Dialect, Orders, Store};
 use crate::server::{bind, bind_std, serve_callers, serve_metrics, serve_readiness};
--- a/components/gateway/src/sends.rs
+++ b/components/gateway/src/sends.rs
@@ -19,7 +19,7 @@
 use crate::decisions::{placed_of, FAR_REPLY_TIME, REPLY_TIME};
 use crate::job::{Job, Progress};
 use crate::limit_reports::{received_limit, report_of_limit};
-use crate::replies::Replies;
+use crate::pending_replies::Replies;
 use crate::state::State;
 use crate::traffic::Traffic;
 
--- a/components/gateway/src/state.rs
+++ b/components/gateway/src/state.rs
@@ -15,10 +15,10 @@
 use schema::settings::GatewaySettings;
 use topology::Topology;
 
-use crate::cut::Cuts;
+use crate::connection_pool::Pool;
+use crate::interrupted::Cuts;
 use crate::link_parts::link_parts;
 use crate::peers::Fleet;
-use crate::pool::Pool;
 use crate::tally::{Sent, ServiceLoad, Tally};
 use crate::versions::{Asked, Gates};
 
--- a/components/gateway/src/stream.rs
+++ b/components/gateway/src/stream.rs
@@ -12,8 +12,8 @@
 
 use crate::answer::Piece;
 use crate::attempt::{Attempted, EventRun, NextEvent, Reply, Sending};
+use crate::buffers::HeldBytes;
 use crate::events::Event;
-use crate::held::HeldBytes;
 use crate::job::{Progress, SharedJob};
 use crate::ports::Dialect;
 use crate::traffic::Traffic;
--- a/components/gateway/src/traffic.rs
+++ b/components/gateway/src/traffic.rs
@@ -12,13 +12,13 @@
 use telemetry::{Counter, Metrics};
 use tokio::sync::Notify;
 
-use crate::alone::Alone;
 use crate::clock::Clock;
+use crate::coordinator_contact::Alone;
 use crate::decisions::Asking;
 use crate::freshness::{Ages, Freshness};
 use crate::job::Job;
 use crate::limit_reports::UntoldLimits;
-use crate::room::Room;
+use crate::memory_manager::Room;
 use crate::sends::SendsAsked;
 use crate::sights::Sights;
 use crate::state::{sent_of, State};
