--- a/components/gateway/src/admission.rs
+++ b/components/gateway/src/admission.rs
@@ -10,7 +10,7 @@
 use routing::placement::Work;
 
 use crate::answer::Refusal;
-use crate::buffers::{Gathered, KeptBody};
+use crate::buffers::{BufferedBody, KeptBody};
 use crate::caller::Caller;
 use crate::freshness::Ages;
 use crate::job::{Job, ROUTE_RANKS};
@@ -20,7 +20,7 @@
 /// Time to come back when the configuration is not confirmed.
 const UNCONFIRMED_RETRY: Duration = Duration::from_millis(300);
 /// Least urgent rank.
-pub(crate) const LAST_RANK: u8 = 9;
+pub(crate) const LEAST_URGENT_RANK: u8 = 9;
 
 impl<D> Traffic<D> {
     /// Finds route and tenant, and what the request takes of the tenant's limit.
@@ -29,16 +29,18 @@
         arrived: Duration,
         parts: request::Parts,
         head: CallerHead,
-        body: Gathered,
+        body: BufferedBody,
         caller: Rc<Caller>,
     ) -> Result<Job, Refusal> {
         let now = self.clock.now();
         let mut state = self.state.borrow_mut();
-        let directory = state.directory.clone().ok_or_else(unconfirmed)?;
+        let directory = state.directory.clone().ok_or_else(unconfirmed_refusal)?;
         let ages = Ages::of(&state.settings);
         let (route, tenant) = match look_up(&directory, &parts, &head) {
             Lookup::Allowed { route, tenant } => (route, tenant),
-            _ if !self.freshness.is_confirmed(now, ages.denials) => return Err(unconfirmed()),
+            _ if !self.freshness.is_confirmed(now, ages.denials) => {
+                return Err(unconfirmed_refusal())
+            }
             Lookup::NoRoute => {
                 return Err(Refusal::not_run(Kind::UnknownRoute, "no route"));
             }
@@ -48,7 +50,7 @@
         };
         let needs_key = directory.needs_key(route);
         if needs_key && !self.freshness.allows_keys(now, ages.keys) {
-            return Err(unconfirmed());
+            return Err(unconfirmed_refusal());
         }
         let service = state.pick_service(&route.split).unwrap_or_default();
         let spec = directory.configuration().services.get(&service);
@@ -111,16 +113,16 @@
 }
 
 /// The configuration is not known to be the newest.
-pub(crate) fn unconfirmed() -> Refusal {
+pub(crate) fn unconfirmed_refusal() -> Refusal {
     let message = "the configuration is not confirmed";
-    Refusal::not_run(Kind::PlatformUnavailable, message).after(UNCONFIRMED_RETRY)
+    Refusal::not_run(Kind::PlatformUnavailable, message).with_retry_after(UNCONFIRMED_RETRY)
 }
 
 /// The rank of the tenant comes before that of the route.
 pub(crate) fn rank(route: &Route, tenant: Option<&Tenant>) -> u8 {
     let tenant = tenant.and_then(|t| t.priority).unwrap_or_default();
     let route = route.priority.min(ROUTE_RANKS - 1);
-    (tenant.saturating_mul(ROUTE_RANKS) + route).min(LAST_RANK)
+    (tenant.saturating_mul(ROUTE_RANKS) + route).min(LEAST_URGENT_RANK)
 }
 
 // Units of its tenant's limit that a request takes.
--- a/components/gateway/src/answer.rs
+++ b/components/gateway/src/answer.rs
@@ -17,15 +17,15 @@
 
 /// An answer that ends early; its connection is closed so that it does not look complete.
 #[derive(Clone, Copy, Debug)]
-pub struct CutOff;
+pub struct TruncatedAnswer;
 
-impl fmt::Display for CutOff {
+impl fmt::Display for TruncatedAnswer {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         write!(f, "the answer ends early")
     }
 }
 
-impl std::error::Error for CutOff {}
+impl std::error::Error for TruncatedAnswer {}
 
 /// The body of an answer. It may keep a value that is dropped when the last byte is written.
 pub(crate) struct AnswerBody {
@@ -38,7 +38,7 @@
     Whole(Option<HeldBytes>),
     /// Passed on as it comes.
     Stream {
-        pieces: mpsc::UnboundedReceiver<Piece>,
+        pieces: mpsc::UnboundedReceiver<BodyPart>,
         /// It was cut off; what came before is to reach the caller first.
         cut: bool,
     },
@@ -46,7 +46,7 @@
 
 /// A piece of an answer that is passed on.
 #[derive(Debug)]
-pub(crate) enum Piece {
+pub(crate) enum BodyPart {
     /// Bytes of the body.
     Data(HeldBytes),
     /// The whole end; a channel that closes without it was cut off.
@@ -63,7 +63,7 @@
     }
 
     /// A body passed on as it comes.
-    pub fn stream(pieces: mpsc::UnboundedReceiver<Piece>) -> Self {
+    pub fn stream(pieces: mpsc::UnboundedReceiver<BodyPart>) -> Self {
         AnswerBody {
             content: Content::Stream { pieces, cut: false },
             guard: None,
@@ -71,32 +71,32 @@
     }
 
     /// Keeps a value until the last byte of the answer is written.
-    pub fn keep(&mut self, value: impl Any) {
+    pub fn set_guard(&mut self, value: impl Any) {
         self.guard = Some(Rc::new(value));
     }
 }
 
 impl Body for AnswerBody {
     type Data = HeldBytes;
-    type Error = CutOff;
+    type Error = TruncatedAnswer;
 
     fn poll_frame(
         self: Pin<&mut Self>,
         context: &mut Context<'_>,
-    ) -> Poll<Option<Result<Frame<HeldBytes>, CutOff>>> {
+    ) -> Poll<Option<Result<Frame<HeldBytes>, TruncatedAnswer>>> {
         let body = self.get_mut();
         // The server takes bytes long before it can write them.
         let keeping = |mut bytes: HeldBytes| {
-            bytes.keep(body.guard.clone());
+            bytes.set_guard(body.guard.clone());
             Ok(Frame::data(bytes))
         };
         match &mut body.content {
             Content::Whole(bytes) => Poll::Ready(bytes.take().map(keeping)),
-            Content::Stream { cut: true, .. } => Poll::Ready(Some(Err(CutOff))),
+            Content::Stream { cut: true, .. } => Poll::Ready(Some(Err(TruncatedAnswer))),
             Content::Stream { pieces, cut } => match pieces.poll_recv(context) {
                 Poll::Pending => Poll::Pending,
-                Poll::Ready(Some(Piece::Data(bytes))) => Poll::Ready(Some(keeping(bytes))),
-                Poll::Ready(Some(Piece::End)) => Poll::Ready(None),
+                Poll::Ready(Some(BodyPart::Data(bytes))) => Poll::Ready(Some(keeping(bytes))),
+                Poll::Ready(Some(BodyPart::End)) => Poll::Ready(None),
                 Poll::Ready(None) => {
                     // The server flushes while it waits, and drops what is unflushed on an error.
                     *cut = true;
@@ -132,7 +132,7 @@
     /// When to come back.
     pub retry_after: Option<Duration>,
     /// Whether the connection closes after the answer.
-    pub closes: bool,
+    pub closes_connection: bool,
 }
 
 impl Refusal {
@@ -141,7 +141,7 @@
         Refusal {
             problem: Problem::not_run(kind, message),
             retry_after: None,
-            closes: false,
+            closes_connection: false,
         }
     }
 
@@ -150,20 +150,20 @@
         Refusal {
             problem: Problem::maybe_run(kind, message),
             retry_after: None,
-            closes: false,
+            closes_connection: false,
         }
     }
 
     /// The same refusal with a time to come back.
-    pub fn after(mut self, pause: Duration) -> Self {
+    pub fn with_retry_after(mut self, pause: Duration) -> Self {
         self.problem.retry_after_ms = Some(pause.as_millis() as u64);
         self.retry_after = Some(pause);
         self
     }
 
     /// The same refusal, after which the connection closes.
-    pub fn closing(mut self) -> Self {
-        self.closes = true;
+    pub fn closing_connection(mut self) -> Self {
+        self.closes_connection = true;
         self
     }
 
@@ -187,7 +187,7 @@
                 fields.insert(RETRY_AFTER, value);
             }
         }
-        if self.closes {
+        if self.closes_connection {
             fields.insert(http::header::CONNECTION, HeaderValue::from_static("close"));
         }
         answer
--- a/components/gateway/src/attempt.rs
+++ b/components/gateway/src/attempt.rs
@@ -13,8 +13,8 @@
 use telemetry::Counter;
 use transport::{ConnectionError, FullBody};
 
-use crate::buffers::Gathered;
-use crate::endpoint_run::Run;
+use crate::buffers::BufferedBody;
+use crate::endpoint_run::EndpointRun;
 use crate::events::{Event, EventSplitter};
 use crate::job::{Job, SharedJob};
 use crate::ports::{AnswerHead, AttemptHead, Dialect};
@@ -38,8 +38,8 @@
 const KEEP_ALIVE: HeaderName = HeaderName::from_static("keep-alive");
 
 /// The events of a stream from one endpoint.
-pub(crate) struct EventRun<D> {
-    pub run: Run<D>,
+pub(crate) struct EndpointStream<D> {
+    pub run: EndpointRun<D>,
     pub keep_alive: Option<Duration>,
     body: Incoming,
     splitter: EventSplitter,
@@ -56,18 +56,18 @@
     Broken,
 }
 
-impl<D> EventRun<D> {
+impl<D> EndpointStream<D> {
     /// Waits for the next event. Cancelling loses nothing.
     pub async fn next(&mut self) -> NextEvent {
         loop {
             if let Some(event) = self.ready.pop_front() {
-                self.run.event();
+                self.run.record_event();
                 return NextEvent::Event(event);
             }
             let frame = match self.body.frame().await {
                 Some(Ok(frame)) => frame,
                 Some(Err(_)) => return NextEvent::Broken,
-                None if self.splitter.has_rest() => return NextEvent::Broken,
+                None if self.splitter.has_partial_event() => return NextEvent::Broken,
                 None => return NextEvent::End,
             };
             let Ok(bytes) = frame.into_data() else {
@@ -84,34 +84,34 @@
 
     /// The stream ended whole.
     pub fn finish(mut self) {
-        self.run.judge(HealthSignal::Healthy);
+        self.run.set_health(HealthSignal::Healthy);
         self.run.finish(self.keep_alive);
     }
 }
 
 /// What an endpoint answered.
-pub(crate) enum Reply<D> {
+pub(crate) enum EndpointAnswer<D> {
     /// An answer known as a whole.
     Whole {
         head: response::Parts,
-        body: Gathered,
+        body: BufferedBody,
     },
     /// A stream whose first event has come.
     Events {
         head: response::Parts,
         first: Event,
-        events: Box<EventRun<D>>,
+        events: Box<EndpointStream<D>>,
     },
 }
 
 /// How an attempt came out.
-pub(crate) enum Attempted<D> {
+pub(crate) enum AttemptOutcome<D> {
     /// An answer of the endpoint.
-    Answered(Reply<D>),
+    Answered(EndpointAnswer<D>),
     /// An answer that says it failed.
     Failed {
         head: response::Parts,
-        body: Gathered,
+        body: BufferedBody,
     },
     /// The endpoint says that it did not run the request.
     NotRun,
@@ -123,12 +123,12 @@
 
 /// What an attempt goes on from.
 #[derive(Clone, Copy, Debug, Default)]
-pub(crate) struct Sending {
+pub(crate) struct SendOptions {
     /// Last event that the caller has of this stream.
     pub last_event: Option<u64>,
     /// Whether the attempt before it met silence: then a connection that rested is not trusted. Open connections may
     /// go silent without a reset, all at once, while new ones work.
-    pub after_silence: bool,
+    pub after_unresponsive: bool,
     /// Whether the limit of the endpoint allows it.
     pub grant: Grant,
 }
@@ -139,15 +139,15 @@
         self: &Rc<Self>,
         job: &SharedJob,
         placement: &Placement,
-        sending: Sending,
-    ) -> Attempted<D> {
+        options: SendOptions,
+    ) -> AttemptOutcome<D> {
         let ended = tokio::select! {
             biased;
-            attempted = self.attempt(job, placement, sending) => return attempted,
-            () = self.restarted(placement) => "the endpoint started again",
+            attempted = self.attempt(job, placement, options) => return attempted,
+            () = self.wait_for_restart(placement) => "the endpoint started again",
         };
-        self.look_after_cut(job, placement).await;
-        Attempted::Lost(ended)
+        self.check_after_interruption(job, placement).await;
+        AttemptOutcome::Lost(ended)
     }
 
     /// Sends a job to the endpoint chosen for it.
@@ -155,60 +155,62 @@
         self: &Rc<Self>,
         job: &SharedJob,
         placement: &Placement,
-        sending: Sending,
-    ) -> Attempted<D> {
-        let mut run = Run {
+        options: SendOptions,
+    ) -> AttemptOutcome<D> {
+        let mut run = EndpointRun {
             traffic: Rc::clone(self),
             ticket: self.note_sent(job, placement),
             connection: None,
             reserved: false,
             answered: false,
-            verdict: None,
+            health: None,
             sent_at: self.clock.now(),
             placement: placement.clone(),
             job: Rc::clone(job),
         };
-        if !self.connect(job, placement, sending, &mut run).await {
-            return Attempted::NotSent;
+        if !self.connect(job, placement, options, &mut run).await {
+            return AttemptOutcome::NotSent;
         }
         // Opening a connection takes a while, in which the VM may be frozen or suspended, and the endpoint say that it wants
         // nothing more, or name a limit.
-        let is_wanted = self.is_wanted(placement) && self.is_granted(placement, sending.grant);
-        if !self.may_still_send(job) || !is_wanted {
-            run.judge(HealthSignal::Inconclusive);
-            return Attempted::NotSent;
+        let is_wanted = self.is_wanted(placement) && self.is_granted(placement, options.grant);
+        if !self.can_still_send(job) || !is_wanted {
+            run.set_health(HealthSignal::Inconclusive);
+            return AttemptOutcome::NotSent;
         }
-        let request = self.request_of(job, placement, sending.last_event);
+        let request = self.request_of(job, placement, options.last_event);
         self.metrics.count(Counter::Attempts);
         run.sent_at = self.clock.now();
         let Some(connection) = run.connection.as_mut() else {
-            return Attempted::NotSent;
+            return AttemptOutcome::NotSent;
         };
         let answer = match connection.send(request).await {
             Ok(answer) => answer,
             Err(ConnectionError::Broken(error)) => {
-                run.judge(HealthSignal::Unresponsive);
+                run.set_health(HealthSignal::Unresponsive);
                 info!(self.log, "answer lost"; "id" => &job.head.id,
                     "endpoint" => &placement.endpoint, "cause" => %error);
-                self.look_after_cut(job, placement).await;
-                return Attempted::Lost("the endpoint closed the connection without an answer");
+                self.check_after_interruption(job, placement).await;
+                return AttemptOutcome::Lost(
+                    "the endpoint closed the connection without an answer",
+                );
             }
-            Err(_) => return Attempted::NotSent,
+            Err(_) => return AttemptOutcome::NotSent,
         };
         run.answered = true;
         let (head, body) = answer.into_parts();
         let read = self.dialect.read_answer(head.status, &head.headers);
         self.hear(job, placement, run.sent_at, head.status, &read);
         if read.id.as_deref() != Some(job.head.id.as_str()) {
-            run.judge(HealthSignal::Faulty);
-            return Attempted::Lost("the endpoint answered another request");
+            run.set_health(HealthSignal::Faulty);
+            return AttemptOutcome::Lost("the endpoint answered another request");
         }
         if read.not_run {
             return self.declined(run, &read, body).await;
         }
         if !job.route.execution.is_repeatable() {
             // It runs, so it is not sent again, and its answer needs the memory.
-            job.body.let_go();
+            job.body.discard();
         }
         if job.route.execution.is_stream() && head.status.is_success() {
             return self.first_event(job, run, head, read, body).await;
@@ -246,62 +248,67 @@
         request
     }
 
-    async fn declined(&self, mut run: Run<D>, read: &AnswerHead, body: Incoming) -> Attempted<D> {
-        run.judge(HealthSignal::Inconclusive);
+    async fn declined(
+        &self,
+        mut run: EndpointRun<D>,
+        read: &AnswerHead,
+        body: Incoming,
+    ) -> AttemptOutcome<D> {
+        run.set_health(HealthSignal::Inconclusive);
         let limited = Limited::new(body, MAX_REFUSAL);
         if limited.collect().await.is_ok() {
             run.finish(read.keep_alive);
         }
-        Attempted::NotRun
+        AttemptOutcome::NotRun
     }
 
     async fn whole_answer(
         self: &Rc<Self>,
         job: &SharedJob,
-        mut run: Run<D>,
+        mut run: EndpointRun<D>,
         mut head: response::Parts,
         read: AnswerHead,
         body: Incoming,
-    ) -> Attempted<D> {
+    ) -> AttemptOutcome<D> {
         let ran_for = self.clock.now().saturating_sub(run.sent_at);
         self.note_begun(job, ran_for);
         let hold = job.caller.account.hold(Kind::Whole);
         let gathered = self.room.gather(body, hold, MAX_WHOLE_ANSWER, None).await;
         let Ok(body) = gathered else {
-            run.judge(HealthSignal::Faulty);
-            self.look_after_cut(job, &run.placement).await;
-            return Attempted::Lost("the endpoint broke its answer off");
+            run.set_health(HealthSignal::Faulty);
+            self.check_after_interruption(job, &run.placement).await;
+            return AttemptOutcome::Lost("the endpoint broke its answer off");
         };
         let failed = head.status.is_server_error();
         if read.altered || (head.status.is_success() && !read.signed) {
-            run.judge(HealthSignal::Faulty);
-            return Attempted::Lost("the answer is not what the endpoint made");
+            run.set_health(HealthSignal::Faulty);
+            return AttemptOutcome::Lost("the answer is not what the endpoint made");
         }
-        run.first_token();
-        run.judge(match failed {
+        run.record_first_token();
+        run.set_health(match failed {
             true => HealthSignal::Faulty,
             false => HealthSignal::Healthy,
         });
         if !failed {
-            self.note_whole(job);
+            self.record_completed(job);
         }
         run.finish(read.keep_alive);
         strip_hop_fields(&mut head.headers);
         match failed {
-            true => Attempted::Failed { head, body },
-            false => Attempted::Answered(Reply::Whole { head, body }),
+            true => AttemptOutcome::Failed { head, body },
+            false => AttemptOutcome::Answered(EndpointAnswer::Whole { head, body }),
         }
     }
 
     async fn first_event(
         self: &Rc<Self>,
         job: &SharedJob,
-        run: Run<D>,
+        run: EndpointRun<D>,
         mut head: response::Parts,
         read: AnswerHead,
         body: Incoming,
-    ) -> Attempted<D> {
-        let mut events = EventRun {
+    ) -> AttemptOutcome<D> {
+        let mut events = EndpointStream {
             run,
             keep_alive: read.keep_alive,
             body,
@@ -309,26 +316,27 @@
             ready: VecDeque::new(),
         };
         if read.altered || !read.signed {
-            events.run.judge(HealthSignal::Faulty);
-            return Attempted::Lost("the answer is not what the endpoint made");
+            events.run.set_health(HealthSignal::Faulty);
+            return AttemptOutcome::Lost("the answer is not what the endpoint made");
         }
         match events.next().await {
             NextEvent::Event(first) => {
-                events.run.first_token();
+                events.run.record_first_token();
                 self.note_begun(job, Duration::ZERO);
                 strip_hop_fields(&mut head.headers);
-                Attempted::Answered(Reply::Events {
+                AttemptOutcome::Answered(EndpointAnswer::Events {
                     head,
                     first,
                     events: Box::new(events),
                 })
             }
             end @ (NextEvent::End | NextEvent::Broken) => {
-                events.run.judge(HealthSignal::Faulty);
+                events.run.set_health(HealthSignal::Faulty);
                 if matches!(end, NextEvent::Broken) {
-                    self.look_after_cut(job, &events.run.placement).await;
+                    self.check_after_interruption(job, &events.run.placement)
+                        .await;
                 }
-                Attempted::Lost("the stream broke off before its first event")
+                AttemptOutcome::Lost("the stream broke off before its first event")
             }
         }
     }
--- a/components/gateway/src/body.rs
+++ b/components/gateway/src/body.rs
@@ -9,12 +9,12 @@
 use slog::warn;
 use telemetry::Counter;
 
-use crate::admission::{look_up, rank, LAST_RANK};
+use crate::admission::{look_up, rank, LEAST_URGENT_RANK};
 use crate::answer::Refusal;
-use crate::buffers::Gathered;
+use crate::buffers::BufferedBody;
 use crate::caller::Caller;
 use crate::gather::GatherError;
-use crate::handler::UNROUTED_TIME;
+use crate::handler::UNROUTED_TIMEOUT;
 use crate::ports::{CallerHead, Dialect};
 use crate::traffic::Traffic;
 
@@ -27,31 +27,41 @@
         body: Incoming,
         read_by: Duration,
         caller: &Caller,
-    ) -> Result<Gathered, Refusal> {
+    ) -> Result<BufferedBody, Refusal> {
         let hold = caller.account.hold(memory::Kind::BodyRead);
-        let patience = |bytes| self.body_patience(parts, head, bytes);
+        let patience = |bytes| self.body_memory_timeout(parts, head, bytes);
         let reading = self
             .room
             .gather(body, hold, self.body_bytes(), Some(&patience));
         match self.clock.timeout_at(read_by, reading).await {
             Ok(Ok(body)) => Ok(body),
-            Ok(Err(GatherError::TooLarge)) => {
-                Err(Refusal::not_run(Kind::BodyTooLarge, "the body is too large").closing())
-            }
+            Ok(Err(GatherError::TooLarge)) => Err(Refusal::not_run(
+                Kind::BodyTooLarge,
+                "the body is too large",
+            )
+            .closing_connection()),
             Ok(Err(GatherError::Broken)) => {
-                Err(Refusal::not_run(Kind::MalformedBody, "the body broke off").closing())
+                Err(Refusal::not_run(Kind::MalformedBody, "the body broke off")
+                    .closing_connection())
             }
             Ok(Err(GatherError::NoRoom(bytes))) => Err(self.no_room(head, bytes)),
-            Err(_) => Err(Refusal::not_run(Kind::SlowSender, "the body is late").closing()),
+            Err(_) => {
+                Err(Refusal::not_run(Kind::SlowSender, "the body is late").closing_connection())
+            }
         }
     }
 
     // How long a body waits for memory. Its route is looked up only here, since most find some at once.
-    fn body_patience(&self, parts: &request::Parts, head: &CallerHead, bytes: u64) -> Duration {
+    fn body_memory_timeout(
+        &self,
+        parts: &request::Parts,
+        head: &CallerHead,
+        bytes: u64,
+    ) -> Duration {
         let state = self.state.borrow();
         let (rank, target) = match state.directory.as_ref().map(|d| look_up(d, parts, head)) {
             Some(Lookup::Allowed { route, tenant }) => (rank(route, tenant), route.target),
-            _ => (LAST_RANK, UNROUTED_TIME),
+            _ => (LEAST_URGENT_RANK, UNROUTED_TIMEOUT),
         };
         memory::body_patience(rank, bytes, target)
     }
@@ -67,8 +77,8 @@
             Kind::TooManyRequests,
             "the gateway has no memory for the body",
         )
-        .after(back)
-        .closing()
+        .with_retry_after(back)
+        .closing_connection()
     }
 
     fn body_bytes(&self) -> usize {
--- a/components/gateway/src/buffers.rs
+++ b/components/gateway/src/buffers.rs
@@ -32,7 +32,7 @@
     /// Bytes that wait for a caller, held on its account.
     pub fn counted(bytes: Bytes, hold: Hold, caller: &Rc<Caller>) -> Self {
         let length = bytes.len() as u64;
-        caller.add_waiting(length);
+        caller.add_unsent(length);
         HeldBytes {
             bytes,
             _hold: Some(hold),
@@ -42,7 +42,7 @@
     }
 
     /// Keeps a value until the last byte is written.
-    pub fn keep(&mut self, guard: Option<Rc<dyn Any>>) {
+    pub fn set_guard(&mut self, guard: Option<Rc<dyn Any>>) {
         self.guard = guard;
     }
 
@@ -69,14 +69,14 @@
 impl Drop for HeldBytes {
     fn drop(&mut self) {
         if let Some((caller, length)) = &self.waits_for {
-            caller.remove_waiting(*length);
+            caller.remove_unsent(*length);
         }
     }
 }
 
 /// A body that was read as a whole, with what it holds.
 #[derive(Debug)]
-pub(crate) struct Gathered {
+pub(crate) struct BufferedBody {
     pub bytes: Bytes,
     pub hold: Hold,
 }
@@ -85,12 +85,12 @@
 #[derive(Debug)]
 pub(crate) struct KeptBody {
     length: usize,
-    kept: RefCell<Option<Gathered>>,
+    kept: RefCell<Option<BufferedBody>>,
 }
 
 impl KeptBody {
     /// Keeps a whole body.
-    pub fn new(mut body: Gathered) -> Self {
+    pub fn new(mut body: BufferedBody) -> Self {
         body.hold.change(Kind::BodyKept);
         KeptBody {
             length: body.bytes.len(),
@@ -122,7 +122,7 @@
     }
 
     /// The request is not sent again: gives the memory back.
-    pub fn let_go(&self) {
+    pub fn discard(&self) {
         self.kept.borrow_mut().take();
     }
 }
--- a/components/gateway/src/caller.rs
+++ b/components/gateway/src/caller.rs
@@ -19,7 +19,7 @@
     /// What is held for its request.
     pub account: Account,
     /// Resolves once the connection is to be closed for want of memory.
-    pub ended: Notify,
+    pub close_requested: Notify,
     clock: Clock,
     // The cost of the connection itself.
     _connection: Hold,
@@ -44,7 +44,7 @@
         let now = clock.now();
         Caller {
             account,
-            ended: Notify::new(),
+            close_requested: Notify::new(),
             clock,
             _connection: connection,
             running: Cell::new(0),
@@ -58,7 +58,7 @@
     }
 
     /// Its request was read up to the body; the caller waits for an answer until a time.
-    pub fn asks(&self, id: &str, until: Duration) {
+    pub fn set_request(&self, id: &str, until: Duration) {
         let mut request = self.request.borrow_mut();
         request.id.clear();
         request.id.push_str(id);
@@ -71,31 +71,31 @@
     }
 
     /// A request begins.
-    pub fn begin(&self) {
+    pub fn start_request(&self) {
         self.running.set(self.running.get() + 1);
         self.head_since.set(None);
     }
 
     /// A request is over, up to the last byte of its answer.
-    pub fn finish(&self) {
+    pub fn finish_request(&self) {
         self.running.set(self.running.get() - 1);
         self.rests_since.set(self.clock.now());
     }
 
     /// How long it has been at rest, if it is.
-    pub fn rests_for(&self, now: Duration) -> Option<Duration> {
+    pub fn idle_time(&self, now: Duration) -> Option<Duration> {
         let rests = self.running.get() == 0;
         rests.then(|| now.saturating_sub(self.rests_since.get()))
     }
 
     /// How long the head of its next request has been coming, if one has begun.
-    pub fn head_comes_for(&self, now: Duration) -> Option<Duration> {
+    pub fn head_receive_time(&self, now: Duration) -> Option<Duration> {
         let since = self.head_since.get()?;
         Some(now.saturating_sub(since))
     }
 
     /// Bytes of an answer begin to wait for it.
-    pub fn add_waiting(&self, bytes: u64) {
+    pub fn add_unsent(&self, bytes: u64) {
         if self.waiting.get() == 0 {
             self.progress_at.set(self.clock.now());
         }
@@ -103,17 +103,17 @@
     }
 
     /// Bytes of an answer that wait for it.
-    pub fn waiting(&self) -> u64 {
+    pub fn unsent_bytes(&self) -> u64 {
         self.waiting.get()
     }
 
     /// Bytes of an answer wait no longer.
-    pub fn remove_waiting(&self, bytes: u64) {
+    pub fn remove_unsent(&self, bytes: u64) {
         self.waiting.set(self.waiting.get() - bytes);
     }
 
     /// Whether its endpoint's answer is read on; `false` while there is no memory for it. Returns how long it was not.
-    pub fn set_read_on(&self, reads: bool) -> Duration {
+    pub fn set_reading(&self, reads: bool) -> Duration {
         let now = self.clock.now();
         if reads {
             let since = self.unread_since.take();
@@ -134,12 +134,12 @@
     }
 
     /// Counts its progress from now on, since it couldn't make any.
-    pub fn excuse(&self, now: Duration) {
+    pub fn reset_progress(&self, now: Duration) {
         self.progress_at.set(now);
     }
 
     /// Whether it takes nothing of its answer any more: its own time is over and it made no progress for `idle`.
-    pub fn gave_up(&self, now: Duration, idle: Duration) -> bool {
+    pub fn is_stalled_past_deadline(&self, now: Duration, idle: Duration) -> bool {
         let delivery = self.delivery(now);
         delivery.held > 0 && delivery.stalled > idle && now > self.request.borrow().until
     }
@@ -157,12 +157,12 @@
 
 /// A caller's socket that tells its [`Caller`] of progress.
 #[derive(Debug)]
-pub(crate) struct Watched {
+pub(crate) struct ProgressStream {
     pub stream: TcpStream,
     pub caller: Rc<Caller>,
 }
 
-impl AsyncRead for Watched {
+impl AsyncRead for ProgressStream {
     fn poll_read(
         mut self: Pin<&mut Self>,
         context: &mut Context<'_>,
@@ -175,7 +175,7 @@
     }
 }
 
-impl AsyncWrite for Watched {
+impl AsyncWrite for ProgressStream {
     fn poll_write(
         mut self: Pin<&mut Self>,
         context: &mut Context<'_>,
--- a/components/gateway/src/connecting.rs
+++ b/components/gateway/src/connecting.rs
@@ -7,9 +7,9 @@
 use telemetry::Counter;
 use transport::Connection;
 
-use crate::attempt::Sending;
-use crate::connection_pool::Unopened;
-use crate::endpoint_run::Run;
+use crate::attempt::SendOptions;
+use crate::connection_pool::ReserveError;
+use crate::endpoint_run::EndpointRun;
 use crate::job::Job;
 use crate::ports::Dialect;
 use crate::traffic::Traffic;
@@ -32,17 +32,17 @@
         &self,
         job: &Job,
         placement: &Placement,
-        sending: Sending,
-        run: &mut Run<D>,
+        options: SendOptions,
+        run: &mut EndpointRun<D>,
     ) -> bool {
-        match self.reserve(job, placement, sending) {
+        match self.reserve(job, placement, options) {
             Reserved::Rested(connection) => {
                 run.connection = Some(connection);
                 run.reserved = true;
                 return true;
             }
             Reserved::Full => {
-                run.judge(HealthSignal::Inconclusive);
+                run.set_health(HealthSignal::Inconclusive);
                 return false;
             }
             Reserved::New => run.reserved = true,
@@ -53,7 +53,7 @@
                 true
             }
             Err(error) => {
-                run.judge(HealthSignal::Unresponsive);
+                run.set_health(HealthSignal::Unresponsive);
                 info!(self.log, "endpoint unreachable"; "id" => &job.head.id,
                     "endpoint" => &placement.endpoint, "cause" => %error);
                 false
@@ -61,21 +61,21 @@
         }
     }
 
-    fn reserve(&self, job: &Job, placement: &Placement, sending: Sending) -> Reserved {
+    fn reserve(&self, job: &Job, placement: &Placement, options: SendOptions) -> Reserved {
         let now = self.clock.now();
         let most = self.most_connections(job);
         let mut state = self.state.borrow_mut();
-        if sending.after_silence {
-            state.pool.forget(&placement.endpoint);
+        if options.after_unresponsive {
+            state.pool.drop_idle(&placement.endpoint);
         }
-        if let Some(connection) = state.pool.take(now, &placement.endpoint) {
+        if let Some(connection) = state.pool.take_idle(now, &placement.endpoint) {
             return Reserved::Rested(connection);
         }
         let Err(cause) = state.pool.reserve(&placement.endpoint, most) else {
             return Reserved::New;
         };
         drop(state);
-        if cause == Unopened::NoMemory {
+        if cause == ReserveError::NoMemory {
             let ledger = self.room.ledger();
             self.metrics.count(Counter::MemoryRefused);
             warn!(self.log, "no connection to an endpoint for want of memory"; "id" => &job.head.id,
--- a/components/gateway/src/connection_pool.rs
+++ b/components/gateway/src/connection_pool.rs
@@ -8,27 +8,27 @@
 
 use crate::memory_manager::ENDPOINT_CONNECTION;
 
-/// A resting connection is dropped so long before its endpoint would close it.
-const CLOSE_MARGIN: Duration = Duration::from_millis(700);
+/// An idle connection is dropped so long before its endpoint would close it.
+const KEEP_ALIVE_MARGIN: Duration = Duration::from_millis(700);
 /// Longest rest where the endpoint does not name its own bound.
-const LONGEST_REST: Duration = Duration::from_secs(8);
+const MAX_IDLE_TIME: Duration = Duration::from_secs(8);
 
 #[derive(Debug)]
-struct Resting {
+struct IdleConnection {
     connection: Connection,
     until: Duration,
 }
 
-/// Resting connections by endpoint, and how many are open.
+/// Idle connections by endpoint, and how many are open.
 #[derive(Debug)]
-pub(crate) struct Pool {
-    resting: HashMap<String, Vec<Resting>>,
-    open: Open,
+pub(crate) struct ConnectionPool {
+    idle: HashMap<String, Vec<IdleConnection>>,
+    open: OpenConnections,
 }
 
 /// Why no further connection may be opened.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum Unopened {
+pub(crate) enum ReserveError {
     /// As many are open as may be.
     Full,
     /// There is no memory for one.
@@ -37,19 +37,19 @@
 
 // Open connections by endpoint, and the memory that all of them hold.
 #[derive(Debug)]
-struct Open {
+struct OpenConnections {
     counts: HashMap<String, u32>,
     hold: Hold,
 }
 
-impl Open {
-    fn add(&mut self, endpoint: &str, most: u32) -> Result<(), Unopened> {
+impl OpenConnections {
+    fn add(&mut self, endpoint: &str, max: u32) -> Result<(), ReserveError> {
         let count = self.counts.get(endpoint).copied().unwrap_or_default();
-        if count >= most {
-            return Err(Unopened::Full);
+        if count >= max {
+            return Err(ReserveError::Full);
         }
         if !self.hold.grow(ENDPOINT_CONNECTION) {
-            return Err(Unopened::NoMemory);
+            return Err(ReserveError::NoMemory);
         }
         self.counts.insert(endpoint.to_string(), count + 1);
         Ok(())
@@ -67,12 +67,12 @@
     }
 }
 
-impl Pool {
+impl ConnectionPool {
     /// No connection yet; what they cost is held in a ledger.
     pub fn new(ledger: &Ledger) -> Self {
-        Pool {
-            resting: HashMap::new(),
-            open: Open {
+        ConnectionPool {
+            idle: HashMap::new(),
+            open: OpenConnections {
                 counts: HashMap::new(),
                 hold: ledger.open().hold(Kind::Connection),
             },
@@ -80,9 +80,9 @@
     }
 
     /// Takes a connection that rests and can still be used.
-    pub fn take(&mut self, now: Duration, endpoint: &str) -> Option<Connection> {
-        let resting = self.resting.get_mut(endpoint)?;
-        while let Some(rest) = resting.pop() {
+    pub fn take_idle(&mut self, now: Duration, endpoint: &str) -> Option<Connection> {
+        let idle = self.idle.get_mut(endpoint)?;
+        while let Some(rest) = idle.pop() {
             if now < rest.until && rest.connection.is_open() && rest.connection.is_free() {
                 return Some(rest.connection);
             }
@@ -92,55 +92,55 @@
         None
     }
 
-    /// Counts a connection that is about to be opened, unless `most` are open or there is no memory for it.
-    pub fn reserve(&mut self, endpoint: &str, most: u32) -> Result<(), Unopened> {
-        self.open.add(endpoint, most)
+    /// Counts a connection that is about to be opened, unless `max` are open or there is no memory for it.
+    pub fn reserve(&mut self, endpoint: &str, max: u32) -> Result<(), ReserveError> {
+        self.open.add(endpoint, max)
     }
 
     /// Lets a connection rest.
-    pub fn rest(
+    pub fn put_idle(
         &mut self,
         now: Duration,
         endpoint: &str,
         connection: Connection,
         keep_alive: Option<Duration>,
     ) {
-        let rest = keep_alive.map_or(LONGEST_REST, |k| k.saturating_sub(CLOSE_MARGIN));
+        let rest = keep_alive.map_or(MAX_IDLE_TIME, |k| k.saturating_sub(KEEP_ALIVE_MARGIN));
         if rest.is_zero() || !connection.is_open() {
             drop(connection);
-            return self.closed(endpoint);
+            return self.record_closed(endpoint);
         }
-        let resting = self.resting.entry(endpoint.to_string()).or_default();
-        resting.push(Resting {
+        let idle = self.idle.entry(endpoint.to_string()).or_default();
+        idle.push(IdleConnection {
             connection,
-            until: now + rest.min(LONGEST_REST),
+            until: now + rest.min(MAX_IDLE_TIME),
         });
     }
 
     /// A connection that was taken or reserved is closed.
-    pub fn closed(&mut self, endpoint: &str) {
+    pub fn record_closed(&mut self, endpoint: &str) {
         self.open.release(endpoint);
     }
 
-    /// Drops the resting connections of an endpoint.
-    pub fn forget(&mut self, endpoint: &str) {
-        let resting = self.resting.remove(endpoint).unwrap_or_default();
-        for rest in resting {
+    /// Drops the idle connections of an endpoint.
+    pub fn drop_idle(&mut self, endpoint: &str) {
+        let idle = self.idle.remove(endpoint).unwrap_or_default();
+        for rest in idle {
             drop(rest);
             self.open.release(endpoint);
         }
     }
 
     /// Drops connections that rested for too long or were closed.
-    pub fn sweep(&mut self, now: Duration) {
+    pub fn drop_expired(&mut self, now: Duration) {
         let open = &mut self.open;
-        for (endpoint, resting) in &mut self.resting {
-            let before = resting.len();
-            resting.retain(|rest| now < rest.until && rest.connection.is_open());
-            for _ in resting.len()..before {
+        for (endpoint, idle) in &mut self.idle {
+            let before = idle.len();
+            idle.retain(|rest| now < rest.until && rest.connection.is_open());
+            for _ in idle.len()..before {
                 open.release(endpoint);
             }
         }
-        self.resting.retain(|_, resting| !resting.is_empty());
+        self.idle.retain(|_, idle| !idle.is_empty());
     }
 }
--- a/components/gateway/src/control.rs
+++ b/components/gateway/src/control.rs
@@ -45,7 +45,7 @@
 use crate::control::known::{change_due, PeerAddresses};
 pub(crate) use crate::control::passing::{name_of, topic_of, PASSED_ON};
 use crate::control::region::spread_of;
-use crate::coordinator_contact::Alone;
+use crate::coordinator_contact::CoordinatorContact;
 use crate::freshness::Freshness;
 use crate::ports::{Orders, Store};
 use crate::run::{ReadSettings, Signals};
@@ -75,7 +75,7 @@
     pub signals: Signals,
     pub clock: Clock,
     pub freshness: Arc<Freshness>,
-    pub alone: Arc<Alone>,
+    pub alone: Arc<CoordinatorContact>,
     pub metrics: Arc<Metrics>,
     pub log: Logger,
     pub updates: flume::Sender<Update>,
@@ -95,7 +95,7 @@
 pub(crate) struct Shared<S, O> {
     pub clock: Clock,
     pub freshness: Arc<Freshness>,
-    pub alone: Arc<Alone>,
+    pub alone: Arc<CoordinatorContact>,
     pub metrics: Arc<Metrics>,
     pub log: Logger,
     pub updates: flume::Sender<Update>,
--- a/components/gateway/src/control/need.rs
+++ b/components/gateway/src/control/need.rs
@@ -48,7 +48,7 @@
             true => SLOW_COORDINATORS_TIME.mul_f64(1.0 + self.spread),
             false => Duration::ZERO,
         };
-        self.alone.is_alone(now) && self.alone.undecided_for(now) >= waits
+        self.alone.is_lost(now) && self.alone.time_without_decision(now) >= waits
     }
 
     /// Forgets the endpoints. Between two steps of following them only, so that no answer that is on its way is taken
--- a/components/gateway/src/coordinator_contact.rs
+++ b/components/gateway/src/coordinator_contact.rs
@@ -13,22 +13,22 @@
 /// Written by the traffic thread, read by the control thread. Times are microseconds on the monotonic clock, 0
 /// for never.
 #[derive(Debug, Default)]
-pub struct Alone {
+pub struct CoordinatorContact {
     decided_us: AtomicU64,
     undecided_us: AtomicU64,
     // First of the requests without a decision since the last that had one.
     since_us: AtomicU64,
 }
 
-impl Alone {
+impl CoordinatorContact {
     /// A coordinator decided about a request.
-    pub fn decided(&self, now: Duration) {
+    pub fn record_decision(&self, now: Duration) {
         self.decided_us.store(micros(now), Ordering::Relaxed);
         self.since_us.store(0, Ordering::Relaxed);
     }
 
     /// No coordinator decided about a request.
-    pub fn undecided(&self, now: Duration) {
+    pub fn record_no_decision(&self, now: Duration) {
         let never_decided = self.decided_us.load(Ordering::Relaxed) == 0;
         if never_decided && now < START_TIME {
             return;
@@ -41,7 +41,7 @@
     }
 
     /// For how long no coordinator has decided about any request, as far as there were some.
-    pub fn undecided_for(&self, now: Duration) -> Duration {
+    pub fn time_without_decision(&self, now: Duration) -> Duration {
         match self.since_us.load(Ordering::Relaxed) {
             0 => Duration::ZERO,
             at => now.saturating_sub(Duration::from_micros(at)),
@@ -49,7 +49,7 @@
     }
 
     /// Whether requests were left without a decision lately.
-    pub fn is_alone(&self, now: Duration) -> bool {
+    pub fn is_lost(&self, now: Duration) -> bool {
         match self.undecided_us.load(Ordering::Relaxed) {
             0 => false,
             at => now < Duration::from_micros(at) + ALONE_FOR,
--- a/components/gateway/src/decisions.rs
+++ b/components/gateway/src/decisions.rs
@@ -18,7 +18,7 @@
 use crate::job::Job;
 use crate::limit_reports::received_limits;
 use crate::peers::Fleet;
-use crate::pending_replies::Replies;
+use crate::pending_replies::PendingReplies;
 use crate::sights::slowdown_of;
 use crate::traffic::Traffic;
 use crate::versions::Asked;
@@ -45,7 +45,7 @@
 #[derive(Debug, Default)]
 pub(crate) struct Asking {
     socket: RefCell<Option<Rc<UdpSocket>>>,
-    replies: Replies<DecisionReply>,
+    replies: PendingReplies<DecisionReply>,
     passed_over: RefCell<BTreeMap<SocketAddr, Duration>>,
 }
 
@@ -106,7 +106,7 @@
             let query = self.query(job, tried, charged);
             if let Some(reply) = self.send_query(by, query).await {
                 // One that has just begun is there, and is no reason to read all endpoints here.
-                self.alone.decided(self.clock.now());
+                self.alone.record_decision(self.clock.now());
                 self.take_placed_limit(&reply);
                 match outcome_of(&reply)? {
                     Outcome::Starting => starting = Some(by),
@@ -122,7 +122,7 @@
             let outcome = Outcome::Starting;
             return Some(Decided { by, outcome });
         }
-        self.alone.undecided(self.clock.now());
+        self.alone.record_no_decision(self.clock.now());
         None
     }
 
@@ -174,14 +174,14 @@
                 continue;
             };
             if let Some(reply) = message.reply {
-                self.asking.replies.take(reply.number, reply);
+                self.asking.replies.deliver(reply.number, reply);
             }
             if let Some(give_back) = message.give_back {
                 self.take_back(&give_back);
             }
             self.take_told(message.sights.as_ref());
             if let Some(reply) = message.send_reply {
-                self.sends_asked.replies.take(reply.number, reply);
+                self.sends_asked.replies.deliver(reply.number, reply);
             }
             let send_query = message.send_query.as_ref();
             if let Some(reply) = send_query.and_then(|query| self.answer_send(query)) {
@@ -255,14 +255,14 @@
             false => REPLY_TIME,
         };
         let number = query.number;
-        let reply = self.asking.replies.expect(number);
+        let reply = self.asking.replies.register(number);
         let message = Decision {
             query: Some(query),
             ..Decision::default()
         };
         self.send_decision(&message, by).await;
         let replies = &self.asking.replies;
-        replies.within(reply_time, number, reply).await
+        replies.wait(reply_time, number, reply).await
     }
 
     /// Sends one datagram; what is lost is asked for again.
--- a/components/gateway/src/endpoint_run.rs
+++ b/components/gateway/src/endpoint_run.rs
@@ -17,7 +17,7 @@
 const SHORTEST_TIME_S: f64 = 0.02;
 
 /// A request under way at an endpoint. Dropping it closes the connection, unless it was finished.
-pub(crate) struct Run<D> {
+pub(crate) struct EndpointRun<D> {
     pub traffic: Rc<Traffic<D>>,
     pub ticket: Ticket,
     pub connection: Option<Connection>,
@@ -25,16 +25,16 @@
     pub reserved: bool,
     /// Whether the head of an answer came.
     pub answered: bool,
-    pub verdict: Option<HealthSignal>,
+    pub health: Option<HealthSignal>,
     pub sent_at: Duration,
     pub placement: Placement,
     pub job: SharedJob,
 }
 
-impl<D> Run<D> {
+impl<D> EndpointRun<D> {
     /// Says how the endpoint did.
-    pub fn judge(&mut self, verdict: HealthSignal) {
-        self.verdict = Some(verdict);
+    pub fn set_health(&mut self, health: HealthSignal) {
+        self.health = Some(health);
     }
 
     /// The whole answer was read: the connection rests.
@@ -49,19 +49,19 @@
             let mut state = self.traffic.state.borrow_mut();
             state
                 .pool
-                .rest(now, &self.placement.endpoint, connection, keep_alive);
+                .put_idle(now, &self.placement.endpoint, connection, keep_alive);
         }
     }
 
     /// Its first token, or its whole answer, came.
-    pub fn first_token(&mut self) {
+    pub fn record_first_token(&mut self) {
         let now = self.traffic.clock.now();
         let mut state = self.traffic.state.borrow_mut();
         state.board.first_token(now, &mut self.ticket);
     }
 
     /// An event of its stream came.
-    pub fn event(&mut self) {
+    pub fn record_event(&mut self) {
         let now = self.traffic.clock.now();
         let mut state = self.traffic.state.borrow_mut();
         state.board.event(now, &mut self.ticket);
@@ -69,9 +69,9 @@
 
     // What this run says of its endpoint's version, if a roll-out is under way. The time of an engine's answer is
     // reported in parts of the time expected, since an endpoint of a new version has read no prompts yet.
-    fn evidence(&self, now: Duration, way: Duration, verdict: HealthSignal) -> Option<Answer> {
+    fn evidence(&self, now: Duration, way: Duration, health: HealthSignal) -> Option<Answer> {
         let took = now.saturating_sub(self.sent_at + way).as_secs_f64();
-        match verdict {
+        match health {
             HealthSignal::Inconclusive => None,
             HealthSignal::Faulty | HealthSignal::Unresponsive => Some(Answer::Failed),
             HealthSignal::Healthy if self.job.engine => {
@@ -82,12 +82,12 @@
         }
     }
 
-    fn verdict_at_drop(&self, now: Duration) -> HealthSignal {
+    fn health_at_drop(&self, now: Duration) -> HealthSignal {
         let waited = now.saturating_sub(self.sent_at);
         let given = self.job.expiry.saturating_sub(self.sent_at);
         let expected = Duration::from_secs_f64(self.placement.expected_ms / 1000.0);
-        match (self.verdict, self.answered) {
-            (Some(verdict), _) => verdict,
+        match (self.health, self.answered) {
+            (Some(health), _) => health,
             (None, true) if now >= self.job.expiry => HealthSignal::Faulty,
             (None, true) => HealthSignal::Inconclusive,
             (None, false) => signal_without_answer(waited, expected, given),
@@ -95,10 +95,10 @@
     }
 }
 
-impl<D> Drop for Run<D> {
+impl<D> Drop for EndpointRun<D> {
     fn drop(&mut self) {
         let now = self.traffic.clock.now();
-        let verdict = self.verdict_at_drop(now);
+        let health = self.health_at_drop(now);
         let mut state = self.traffic.state.borrow_mut();
         if self.job.engine {
             let route = &self.job.route;
@@ -107,10 +107,10 @@
                 .board
                 .stream_ended(now, &self.ticket, route.gap_target, whole);
         }
-        state.board.ended(now, &self.ticket, verdict);
-        if verdict == HealthSignal::Unresponsive {
+        state.board.ended(now, &self.ticket, health);
+        if health == HealthSignal::Unresponsive {
             // Its other open connections may say nothing either.
-            state.pool.forget(&self.placement.endpoint);
+            state.pool.drop_idle(&self.placement.endpoint);
         }
         // The way to another region is none of the version's doing.
         let way_ms = state
@@ -118,7 +118,7 @@
             .network_costs()
             .region_round_trip_ms(&self.placement.hall);
         let way = Duration::from_secs_f64(way_ms / 1000.0);
-        if let Some(answer) = self.evidence(now, way, verdict) {
+        if let Some(answer) = self.evidence(now, way, health) {
             let (service, route) = (&self.job.work.service, self.job.asked().route);
             let reported = state
                 .gates
@@ -126,7 +126,7 @@
             state.tally.reported.extend(reported);
         }
         if self.reserved {
-            state.pool.closed(&self.placement.endpoint);
+            state.pool.record_closed(&self.placement.endpoint);
         }
     }
 }
--- a/components/gateway/src/events.rs
+++ b/components/gateway/src/events.rs
@@ -28,7 +28,7 @@
 
 impl std::error::Error for SplitError {}
 
-/// Cuts a stream of bytes into events.
+/// Splits a stream of bytes into events.
 #[derive(Debug, Default)]
 pub struct EventSplitter {
     buffer: BytesMut,
@@ -58,7 +58,7 @@
     }
 
     /// Whether a part of an event is left over.
-    pub fn has_rest(&self) -> bool {
+    pub fn has_partial_event(&self) -> bool {
         !self.buffer.is_empty()
     }
 
--- a/components/gateway/src/gather.rs
+++ b/components/gateway/src/gather.rs
@@ -8,8 +8,8 @@
 use hyper::body::Incoming;
 use memory::Hold;
 
-use crate::buffers::Gathered;
-use crate::memory_manager::Room;
+use crate::buffers::BufferedBody;
+use crate::memory_manager::MemoryManager;
 
 /// A body that is read grows by at least this part of itself, so that it is seldom moved.
 const GROWTH_DIVISOR: usize = 8;
@@ -25,7 +25,7 @@
     NoRoom(u64),
 }
 
-impl Room {
+impl MemoryManager {
     /// Reads a body as a whole. Where there is no memory, waits for it as long as `patience` says for the bytes that
     /// are still needed; without an end if it says nothing. An answer reserves its length before anything of it is read:
     /// answers that are read in part can then not wait for each other.
@@ -35,7 +35,7 @@
         mut hold: Hold,
         most: usize,
         patience: Option<&dyn Fn(u64) -> Duration>,
-    ) -> Result<Gathered, GatherError> {
+    ) -> Result<BufferedBody, GatherError> {
         let expected = body.size_hint().exact().map(|length| length as usize);
         if expected.is_some_and(|length| length > most) {
             return Err(GatherError::TooLarge);
@@ -77,7 +77,7 @@
         if expected.is_some_and(|expected| expected != bytes.len()) {
             return Err(GatherError::Broken);
         }
-        Ok(Gathered {
+        Ok(BufferedBody {
             bytes: Bytes::from(bytes),
             hold,
         })
--- a/components/gateway/src/handler.rs
+++ b/components/gateway/src/handler.rs
@@ -12,7 +12,7 @@
 use tokio::sync::mpsc;
 
 use crate::answer::{Answer, AnswerBody, Refusal};
-use crate::attempt::Reply;
+use crate::attempt::EndpointAnswer;
 use crate::buffers::HeldBytes;
 use crate::caller::Caller;
 use crate::decisions::Outcome;
@@ -23,7 +23,7 @@
 use crate::traffic::Traffic;
 
 /// Longest time a request is held whose route is not known yet.
-pub(crate) const UNROUTED_TIME: Duration = Duration::from_secs(2);
+pub(crate) const UNROUTED_TIMEOUT: Duration = Duration::from_secs(2);
 /// Longest time to come back when this gateway refused with its own part of a limit only: by then it is in touch with the
 /// others again, or others decide in their place (a gateway is silent after 1.5 s).
 const ALONE_RETRY: Duration = Duration::from_millis(1500);
@@ -40,13 +40,19 @@
             Ok(head) => head,
             Err(fault) => {
                 let refusal = Refusal::not_run(Kind::BadHeader, fault.0);
-                return self.refuse("", arrived, refusal.closing());
+                return self.refuse("", arrived, refusal.closing_connection());
             }
         };
         let id = head.id.clone();
         if self.freshness.is_closed(arrived) {
             let refusal = Refusal::not_run(Kind::Stopping, "the gateway stops");
-            return self.refuse(&id, arrived, refusal.after(STOPPING_RETRY).closing());
+            return self.refuse(
+                &id,
+                arrived,
+                refusal
+                    .with_retry_after(STOPPING_RETRY)
+                    .closing_connection(),
+            );
         }
         match self.serve(arrived, parts, head, body, caller).await {
             Ok(answer) => answer,
@@ -62,15 +68,15 @@
         body: Incoming,
         caller: Rc<Caller>,
     ) -> Result<Answer, Refusal> {
-        let read_by = arrived + head.deadline.unwrap_or(UNROUTED_TIME);
-        caller.asks(&head.id, read_by);
+        let read_by = arrived + head.deadline.unwrap_or(UNROUTED_TIMEOUT);
+        caller.set_request(&head.id, read_by);
         let body = self
             .read_body(&parts, &head, body, read_by, &caller)
             .await?;
         let job = self.admit(arrived, parts, head, body, caller)?;
         let job = Rc::new(job);
         let mut progress = Progress::default();
-        if let Some(refusal) = self.held_back(&job, &progress) {
+        if let Some(refusal) = self.quarantine_refusal(&job, &progress) {
             return Err(refusal);
         }
         let placed = self.charge(&job, &mut progress).await?;
@@ -138,13 +144,18 @@
         state.give_back(now, tenant, job.cost);
     }
 
-    fn reply(self: &Rc<Self>, job: &SharedJob, progress: Progress, reply: Reply<D>) -> Answer {
+    fn reply(
+        self: &Rc<Self>,
+        job: &SharedJob,
+        progress: Progress,
+        reply: EndpointAnswer<D>,
+    ) -> Answer {
         match reply {
-            Reply::Whole { head, body } => {
+            EndpointAnswer::Whole { head, body } => {
                 let body = HeldBytes::counted(body.bytes, body.hold, &job.caller);
                 Response::from_parts(head, AnswerBody::whole(body))
             }
-            Reply::Events {
+            EndpointAnswer::Events {
                 head,
                 first,
                 events,
@@ -184,9 +195,9 @@
 // Without a coordinator's decision nothing was charged, and there is no endpoint to go to.
 fn starting() -> Refusal {
     let Nowhere { cause, wait } = Nowhere::STARTING;
-    Refusal::not_run(Kind::PlatformUnavailable, cause).after(wait)
+    Refusal::not_run(Kind::PlatformUnavailable, cause).with_retry_after(wait)
 }
 
 fn over_limit(wait: Duration) -> Refusal {
-    Refusal::not_run(Kind::TeamLimit, "the tenant's limit is used up").after(wait)
+    Refusal::not_run(Kind::TeamLimit, "the tenant's limit is used up").with_retry_after(wait)
 }
--- a/components/gateway/src/interrupted.rs
+++ b/components/gateway/src/interrupted.rs
@@ -30,7 +30,7 @@
 
 /// What ran where when it was cut off by an endpoint that took connections again.
 #[derive(Debug, Default)]
-pub(crate) struct Cuts {
+pub(crate) struct InterruptedRuns {
     cuts: VecDeque<Cut>,
 }
 
@@ -41,7 +41,7 @@
     at: Duration,
 }
 
-impl Cuts {
+impl InterruptedRuns {
     fn note(&mut self, now: Duration, content: Fingerprint, incarnation: u64) {
         self.cuts.retain(|cut| now < cut.at + RECORD_TIME);
         if self.cuts.len() >= MOST_CUTS {
@@ -66,18 +66,18 @@
 
 impl<D> Traffic<D> {
     /// An endpoint's record says that this start of it has ended.
-    pub fn note_restart(&self, now: Duration, incarnation: u64) {
+    pub fn record_restart(&self, now: Duration, incarnation: u64) {
         self.metrics.count(Counter::Restarts);
         self.endpoint_restarted.notify_waiters();
         let contents = self.state.borrow_mut().cuts.take(now, incarnation);
         for content in contents {
-            self.note_end(content, incarnation);
+            self.record_endpoint_end(content, incarnation);
         }
     }
 
     /// Waits until it is known that the endpoint of a request started again: what ran there is lost, also where its
     /// connection is silent.
-    pub async fn restarted(&self, placement: &Placement) {
+    pub async fn wait_for_restart(&self, placement: &Placement) {
         loop {
             let changed = self.endpoint_restarted.notified();
             if self.is_over(placement) {
@@ -95,7 +95,7 @@
 impl<D: Dialect + 'static> Traffic<D> {
     /// An endpoint cut an answer off. Looks whether it ended, also if the caller leaves meanwhile; what is sent on next waits
     /// a moment for that.
-    pub async fn look_after_cut(self: &Rc<Self>, job: &SharedJob, placement: &Placement) {
+    pub async fn check_after_interruption(self: &Rc<Self>, job: &SharedJob, placement: &Placement) {
         let look = self.look(job, placement);
         // Slower looks end on their own.
         let _ = tokio::time::timeout(LOOK_WAIT, look).await;
@@ -114,7 +114,7 @@
             info!(traffic.log, "endpoint cut an answer off"; "id" => &job.head.id, "content" => %job.content,
                 "endpoint" => &placement.endpoint, "endpoint_ended" => has_ended);
             if has_ended == Some(true) {
-                return traffic.note_end(job.content, placement.incarnation);
+                return traffic.record_endpoint_end(job.content, placement.incarnation);
             }
             // It may have started again already.
             let now = traffic.clock.now();
@@ -134,11 +134,13 @@
         let mut state = self.state.borrow_mut();
         match opened {
             Ok(connection) => {
-                state.pool.rest(now, endpoint, connection, Some(LOOK_KEEP));
+                state
+                    .pool
+                    .put_idle(now, endpoint, connection, Some(LOOK_KEEP));
                 Some(false)
             }
             Err(_) => {
-                state.pool.closed(endpoint);
+                state.pool.record_closed(endpoint);
                 Some(true)
             }
         }
--- a/components/gateway/src/lib.rs
+++ b/components/gateway/src/lib.rs
@@ -51,7 +51,7 @@
 
 pub use clock::Clock;
 pub use control::{inflate, round_trip, Echoes, Encoded, LastDeflated};
-pub use coordinator_contact::Alone;
+pub use coordinator_contact::CoordinatorContact;
 pub use day::{Day, DayLook};
 pub use events::{Event, EventSplitter, SplitError};
 pub use freshness::Freshness;
--- a/components/gateway/src/memory_manager.rs
+++ b/components/gateway/src/memory_manager.rs
@@ -31,7 +31,7 @@
 
 /// Memory for callers and endpoints.
 #[derive(Debug)]
-pub(crate) struct Room {
+pub(crate) struct MemoryManager {
     pub(crate) clock: Clock,
     ledger: Ledger,
     released: Rc<Notify>,
@@ -60,13 +60,13 @@
     }
 }
 
-impl Room {
+impl MemoryManager {
     /// Nothing held yet, on a VM of so many MiB; 0 sets no bound.
     pub fn new(clock: Clock, mib: u64) -> Self {
         let released = Rc::new(Notify::new());
         let on_release = Rc::clone(&released);
         let budget = Budget::of_vm(mib, Tables::default());
-        Room {
+        MemoryManager {
             clock,
             ledger: Ledger::new(budget, move || on_release.notify_waiters()),
             released,
@@ -96,7 +96,7 @@
     }
 
     /// A caller that was accepted, unless its connection finds no room.
-    pub fn admit(&self) -> Option<Rc<Caller>> {
+    pub fn open_caller(&self) -> Option<Rc<Caller>> {
         let account = self.ledger.open();
         let mut connection = account.hold(Kind::Connection);
         if !connection.grow(CALLER_CONNECTION) {
@@ -108,7 +108,7 @@
     }
 
     /// Waits until something is given back.
-    pub async fn released(&self) {
+    pub async fn wait_for_release(&self) {
         self.released.notified().await;
     }
 
@@ -128,18 +128,18 @@
     }
 
     /// Reserves bytes of an answer that is read ahead, if there is room now.
-    pub fn reserve_ahead_now(&self, caller: &Caller, hold: &mut Hold, bytes: u64) -> bool {
-        let waiting = caller.waiting();
+    pub fn try_reserve_read_ahead(&self, caller: &Caller, hold: &mut Hold, bytes: u64) -> bool {
+        let waiting = caller.unsent_bytes();
         let ahead = self.is_bounded() || waiting == 0 || waiting + bytes <= UNBOUNDED_AHEAD;
         ahead && hold.grow(bytes)
     }
 
     /// The same, once there is room. Cancelling reserves nothing.
-    pub async fn reserve_ahead(&self, caller: &Caller, hold: &mut Hold, bytes: u64) {
+    pub async fn reserve_read_ahead(&self, caller: &Caller, hold: &mut Hold, bytes: u64) {
         let _waiting = Waiting::new(&self.waiting);
         loop {
             let released = self.released.notified();
-            if self.reserve_ahead_now(caller, hold, bytes) {
+            if self.try_reserve_read_ahead(caller, hold, bytes) {
                 return;
             }
             released.await;
@@ -153,7 +153,7 @@
 
     /// An endpoint ended its answer after it had not been read for a time. Returns what is now known of endpoints, if it
     /// is news.
-    pub fn learn_cut(&self, unread: Duration) -> Option<Duration> {
+    pub fn record_unread_interruption(&self, unread: Duration) -> Option<Duration> {
         let known = self.cut_after.get().unwrap_or(Duration::MAX);
         if unread < LEAST_CUT || unread >= known {
             return None;
@@ -185,7 +185,7 @@
         if since > LONGEST_LOOK {
             // This process stood still, not the callers.
             let callers = callers.iter().filter_map(Weak::upgrade);
-            callers.for_each(|caller| caller.excuse(now));
+            callers.for_each(|caller| caller.reset_progress(now));
         }
         // Where memory has no bound nobody waits for another one.
         if self.waiting.get() == 0 || !self.is_bounded() {
@@ -202,7 +202,7 @@
 
 impl<D> Traffic<D> {
     /// Looks at what is held: puts the budget in force, and ends the slowest caller if others wait for its memory.
-    pub fn look_at_memory(&self) {
+    pub fn check_memory(&self) {
         let now = self.clock.now();
         let (mib, tables) = {
             let state = self.state.borrow();
@@ -229,11 +229,11 @@
             "unread_ms" => delivery.unread.map(|time| time.as_millis() as u64),
             "held_in_all" => self.room.ledger.total(),
             "budget" => self.room.ledger.budget().most);
-        caller.ended.notify_one();
+        caller.close_requested.notify_one();
     }
 
     /// Whether a connection may be taken now.
-    pub fn may_accept(&self) -> bool {
+    pub fn can_accept(&self) -> bool {
         let turn = self.room.look_at_gate();
         self.note_turn(turn);
         !self.room.is_paused()
--- a/components/gateway/src/pending_replies.rs
+++ b/components/gateway/src/pending_replies.rs
@@ -8,21 +8,21 @@
 
 /// Questions without a reply yet, by their numbers.
 #[derive(Debug)]
-pub(crate) struct Replies<R> {
+pub(crate) struct PendingReplies<R> {
     waiting: RefCell<HashMap<i64, oneshot::Sender<R>>>,
     number: Cell<i64>,
 }
 
-impl<R> Default for Replies<R> {
+impl<R> Default for PendingReplies<R> {
     fn default() -> Self {
-        Replies {
+        PendingReplies {
             waiting: RefCell::default(),
             number: Cell::default(),
         }
     }
 }
 
-impl<R> Replies<R> {
+impl<R> PendingReplies<R> {
     /// A number that no question had before.
     pub fn next_number(&self) -> i64 {
         self.number.set(self.number.get() + 1);
@@ -30,14 +30,14 @@
     }
 
     /// Awaits the reply to a question that is about to be sent.
-    pub fn expect(&self, number: i64) -> oneshot::Receiver<R> {
+    pub fn register(&self, number: i64) -> oneshot::Receiver<R> {
         let (sender, reply) = oneshot::channel();
         self.waiting.borrow_mut().insert(number, sender);
         reply
     }
 
     /// The reply, if it comes in time.
-    pub async fn within(
+    pub async fn wait(
         &self,
         time: Duration,
         number: i64,
@@ -49,7 +49,7 @@
     }
 
     /// Hands a reply to whoever waits for it. One that comes too late is for nobody.
-    pub fn take(&self, number: i64, reply: R) {
+    pub fn deliver(&self, number: i64, reply: R) {
         let waiting = self.waiting.borrow_mut().remove(&number);
         if let Some(waiting) = waiting {
             let _ = waiting.send(reply);
--- a/components/gateway/src/request_quarantine.rs
+++ b/components/gateway/src/request_quarantine.rs
@@ -14,7 +14,7 @@
 impl<D> Traffic<D> {
     /// Why a job is sent to no endpoint, if its content is held back. Callers are told the whole time: a try before its end
     /// is refused as well.
-    pub fn held_back(&self, job: &Job, progress: &Progress) -> Option<Refusal> {
+    pub fn quarantine_refusal(&self, job: &Job, progress: &Progress) -> Option<Refusal> {
         let now = self.clock.now();
         let left = {
             let state = self.state.borrow();
@@ -24,24 +24,24 @@
         self.metrics.count(Counter::QuarantineRefused);
         Some(match progress.maybe_run {
             true => Refusal::maybe_run(Kind::EndpointFailed, message),
-            false => Refusal::not_run(Kind::Quarantined, message).after(left),
+            false => Refusal::not_run(Kind::Quarantined, message).with_retry_after(left),
         })
     }
 
     /// Whether a job that was cut off may be sent on, as far as its content goes.
-    pub fn may_go_on(&self, job: &Job) -> bool {
+    pub fn quarantine_allows_retry(&self, job: &Job) -> bool {
         let now = self.clock.now();
         let state = self.state.borrow();
         state.quarantine.can_retry(now, job.content)
     }
 
     /// An endpoint ended while it ran a content.
-    pub fn note_end(&self, content: Fingerprint, incarnation: u64) {
+    pub fn record_endpoint_end(&self, content: Fingerprint, incarnation: u64) {
         let observation = Observation::Ended {
             content,
             endpoint: incarnation,
         };
-        if self.take_observation(observation) {
+        if self.record_observation(observation) {
             self.state.borrow_mut().tally.observations.push(observation);
             // The next gateway that is asked for the same has to know.
             self.send_tally();
@@ -49,21 +49,21 @@
     }
 
     /// A job ran to its end.
-    pub fn note_whole(&self, job: &Job) {
+    pub fn record_completed(&self, job: &Job) {
         let observation = Observation::Completed(job.content);
-        if self.take_observation(observation) {
+        if self.record_observation(observation) {
             self.state.borrow_mut().tally.observations.push(observation);
         }
     }
 
     /// Takes what other gateways saw.
-    pub fn take_observations(&self, observations: &[Observation]) {
+    pub fn merge_observations(&self, observations: &[Observation]) {
         for observation in observations {
-            self.take_observation(*observation);
+            self.record_observation(*observation);
         }
     }
 
-    fn take_observation(&self, observation: Observation) -> bool {
+    fn record_observation(&self, observation: Observation) -> bool {
         let now = self.clock.now();
         let (Observation::Ended { content, .. } | Observation::Completed(content)) = observation;
         self.change(now, content, |quarantine| {
@@ -72,7 +72,7 @@
     }
 
     /// Takes what others hold back.
-    pub fn take_held(&self, held: &[Held]) {
+    pub fn merge_held(&self, held: &[Held]) {
         let now = self.clock.now();
         for held in held {
             self.change(now, held.content, |quarantine| {
--- a/components/gateway/src/retry.rs
+++ b/components/gateway/src/retry.rs
@@ -6,9 +6,9 @@
 use errors::Kind;
 use routing::placement::Placement;
 
-use crate::admission::unconfirmed;
+use crate::admission::unconfirmed_refusal;
 use crate::answer::Refusal;
-use crate::attempt::{Attempted, Reply, Sending};
+use crate::attempt::{AttemptOutcome, EndpointAnswer, SendOptions};
 use crate::freshness::Ages;
 use crate::job::{Job, Progress, SharedJob};
 use crate::placing::Nowhere;
@@ -29,9 +29,9 @@
         job: &SharedJob,
         progress: &mut Progress,
         mut placed: Option<Placement>,
-    ) -> Result<Reply<D>, Refusal> {
+    ) -> Result<EndpointAnswer<D>, Refusal> {
         let mut unsent = 0;
-        let mut sending = Sending::default();
+        let mut options = SendOptions::default();
         loop {
             let placement = match placed.take() {
                 Some(placement) => placement,
@@ -41,7 +41,7 @@
                 },
             };
             // Word of it may have come meanwhile.
-            if let Some(refusal) = self.held_back(job, progress) {
+            if let Some(refusal) = self.quarantine_refusal(job, progress) {
                 return Err(refusal);
             }
             if let Some(refusal) = self.overtaken(job, progress) {
@@ -58,16 +58,16 @@
             let Some(grant) = self.grant(job, progress, &placement).await else {
                 continue;
             };
-            sending.grant = grant;
+            options.grant = grant;
             self.log_placed(job, &placement);
             let expiry = self.attempt_expiry(job, progress);
             progress.sent += 1;
-            let attempt = self.attempt_unless_restarted(job, &placement, sending);
+            let attempt = self.attempt_unless_restarted(job, &placement, options);
             let attempted = self.clock.timeout_at(expiry, attempt).await;
             progress.tried.push(placement.endpoint.clone());
             let outcome = match attempted {
-                Ok(Attempted::Answered(reply)) => return Ok(reply),
-                Ok(Attempted::NotSent) => {
+                Ok(AttemptOutcome::Answered(reply)) => return Ok(reply),
+                Ok(AttemptOutcome::NotSent) => {
                     progress.sent -= 1;
                     unsent += 1;
                     if unsent >= MOST_UNSENT || self.clock.now() >= job.expiry {
@@ -75,15 +75,15 @@
                     }
                     continue;
                 }
-                Ok(Attempted::NotRun) => None,
-                Ok(Attempted::Lost(cause)) => Some(cause),
+                Ok(AttemptOutcome::NotRun) => None,
+                Ok(AttemptOutcome::Lost(cause)) => Some(cause),
                 Err(_) => {
-                    sending.after_silence = true;
+                    options.after_unresponsive = true;
                     Some("the endpoint gave no answer in time")
                 }
-                Ok(Attempted::Failed { head, body }) => {
+                Ok(AttemptOutcome::Failed { head, body }) => {
                     if !self.may_send_again(job, progress, true) {
-                        return Ok(Reply::Whole { head, body });
+                        return Ok(EndpointAnswer::Whole { head, body });
                     }
                     // An endpoint that fails has run it: whatever ends it now is no promise.
                     progress.maybe_run = true;
@@ -99,7 +99,7 @@
 
     // Why a job is not sent any more: the VM may have been frozen or suspended since it was admitted.
     fn overtaken(&self, job: &Job, progress: &Progress) -> Option<Refusal> {
-        if self.may_still_send(job) {
+        if self.can_still_send(job) {
             return None;
         }
         Some(match (progress.maybe_run, self.clock.now() >= job.expiry) {
@@ -107,14 +107,14 @@
             (true, false) => Refusal::maybe_run(Kind::EndpointFailed, "not sent on"),
             (false, true) => {
                 let message = "the time was over before it was sent";
-                Refusal::not_run(Kind::Overloaded, message).after(NO_ROOM_RETRY)
+                Refusal::not_run(Kind::Overloaded, message).with_retry_after(NO_ROOM_RETRY)
             }
-            (false, false) => unconfirmed(),
+            (false, false) => unconfirmed_refusal(),
         })
     }
 
     /// Whether a job's time is not over and its key may be used now. Looked at last before it is sent.
-    pub fn may_still_send(&self, job: &Job) -> bool {
+    pub fn can_still_send(&self, job: &Job) -> bool {
         let now = self.clock.now();
         let ages = Ages::of(&self.state.borrow().settings);
         let may_use_key = !job.needs_key || self.freshness.allows_keys(now, ages.keys);
@@ -127,7 +127,7 @@
             && job.body.is_kept()
             && progress.sent < job.route.max_attempts
             && self.clock.now() < job.expiry
-            && self.may_go_on(job)
+            && self.quarantine_allows_retry(job)
             && self.may_repeat(&job.work.service)
     }
 
@@ -150,7 +150,8 @@
                 let pause = self.pause_left(job, progress);
                 let service = &job.work.service;
                 let wait = pause.map_or(NO_ROOM_RETRY, |left| self.paused_for(service, left).wait);
-                Refusal::not_run(Kind::Overloaded, "the endpoint has no room").after(wait)
+                Refusal::not_run(Kind::Overloaded, "the endpoint has no room")
+                    .with_retry_after(wait)
             }
         }
     }
@@ -159,6 +160,6 @@
 fn refused(progress: &Progress, nowhere: Nowhere) -> Refusal {
     match progress.maybe_run {
         true => Refusal::maybe_run(Kind::EndpointFailed, "no other endpoint takes work"),
-        false => Refusal::not_run(Kind::NoEndpoint, nowhere.cause).after(nowhere.wait),
+        false => Refusal::not_run(Kind::NoEndpoint, nowhere.cause).with_retry_after(nowhere.wait),
     }
 }
--- a/components/gateway/src/run.rs
+++ b/components/gateway/src/run.rs
@@ -19,7 +19,7 @@
 
 use crate::clock::Clock;
 use crate::control::{Control, ControlParts, PeerSockets};
-use crate::coordinator_contact::Alone;
+use crate::coordinator_contact::CoordinatorContact;
 use crate::freshness::Freshness;
 use crate::ports::{Dialect, Orders, Store};
 use crate::server::{bind, bind_std, serve_callers, serve_metrics, serve_readiness};
@@ -105,7 +105,7 @@
         let clock = parts.clock;
         let settings = Arc::new(parts.settings);
         let freshness = Arc::new(Freshness::default());
-        let alone = Arc::new(Alone::default());
+        let alone = Arc::new(CoordinatorContact::default());
         let metrics = Metrics::new(None).change_context(GatewayError("no metrics"))?;
         let metrics = Arc::new(metrics);
         let (tallies, tallied) = flume::bounded(TALLIES_WAITING);
--- a/components/gateway/src/said.rs
+++ b/components/gateway/src/said.rs
@@ -106,7 +106,7 @@
     fn hear_leaving(&self, job: &Job, placement: &Placement) {
         self.metrics.count(Counter::LeavingSaid);
         let mut state = self.state.borrow_mut();
-        state.pool.forget(&placement.endpoint);
+        state.pool.drop_idle(&placement.endpoint);
         let notices = state.board.notices_mut();
         if notices.note_leaving(placement.incarnation, &job.work.service) {
             info!(self.log, "endpoint says that it leaves"; "id" => &job.head.id,
--- a/components/gateway/src/sends.rs
+++ b/components/gateway/src/sends.rs
@@ -19,7 +19,7 @@
 use crate::decisions::{placed_of, FAR_REPLY_TIME, REPLY_TIME};
 use crate::job::{Job, Progress};
 use crate::limit_reports::{received_limit, report_of_limit};
-use crate::pending_replies::Replies;
+use crate::pending_replies::PendingReplies;
 use crate::state::State;
 use crate::traffic::Traffic;
 
@@ -33,7 +33,7 @@
 /// Queries that keepers have not replied to yet, and the keepers that coordinators named.
 #[derive(Debug)]
 pub(crate) struct SendsAsked {
-    pub replies: Replies<SendReply>,
+    pub replies: PendingReplies<SendReply>,
     // By the hash of the endpoint's start; as many as there may be accounts.
     keepers: RefCell<LruCache<u64, SocketAddr>>,
 }
@@ -41,7 +41,7 @@
 impl Default for SendsAsked {
     fn default() -> Self {
         SendsAsked {
-            replies: Replies::default(),
+            replies: PendingReplies::default(),
             keepers: RefCell::new(LruCache::unbounded()),
         }
     }
@@ -229,13 +229,13 @@
             send_query: Some(query),
             ..Decision::default()
         };
-        let reply = replies.expect(number);
+        let reply = replies.register(number);
         self.send_decision(&message, keeper).await;
         let reply_time = match self.is_beyond_region(&placement.hall) {
             true => FAR_REPLY_TIME,
             false => REPLY_TIME,
         };
-        let Some(reply) = replies.within(reply_time, number, reply).await else {
+        let Some(reply) = replies.wait(reply_time, number, reply).await else {
             return Err(KEEPER_PAUSE);
         };
         let now = self.clock.now();
--- a/components/gateway/src/server.rs
+++ b/components/gateway/src/server.rs
@@ -19,7 +19,7 @@
 use telemetry::{Counter, Metrics};
 use tokio::net::{TcpListener, TcpStream};
 
-use crate::caller::{Caller, Watched};
+use crate::caller::{Caller, ProgressStream};
 use crate::plain;
 use crate::ports::Dialect;
 use crate::traffic::Traffic;
@@ -70,9 +70,9 @@
     let most = descriptors.saturating_sub(KEPT_DESCRIPTORS).max(64) / 2;
     let open = Rc::new(Cell::new(0_usize));
     while !traffic.freshness.is_closed(traffic.clock.now()) {
-        if !traffic.may_accept() {
+        if !traffic.can_accept() {
             // Those that connect wait in the kernel meanwhile.
-            let _ = tokio::time::timeout(STOP_LOOK, traffic.room.released()).await;
+            let _ = tokio::time::timeout(STOP_LOOK, traffic.room.wait_for_release()).await;
             continue;
         }
         let accepted = tokio::time::timeout(STOP_LOOK, listener.accept()).await;
@@ -88,7 +88,7 @@
             }
         };
         let caller = match open.get() < most {
-            true => traffic.room.admit(),
+            true => traffic.room.open_caller(),
             false => None,
         };
         let Some(caller) = caller else {
@@ -120,7 +120,7 @@
                 let close = http::HeaderValue::from_static("close");
                 answer.headers_mut().insert(http::header::CONNECTION, close);
             }
-            answer.body_mut().keep(guard);
+            answer.body_mut().set_guard(guard);
             Ok::<_, Infallible>(answer)
         })
     });
@@ -129,7 +129,7 @@
         .timer(TokioTimer::new())
         .header_read_timeout(HEAD_TIME)
         .max_buf_size(head_bytes(&traffic));
-    let watched = Watched {
+    let watched = ProgressStream {
         stream,
         caller: Rc::clone(&caller),
     };
@@ -140,7 +140,7 @@
     loop {
         tokio::select! {
             _ = connection.as_mut() => return,
-            () = caller.ended.notified() => return,
+            () = caller.close_requested.notified() => return,
             _ = look.tick() => match due_end(&traffic, &caller) {
                 None => {}
                 Some(DueEnd::AtRest) => connection.as_mut().graceful_shutdown(),
@@ -175,13 +175,16 @@
     let now = traffic.clock.now();
     let bounds = bounds(traffic);
     let (head_time, idle_time) = (bounds.head_time, bounds.idle_time);
-    if let Some(time) = caller.head_comes_for(now).filter(|time| *time > head_time) {
+    if let Some(time) = caller
+        .head_receive_time(now)
+        .filter(|time| *time > head_time)
+    {
         traffic.metrics.count(Counter::SlowHeads);
         info!(traffic.log, "connection ended"; "cause" => "the head comes too slowly",
             "ms" => time.as_millis() as u64);
         return Some(DueEnd::Now);
     }
-    if caller.gave_up(now, idle_time) {
+    if caller.is_stalled_past_deadline(now, idle_time) {
         let delivery = caller.delivery(now);
         traffic.metrics.count(Counter::UntakenAnswers);
         info!(traffic.log, "answer cut off"; "id" => caller.request_id(),
@@ -189,7 +192,7 @@
             "stalled_ms" => delivery.stalled.as_millis() as u64);
         return Some(DueEnd::Now);
     }
-    let rest = caller.rests_for(now)?;
+    let rest = caller.idle_time(now)?;
     (traffic.freshness.is_closed(now) || rest > idle_time).then_some(DueEnd::AtRest)
 }
 
@@ -201,7 +204,7 @@
 
 impl<D> Busy<D> {
     fn new(traffic: Rc<Traffic<D>>, caller: Rc<Caller>) -> Self {
-        caller.begin();
+        caller.start_request();
         traffic.in_flight.set(traffic.in_flight.get() + 1);
         Busy { traffic, caller }
     }
@@ -209,7 +212,7 @@
 
 impl<D> Drop for Busy<D> {
     fn drop(&mut self) {
-        self.caller.finish();
+        self.caller.finish_request();
         self.traffic.in_flight.set(self.traffic.in_flight.get() - 1);
     }
 }
--- a/components/gateway/src/state.rs
+++ b/components/gateway/src/state.rs
@@ -15,8 +15,8 @@
 use schema::settings::GatewaySettings;
 use topology::Topology;
 
-use crate::connection_pool::Pool;
-use crate::interrupted::Cuts;
+use crate::connection_pool::ConnectionPool;
+use crate::interrupted::InterruptedRuns;
 use crate::link_parts::link_parts;
 use crate::peers::Fleet;
 use crate::tally::{Sent, ServiceLoad, Tally};
@@ -29,7 +29,7 @@
     // Whether the board holds all endpoints.
     pub endpoints_known: bool,
     pub directory: Option<Rc<Directory>>,
-    pub pool: Pool,
+    pub pool: ConnectionPool,
     pub quotas: BTreeMap<String, SharedQuota>,
     pub repeats: BTreeMap<String, RetryBudget>,
     pub tally: Tally,
@@ -40,7 +40,7 @@
     pub settings: Arc<GatewaySettings>,
     pub gates: Gates,
     pub quarantine: Quarantine,
-    pub cuts: Cuts,
+    pub cuts: InterruptedRuns,
     /// Accounts of endpoints that name limits, those that this gateway keeps.
     pub accounts: SendAccounts,
 }
@@ -52,7 +52,7 @@
             board: board_of(&settings),
             endpoints_known: false,
             directory: None,
-            pool: Pool::new(ledger),
+            pool: ConnectionPool::new(ledger),
             quotas: BTreeMap::new(),
             repeats: BTreeMap::new(),
             tally: Tally::default(),
@@ -62,7 +62,7 @@
             settings,
             gates: Gates::default(),
             quarantine: Quarantine::default(),
-            cuts: Cuts::default(),
+            cuts: InterruptedRuns::default(),
             accounts: SendAccounts::default(),
         };
         state.set_link_parts(Duration::ZERO);
--- a/components/gateway/src/stream.rs
+++ b/components/gateway/src/stream.rs
@@ -10,8 +10,8 @@
 use telemetry::Counter;
 use tokio::sync::mpsc;
 
-use crate::answer::Piece;
-use crate::attempt::{Attempted, EventRun, NextEvent, Reply, Sending};
+use crate::answer::BodyPart;
+use crate::attempt::{AttemptOutcome, EndpointAnswer, EndpointStream, NextEvent, SendOptions};
 use crate::buffers::HeldBytes;
 use crate::events::Event;
 use crate::job::{Progress, SharedJob};
@@ -38,7 +38,7 @@
     traffic: Rc<Traffic<D>>,
     job: SharedJob,
     progress: Progress,
-    pieces: mpsc::UnboundedSender<Piece>,
+    pieces: mpsc::UnboundedSender<BodyPart>,
     last_event: Option<u64>,
     passed: u64,
     passed_at: Duration,
@@ -52,7 +52,7 @@
         traffic: &Rc<Traffic<D>>,
         job: &SharedJob,
         progress: Progress,
-        pieces: mpsc::UnboundedSender<Piece>,
+        pieces: mpsc::UnboundedSender<BodyPart>,
     ) -> Self {
         Relay {
             traffic: Rc::clone(traffic),
@@ -68,7 +68,7 @@
     }
 
     /// Passes events on until the stream, the caller or the time ends.
-    pub async fn run(mut self, first: Event, events: EventRun<D>) {
+    pub async fn run(mut self, first: Event, events: EndpointStream<D>) {
         let mut next = Some((first, events));
         while let Some((first, mut events)) = next.take() {
             let end = self.pass(first, &mut events).await;
@@ -76,9 +76,9 @@
             let cause = match end {
                 End::Whole => {
                     events.finish();
-                    self.traffic.note_whole(&self.job);
+                    self.traffic.record_completed(&self.job);
                     // The caller may have left meanwhile.
-                    let _ = self.pieces.send(Piece::End);
+                    let _ = self.pieces.send(BodyPart::End);
                     "whole"
                 }
                 End::CallerLeft => "caller left",
@@ -86,16 +86,18 @@
                 End::Broken | End::Silent => {
                     let is_silent = matches!(end, End::Silent);
                     if !is_silent {
-                        self.learn_cut();
+                        self.record_unread_interruption();
                     }
                     let placement = events.run.placement.clone();
-                    events.run.judge(match is_silent {
+                    events.run.set_health(match is_silent {
                         true => HealthSignal::Unresponsive,
                         false => HealthSignal::Faulty,
                     });
                     drop(events);
                     if !is_silent {
-                        self.traffic.look_after_cut(&self.job, &placement).await;
+                        self.traffic
+                            .check_after_interruption(&self.job, &placement)
+                            .await;
                     }
                     next = self.resume(&endpoint, is_silent).await;
                     if next.is_some() {
@@ -108,7 +110,7 @@
         }
     }
 
-    async fn pass(&mut self, first: Event, events: &mut EventRun<D>) -> End {
+    async fn pass(&mut self, first: Event, events: &mut EndpointStream<D>) -> End {
         if let Some(end) = self.forward(first).await {
             return end;
         }
@@ -119,7 +121,7 @@
             let next = tokio::select! {
                 next = events.next() => next,
                 () = self.pieces.closed() => return End::CallerLeft,
-                () = self.traffic.restarted(&placement) => return End::Broken,
+                () = self.traffic.wait_for_restart(&placement) => return End::Broken,
                 () = clock.sleep_until(expiry) => return End::TimedOut,
                 () = tokio::time::sleep(patience), if self.may_resume() => {
                     if self.traffic.may_repeat(&self.job.work.service) {
@@ -151,7 +153,7 @@
         // The splitter's buffer holds other events as well; a copy is counted exactly.
         let bytes = Bytes::copy_from_slice(&event.bytes);
         let bytes = HeldBytes::counted(bytes, hold, &self.job.caller);
-        if self.pieces.send(Piece::Data(bytes)).is_err() {
+        if self.pieces.send(BodyPart::Data(bytes)).is_err() {
             return Some(End::CallerLeft);
         }
         let now = self.traffic.clock.now();
@@ -169,25 +171,25 @@
         let caller = Rc::clone(&self.job.caller);
         let room = &self.traffic.room;
         let mut hold = caller.account.hold(Kind::ReadAhead);
-        if room.reserve_ahead_now(&caller, &mut hold, needed) {
+        if room.try_reserve_read_ahead(&caller, &mut hold, needed) {
             return Ok(hold);
         }
         let (clock, expiry) = (self.traffic.clock, self.job.expiry);
         self.traffic.metrics.count(Counter::MemoryWaits);
-        caller.set_read_on(false);
+        caller.set_reading(false);
         let end = tokio::select! {
-            () = room.reserve_ahead(&caller, &mut hold, needed) => None,
+            () = room.reserve_read_ahead(&caller, &mut hold, needed) => None,
             () = self.pieces.closed() => Some(End::CallerLeft),
             () = clock.sleep_until(expiry) => Some(End::TimedOut),
         };
-        let unread = caller.set_read_on(true);
+        let unread = caller.set_reading(true);
         self.unread = self.unread.max(unread);
         end.map_or(Ok(hold), Err)
     }
 
     // An endpoint that was not read for long and broke off did so for that.
-    fn learn_cut(&self) {
-        if let Some(unread) = self.traffic.room.learn_cut(self.unread) {
+    fn record_unread_interruption(&self) {
+        if let Some(unread) = self.traffic.room.record_unread_interruption(self.unread) {
             info!(self.traffic.log, "endpoints end what is not read"; "id" => &self.job.head.id,
                 "after_ms" => unread.as_millis() as u64);
         }
@@ -195,9 +197,9 @@
 
     // Another run that goes on after the last event, if the route allows one. `granted` says that the budget gave
     // a repeat for the first try.
-    async fn resume(&mut self, from: &str, granted: bool) -> Option<(Event, EventRun<D>)> {
+    async fn resume(&mut self, from: &str, granted: bool) -> Option<(Event, EndpointStream<D>)> {
         // A repeat is granted before its time where the endpoint is silent.
-        let after_silence = granted;
+        let after_unresponsive = granted;
         let mut granted = granted;
         while self.may_resume()
             && (std::mem::take(&mut granted) || self.traffic.may_repeat(&self.job.work.service))
@@ -211,19 +213,21 @@
             self.progress.sent += 1;
             info!(self.traffic.log, "stream goes on"; "id" => &self.job.head.id, "content" => %self.job.content, "from" => from,
                 "endpoint" => &placement.endpoint, "after" => self.last_event);
-            let sending = Sending {
+            let options = SendOptions {
                 last_event: self.last_event,
-                after_silence,
+                after_unresponsive,
                 grant,
             };
             let attempt = self
                 .traffic
-                .attempt_unless_restarted(&self.job, &placement, sending);
+                .attempt_unless_restarted(&self.job, &placement, options);
             let attempted = tokio::select! {
                 attempted = clock.timeout_at(expiry, attempt) => attempted.ok()?,
                 () = self.pieces.closed() => return None,
             };
-            if let Attempted::Answered(Reply::Events { first, events, .. }) = attempted {
+            if let AttemptOutcome::Answered(EndpointAnswer::Events { first, events, .. }) =
+                attempted
+            {
                 return Some((first, *events));
             }
             self.progress.tried.push(placement.endpoint);
@@ -234,7 +238,9 @@
     fn may_resume(&self) -> bool {
         let route = &self.job.route;
         let repeatable = route.execution.is_repeatable() && self.job.body.is_kept();
-        repeatable && self.progress.sent < route.max_attempts && self.traffic.may_go_on(&self.job)
+        repeatable
+            && self.progress.sent < route.max_attempts
+            && self.traffic.quarantine_allows_retry(&self.job)
     }
 
     fn patience(&self) -> Duration {
--- a/components/gateway/src/traffic.rs
+++ b/components/gateway/src/traffic.rs
@@ -13,12 +13,12 @@
 use tokio::sync::Notify;
 
 use crate::clock::Clock;
-use crate::coordinator_contact::Alone;
+use crate::coordinator_contact::CoordinatorContact;
 use crate::decisions::Asking;
 use crate::freshness::{Ages, Freshness};
 use crate::job::Job;
 use crate::limit_reports::UntoldLimits;
-use crate::memory_manager::Room;
+use crate::memory_manager::MemoryManager;
 use crate::sends::SendsAsked;
 use crate::sights::Sights;
 use crate::state::{sent_of, State};
@@ -38,7 +38,7 @@
     pub dialect: D,
     pub clock: Clock,
     pub freshness: Arc<Freshness>,
-    pub alone: Arc<Alone>,
+    pub alone: Arc<CoordinatorContact>,
     pub metrics: Arc<Metrics>,
     pub log: Logger,
     pub state: RefCell<State>,
@@ -49,7 +49,7 @@
     pub sights: Sights,
     pub sends_asked: SendsAsked,
     pub untold_limits: RefCell<UntoldLimits>,
-    pub room: Room,
+    pub room: MemoryManager,
     tallies: flume::Sender<Tally>,
 }
 
@@ -59,7 +59,7 @@
     pub dialect: D,
     pub clock: Clock,
     pub freshness: Arc<Freshness>,
-    pub alone: Arc<Alone>,
+    pub alone: Arc<CoordinatorContact>,
     pub metrics: Arc<Metrics>,
     pub log: Logger,
     pub settings: Arc<GatewaySettings>,
@@ -69,7 +69,7 @@
 impl<D> Traffic<D> {
     pub fn new(parts: TrafficParts<D>) -> Self {
         let mib = parts.settings.memory_mib.max(0) as u64;
-        let room = Room::new(parts.clock, mib);
+        let room = MemoryManager::new(parts.clock, mib);
         let state = State::new(parts.settings, room.ledger());
         Traffic {
             dialect: parts.dialect,
@@ -107,17 +107,17 @@
                 let ended = known.filter(|known| !known.is_same_start(&endpoint));
                 let ended = ended.map(|known| incarnation(&known.id, known.born_ms));
                 if ended.is_some() || !endpoint.is_ready() {
-                    state.pool.forget(&endpoint.id);
+                    state.pool.drop_idle(&endpoint.id);
                 }
                 state.board.insert(now, endpoint);
                 drop(state);
                 self.endpoints_changed.notify_waiters();
                 if let Some(incarnation) = ended {
-                    self.note_restart(now, incarnation);
+                    self.record_restart(now, incarnation);
                 }
             }
             Update::EndpointGone(id) => {
-                state.pool.forget(&id);
+                state.pool.drop_idle(&id);
                 state.board.remove(&id);
             }
             Update::EndpointsKnown => state.endpoints_known = true,
@@ -160,11 +160,11 @@
             }
             Update::Observations(observations) => {
                 drop(state);
-                self.take_observations(&observations);
+                self.merge_observations(&observations);
             }
             Update::Held(held) => {
                 drop(state);
-                self.take_held(&held);
+                self.merge_held(&held);
             }
             Update::Settings(settings) => state.set_settings(now, settings),
             Update::RolloutOrdered(order) => state.gates.order(order),
@@ -289,8 +289,8 @@
                 },
                 _ = pause.tick() => {
                     let now = self.clock.now();
-                    self.state.borrow_mut().pool.sweep(now);
-                    self.look_at_memory();
+                    self.state.borrow_mut().pool.drop_expired(now);
+                    self.check_memory();
                     self.send_tally();
                 }
             }
--- a/components/gateway/tests/alone.rs
+++ b/components/gateway/tests/alone.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use gateway::Alone;
+use gateway::CoordinatorContact;
 
 fn s(s: u64) -> Duration {
     Duration::from_secs(s)
@@ -10,20 +10,20 @@
 
 #[test]
 fn coordinators_that_decide_now_and_then_are_slow_and_not_lost() {
-    let alone = Alone::default();
-    alone.decided(s(1));
-    alone.undecided(s(2));
-    alone.undecided(s(4));
-    assert_eq!(alone.undecided_for(s(5)), s(3));
-    alone.decided(s(6));
-    assert_eq!(alone.undecided_for(s(6)), Duration::ZERO);
-    alone.undecided(s(7));
-    assert_eq!(alone.undecided_for(s(8)), s(1));
+    let alone = CoordinatorContact::default();
+    alone.record_decision(s(1));
+    alone.record_no_decision(s(2));
+    alone.record_no_decision(s(4));
+    assert_eq!(alone.time_without_decision(s(5)), s(3));
+    alone.record_decision(s(6));
+    assert_eq!(alone.time_without_decision(s(6)), Duration::ZERO);
+    alone.record_no_decision(s(7));
+    assert_eq!(alone.time_without_decision(s(8)), s(1));
 }
 
 #[test]
 fn a_gateway_without_requests_has_lost_nobody() {
-    let alone = Alone::default();
-    assert_eq!(alone.undecided_for(s(60)), Duration::ZERO);
-    assert!(!alone.is_alone(s(60)));
+    let alone = CoordinatorContact::default();
+    assert_eq!(alone.time_without_decision(s(60)), Duration::ZERO);
+    assert!(!alone.is_lost(s(60)));
 }
