--- a/components/gateway/src/admission.rs
+++ b/components/gateway/src/admission.rs
@@ -1,4 +1,4 @@
-//! Admitting a request: its route, its team, what it costs and how long it has.
+//! Admits a request: finds its route, its team, its cost and its deadline.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -17,13 +17,13 @@
 use crate::ports::CallerHead;
 use crate::traffic::Traffic;
 
-/// Time to come back when the configuration is not confirmed.
+/// Retry delay when the configuration is not confirmed.
 const UNCONFIRMED_RETRY: Duration = Duration::from_millis(300);
-/// Least urgent rank.
+/// Rank of the least urgent requests; 0 is the most urgent.
 pub(crate) const LEAST_URGENT_RANK: u8 = 9;
 
 impl<D> Traffic<D> {
-    /// Finds route and tenant, and what the request takes of the tenant's limit.
+    /// Finds the route and the tenant of a request, and its cost against the tenant's limit.
     pub fn admit(
         &self,
         arrived: Duration,
@@ -57,7 +57,7 @@
         let expiry = arrived + head.deadline.unwrap_or(route.timeout).min(route.timeout);
         let tokens = head.tokens.unwrap_or_default();
         let team = tenant.map(|tenant| tenant.name.as_str());
-        let content = Fingerprint::of(&content_of(&parts, team, &body.bytes));
+        let content = Fingerprint::of(&request_content(&parts, team, &body.bytes));
         let job = Job {
             content,
             needs_key,
@@ -70,7 +70,7 @@
             },
             engine: spec.is_some_and(|s| s.engine.is_some()),
             max_connections: spec.map_or(u32::MAX, |s| s.max_connections),
-            cost: tenant.map_or(0, |t| cost_of(&head, t)),
+            cost: tenant.map_or(0, |t| request_cost(&head, t)),
             priority: rank(route, tenant),
             tenant: tenant.map(|t| t.name.clone()),
             route: route.clone(),
@@ -86,47 +86,51 @@
     }
 }
 
-fn content_of<'a>(parts: &'a request::Parts, team: Option<&'a str>, body: &'a [u8]) -> Content<'a> {
+fn request_content<'a>(
+    parts: &'a request::Parts,
+    team: Option<&'a str>,
+    body: &'a [u8],
+) -> Content<'a> {
     let target = parts.uri.path_and_query();
     Content {
         method: parts.method.as_str(),
-        host: host_of(parts),
+        host: host_name(parts),
         target: target.map_or("", |target| target.as_str()),
         team,
         body,
     }
 }
 
-fn host_of(parts: &request::Parts) -> &str {
+fn host_name(parts: &request::Parts) -> &str {
     let field = parts.headers.get(http::header::HOST);
     let host = field.and_then(|value| value.to_str().ok());
     host.or(parts.uri.host()).unwrap_or_default()
 }
 
-/// What a configuration says of a request.
+/// Looks up the route and the tenant of a request in the configuration.
 pub(crate) fn look_up<'a>(
     directory: &'a Directory,
     parts: &request::Parts,
     head: &CallerHead,
 ) -> Lookup<'a> {
-    directory.look_up(host_of(parts), parts.uri.path(), head.key.as_deref())
+    directory.look_up(host_name(parts), parts.uri.path(), head.key.as_deref())
 }
 
-/// The configuration is not known to be the newest.
+/// Refusal while the configuration isn't known to be the newest.
 pub(crate) fn unconfirmed_refusal() -> Refusal {
     let message = "the configuration is not confirmed";
     Refusal::not_run(Kind::PlatformUnavailable, message).with_retry_after(UNCONFIRMED_RETRY)
 }
 
-/// The rank of the tenant comes before that of the route.
+/// Rank of a request: its tenant's priority first, then its route's.
 pub(crate) fn rank(route: &Route, tenant: Option<&Tenant>) -> u8 {
     let tenant = tenant.and_then(|t| t.priority).unwrap_or_default();
     let route = route.priority.min(ROUTE_RANKS - 1);
     (tenant.saturating_mul(ROUTE_RANKS) + route).min(LEAST_URGENT_RANK)
 }
 
-// Units of its tenant's limit that a request takes.
-fn cost_of(head: &CallerHead, tenant: &Tenant) -> u64 {
+// Cost of a request in units of its tenant's limit.
+fn request_cost(head: &CallerHead, tenant: &Tenant) -> u64 {
     let Some(plain) = tenant.quota.and_then(|quota| quota.plain_cost) else {
         return 1;
     };
--- a/components/gateway/src/answer.rs
+++ b/components/gateway/src/answer.rs
@@ -1,4 +1,4 @@
-//! Answers to callers: bodies, and refusals of the gateway's own.
+//! Answers to callers: their bodies, and the gateway's own refusals.
 
 use std::any::Any;
 use std::fmt;
@@ -15,7 +15,7 @@
 
 use crate::buffers::HeldBytes;
 
-/// An answer that ends early; its connection is closed so that it does not look complete.
+/// Error of an answer that ends early. The connection is closed so that the answer doesn't look complete.
 #[derive(Clone, Copy, Debug)]
 pub struct TruncatedAnswer;
 
@@ -27,34 +27,34 @@
 
 impl std::error::Error for TruncatedAnswer {}
 
-/// The body of an answer. It may keep a value that is dropped when the last byte is written.
+/// Body of an answer, with an optional value that is dropped after the last byte is written.
 pub(crate) struct AnswerBody {
     content: Content,
     guard: Option<Rc<dyn Any>>,
 }
 
 enum Content {
-    /// Known as a whole.
+    /// A complete body.
     Whole(Option<HeldBytes>),
-    /// Passed on as it comes.
+    /// A body that is forwarded as it is received.
     Stream {
-        pieces: mpsc::UnboundedReceiver<BodyPart>,
-        /// It was cut off; what came before is to reach the caller first.
-        cut: bool,
+        parts: mpsc::UnboundedReceiver<BodyPart>,
+        /// Whether the stream was interrupted. The parts before are sent to the caller first.
+        is_interrupted: bool,
     },
 }
 
-/// A piece of an answer that is passed on.
+/// A part of a forwarded answer.
 #[derive(Debug)]
 pub(crate) enum BodyPart {
     /// Bytes of the body.
     Data(HeldBytes),
-    /// The whole end; a channel that closes without it was cut off.
+    /// The complete end. A channel that closes without it was interrupted.
     End,
 }
 
 impl AnswerBody {
-    /// A body known as a whole.
+    /// Creates a complete body.
     pub fn whole(bytes: HeldBytes) -> Self {
         AnswerBody {
             content: Content::Whole(Some(bytes)),
@@ -62,15 +62,18 @@
         }
     }
 
-    /// A body passed on as it comes.
-    pub fn stream(pieces: mpsc::UnboundedReceiver<BodyPart>) -> Self {
+    /// Creates a body that is forwarded as it is received.
+    pub fn stream(parts: mpsc::UnboundedReceiver<BodyPart>) -> Self {
         AnswerBody {
-            content: Content::Stream { pieces, cut: false },
+            content: Content::Stream {
+                parts,
+                is_interrupted: false,
+            },
             guard: None,
         }
     }
 
-    /// Keeps a value until the last byte of the answer is written.
+    /// Sets the value that is dropped after the last byte of the answer is written.
     pub fn set_guard(&mut self, value: impl Any) {
         self.guard = Some(Rc::new(value));
     }
@@ -85,21 +88,27 @@
         context: &mut Context<'_>,
     ) -> Poll<Option<Result<Frame<HeldBytes>, TruncatedAnswer>>> {
         let body = self.get_mut();
-        // The server takes bytes long before it can write them.
-        let keeping = |mut bytes: HeldBytes| {
+        // The server polls for bytes long before it can write them, so the bytes hold the guard too.
+        let with_guard = |mut bytes: HeldBytes| {
             bytes.set_guard(body.guard.clone());
             Ok(Frame::data(bytes))
         };
         match &mut body.content {
-            Content::Whole(bytes) => Poll::Ready(bytes.take().map(keeping)),
-            Content::Stream { cut: true, .. } => Poll::Ready(Some(Err(TruncatedAnswer))),
-            Content::Stream { pieces, cut } => match pieces.poll_recv(context) {
+            Content::Whole(bytes) => Poll::Ready(bytes.take().map(with_guard)),
+            Content::Stream {
+                is_interrupted: true,
+                ..
+            } => Poll::Ready(Some(Err(TruncatedAnswer))),
+            Content::Stream {
+                parts,
+                is_interrupted,
+            } => match parts.poll_recv(context) {
                 Poll::Pending => Poll::Pending,
-                Poll::Ready(Some(BodyPart::Data(bytes))) => Poll::Ready(Some(keeping(bytes))),
+                Poll::Ready(Some(BodyPart::Data(bytes))) => Poll::Ready(Some(with_guard(bytes))),
                 Poll::Ready(Some(BodyPart::End)) => Poll::Ready(None),
                 Poll::Ready(None) => {
-                    // The server flushes while it waits, and drops what is unflushed on an error.
-                    *cut = true;
+                    // The server flushes while the body is pending, and drops unflushed bytes on an error.
+                    *is_interrupted = true;
                     context.waker().wake_by_ref();
                     Poll::Pending
                 }
@@ -124,12 +133,12 @@
 /// An answer to a caller.
 pub(crate) type Answer = Response<AnswerBody>;
 
-/// A final answer of the gateway's own.
+/// A final answer made by the gateway itself.
 #[derive(Clone, Debug)]
 pub(crate) struct Refusal {
-    /// Shown to the caller.
+    /// Problem in the body.
     pub problem: Problem,
-    /// When to come back.
+    /// Value of the `Retry-After` header.
     pub retry_after: Option<Duration>,
     /// Whether the connection closes after the answer.
     pub closes_connection: bool,
@@ -145,7 +154,7 @@
         }
     }
 
-    /// The end of a request that may have run.
+    /// A refusal of a request that may have run.
     pub fn maybe_run(kind: Kind, message: impl Into<String>) -> Self {
         Refusal {
             problem: Problem::maybe_run(kind, message),
@@ -154,41 +163,41 @@
         }
     }
 
-    /// The same refusal with a time to come back.
-    pub fn with_retry_after(mut self, pause: Duration) -> Self {
-        self.problem.retry_after_ms = Some(pause.as_millis() as u64);
-        self.retry_after = Some(pause);
+    /// Adds a retry delay.
+    pub fn with_retry_after(mut self, delay: Duration) -> Self {
+        self.problem.retry_after_ms = Some(delay.as_millis() as u64);
+        self.retry_after = Some(delay);
         self
     }
 
-    /// The same refusal, after which the connection closes.
+    /// Closes the connection after the answer.
     pub fn closing_connection(mut self) -> Self {
         self.closes_connection = true;
         self
     }
 
-    /// Its status.
+    /// HTTP status.
     pub fn status(&self) -> u16 {
         self.problem.kind.status()
     }
 
-    /// The answer, for a request id.
+    /// Converts the refusal to the answer of the request `id`.
     pub fn into_answer(self, id: &str) -> Answer {
         let status = self.status();
         let body = self.problem.with_request(id).to_json();
         let mut answer = Response::new(AnswerBody::whole(HeldBytes::uncounted(body.into())));
         *answer.status_mut() =
             StatusCode::from_u16(status).unwrap_or(StatusCode::INTERNAL_SERVER_ERROR);
-        let fields = answer.headers_mut();
-        fields.insert(CONTENT_TYPE, HeaderValue::from_static("application/json"));
-        if let Some(pause) = self.retry_after {
-            let seconds = format!("{:.3}", pause.as_secs_f64());
+        let headers = answer.headers_mut();
+        headers.insert(CONTENT_TYPE, HeaderValue::from_static("application/json"));
+        if let Some(delay) = self.retry_after {
+            let seconds = format!("{:.3}", delay.as_secs_f64());
             if let Ok(value) = HeaderValue::from_str(&seconds) {
-                fields.insert(RETRY_AFTER, value);
+                headers.insert(RETRY_AFTER, value);
             }
         }
         if self.closes_connection {
-            fields.insert(http::header::CONNECTION, HeaderValue::from_static("close"));
+            headers.insert(http::header::CONNECTION, HeaderValue::from_static("close"));
         }
         answer
     }
--- a/components/gateway/src/attempt.rs
+++ b/components/gateway/src/attempt.rs
@@ -21,12 +21,12 @@
 use crate::sends::Grant;
 use crate::traffic::Traffic;
 
-/// Largest answer that is read as a whole, in bytes.
-const MAX_WHOLE_ANSWER: usize = 8 << 20;
-/// Largest body of a refusal that is read so that its connection can be kept, in bytes.
-const MAX_REFUSAL: usize = 64 << 10;
-/// Fields that concern one connection only.
-const HOP_FIELDS: [HeaderName; 7] = [
+/// Maximum size of a buffered answer, in bytes.
+const MAX_WHOLE_ANSWER_BYTES: usize = 8 << 20;
+/// Maximum size of a refusal's body, in bytes, that is read so that the connection can be reused.
+const MAX_REFUSAL_BYTES: usize = 64 << 10;
+/// Hop-by-hop headers, which aren't forwarded.
+const HOP_BY_HOP_HEADERS: [HeaderName; 7] = [
     http::header::CONNECTION,
     http::header::PROXY_AUTHENTICATE,
     http::header::PROXY_AUTHORIZATION,
@@ -46,18 +46,18 @@
     ready: VecDeque<Event>,
 }
 
-/// What a stream brings next.
+/// Next item of a stream.
 pub(crate) enum NextEvent {
     /// An event.
     Event(Event),
-    /// Its whole end.
+    /// The complete end of the stream.
     End,
-    /// It broke off.
+    /// The stream ended without its complete end.
     Broken,
 }
 
 impl<D> EndpointStream<D> {
-    /// Waits for the next event. Cancelling loses nothing.
+    /// Waits for the next event. Cancel safe.
     pub async fn next(&mut self) -> NextEvent {
         loop {
             if let Some(event) = self.ready.pop_front() {
@@ -82,21 +82,21 @@
         }
     }
 
-    /// The stream ended whole.
+    /// Records the complete end of the stream and returns its connection to the pool.
     pub fn finish(mut self) {
         self.run.set_health(HealthSignal::Healthy);
         self.run.finish(self.keep_alive);
     }
 }
 
-/// What an endpoint answered.
+/// An answer of an endpoint.
 pub(crate) enum EndpointAnswer<D> {
-    /// An answer known as a whole.
+    /// A buffered answer.
     Whole {
         head: response::Parts,
         body: BufferedBody,
     },
-    /// A stream whose first event has come.
+    /// A stream whose first event was received.
     Events {
         head: response::Parts,
         first: Event,
@@ -104,16 +104,16 @@
     },
 }
 
-/// How an attempt came out.
+/// Outcome of an attempt.
 pub(crate) enum AttemptOutcome<D> {
     /// An answer of the endpoint.
     Answered(EndpointAnswer<D>),
-    /// An answer that says it failed.
+    /// An answer with a server error.
     Failed {
         head: response::Parts,
         body: BufferedBody,
     },
-    /// The endpoint says that it did not run the request.
+    /// The endpoint reported that it did not run the request.
     NotRun,
     /// Nothing was sent.
     NotSent,
@@ -121,36 +121,36 @@
     Lost(&'static str),
 }
 
-/// What an attempt goes on from.
+/// Options of one attempt.
 #[derive(Clone, Copy, Debug, Default)]
 pub(crate) struct SendOptions {
-    /// Last event that the caller has of this stream.
+    /// Id of the last event that was forwarded to the caller; the attempt resumes the stream after it.
     pub last_event: Option<u64>,
-    /// Whether the attempt before it met silence: then a connection that rested is not trusted. Open connections may
-    /// go silent without a reset, all at once, while new ones work.
+    /// Whether the previous attempt got no response. Then idle connections aren't reused: all open connections may stop
+    /// responding at once, without a reset, while new ones work.
     pub after_unresponsive: bool,
-    /// Whether the limit of the endpoint allows it.
+    /// Whether the endpoint's limit allows the send.
     pub grant: Grant,
 }
 
 impl<D: Dialect + 'static> Traffic<D> {
-    /// Sends a job to the endpoint chosen for it, and gives it up once that is known to have started again.
+    /// Sends a job to its chosen endpoint and aborts the attempt when the endpoint is known to have restarted.
     pub async fn attempt_unless_restarted(
         self: &Rc<Self>,
         job: &SharedJob,
         placement: &Placement,
         options: SendOptions,
     ) -> AttemptOutcome<D> {
-        let ended = tokio::select! {
+        let cause = tokio::select! {
             biased;
-            attempted = self.attempt(job, placement, options) => return attempted,
+            outcome = self.attempt(job, placement, options) => return outcome,
             () = self.wait_for_restart(placement) => "the endpoint started again",
         };
         self.check_after_interruption(job, placement).await;
-        AttemptOutcome::Lost(ended)
+        AttemptOutcome::Lost(cause)
     }
 
-    /// Sends a job to the endpoint chosen for it.
+    /// Sends a job to its chosen endpoint.
     pub async fn attempt(
         self: &Rc<Self>,
         job: &SharedJob,
@@ -171,14 +171,14 @@
         if !self.connect(job, placement, options, &mut run).await {
             return AttemptOutcome::NotSent;
         }
-        // Opening a connection takes a while, in which the VM may be frozen or suspended, and the endpoint say that it wants
-        // nothing more, or name a limit.
+        // While the connection was opened the VM may have been frozen or suspended, and the endpoint may have announced that
+        // it takes no more requests, or a limit.
         let is_wanted = self.is_wanted(placement) && self.is_granted(placement, options.grant);
         if !self.can_still_send(job) || !is_wanted {
             run.set_health(HealthSignal::Inconclusive);
             return AttemptOutcome::NotSent;
         }
-        let request = self.request_of(job, placement, options.last_event);
+        let request = self.build_request(job, placement, options.last_event);
         self.metrics.count(Counter::Attempts);
         run.sent_at = self.clock.now();
         let Some(connection) = run.connection.as_mut() else {
@@ -206,10 +206,10 @@
             return AttemptOutcome::Lost("the endpoint answered another request");
         }
         if read.not_run {
-            return self.declined(run, &read, body).await;
+            return self.not_run_answer(run, &read, body).await;
         }
         if !job.route.execution.is_repeatable() {
-            // It runs, so it is not sent again, and its answer needs the memory.
+            // The request runs and isn't sent again; its answer needs the memory.
             job.body.discard();
         }
         if job.route.execution.is_stream() && head.status.is_success() {
@@ -218,14 +218,14 @@
         self.whole_answer(job, run, head, read, body).await
     }
 
-    fn request_of(
+    fn build_request(
         &self,
         job: &Job,
         placement: &Placement,
         last_event: Option<u64>,
     ) -> Request<FullBody> {
-        let mut fields = job.parts.headers.clone();
-        strip_hop_fields(&mut fields);
+        let mut headers = job.parts.headers.clone();
+        strip_hop_by_hop_headers(&mut headers);
         let attempt = AttemptHead {
             endpoint: placement.endpoint.clone(),
             remaining: job.expiry.saturating_sub(self.clock.now()),
@@ -234,28 +234,28 @@
             engine: job.engine,
             last_event: last_event.or(job.head.last_event),
         };
-        self.dialect.write_attempt(&mut fields, &attempt);
-        fields.remove(http::header::EXPECT);
-        let has_body = !job.body.is_empty() || fields.contains_key(http::header::CONTENT_LENGTH);
-        fields.remove(http::header::CONTENT_LENGTH);
+        self.dialect.write_attempt(&mut headers, &attempt);
+        headers.remove(http::header::EXPECT);
+        let has_body = !job.body.is_empty() || headers.contains_key(http::header::CONTENT_LENGTH);
+        headers.remove(http::header::CONTENT_LENGTH);
         if has_body {
-            fields.insert(http::header::CONTENT_LENGTH, job.body.len().into());
+            headers.insert(http::header::CONTENT_LENGTH, job.body.len().into());
         }
         let mut request = Request::new(FullBody::new(job.body.bytes()));
         *request.method_mut() = job.parts.method.clone();
         *request.uri_mut() = job.parts.uri.clone();
-        *request.headers_mut() = fields;
+        *request.headers_mut() = headers;
         request
     }
 
-    async fn declined(
+    async fn not_run_answer(
         &self,
         mut run: EndpointRun<D>,
         read: &AnswerHead,
         body: Incoming,
     ) -> AttemptOutcome<D> {
         run.set_health(HealthSignal::Inconclusive);
-        let limited = Limited::new(body, MAX_REFUSAL);
+        let limited = Limited::new(body, MAX_REFUSAL_BYTES);
         if limited.collect().await.is_ok() {
             run.finish(read.keep_alive);
         }
@@ -273,7 +273,10 @@
         let ran_for = self.clock.now().saturating_sub(run.sent_at);
         self.note_begun(job, ran_for);
         let hold = job.caller.account.hold(Kind::Whole);
-        let gathered = self.room.gather(body, hold, MAX_WHOLE_ANSWER, None).await;
+        let gathered = self
+            .room
+            .gather(body, hold, MAX_WHOLE_ANSWER_BYTES, None)
+            .await;
         let Ok(body) = gathered else {
             run.set_health(HealthSignal::Faulty);
             self.check_after_interruption(job, &run.placement).await;
@@ -293,7 +296,7 @@
             self.record_completed(job);
         }
         run.finish(read.keep_alive);
-        strip_hop_fields(&mut head.headers);
+        strip_hop_by_hop_headers(&mut head.headers);
         match failed {
             true => AttemptOutcome::Failed { head, body },
             false => AttemptOutcome::Answered(EndpointAnswer::Whole { head, body }),
@@ -323,7 +326,7 @@
             NextEvent::Event(first) => {
                 events.run.record_first_token();
                 self.note_begun(job, Duration::ZERO);
-                strip_hop_fields(&mut head.headers);
+                strip_hop_by_hop_headers(&mut head.headers);
                 AttemptOutcome::Answered(EndpointAnswer::Events {
                     head,
                     first,
@@ -342,16 +345,16 @@
     }
 }
 
-fn strip_hop_fields(fields: &mut HeaderMap) {
-    let named: Vec<HeaderName> = fields
+fn strip_hop_by_hop_headers(headers: &mut HeaderMap) {
+    let listed: Vec<HeaderName> = headers
         .get_all(http::header::CONNECTION)
         .iter()
         .filter_map(|value| value.to_str().ok())
         .flat_map(|value| value.split(','))
         .filter_map(|name| name.trim().parse().ok())
         .collect();
-    for name in named.iter().chain(&HOP_FIELDS) {
-        fields.remove(name);
+    for name in listed.iter().chain(&HOP_BY_HOP_HEADERS) {
+        headers.remove(name);
     }
-    fields.remove(KEEP_ALIVE);
+    headers.remove(KEEP_ALIVE);
 }
--- a/components/gateway/src/body.rs
+++ b/components/gateway/src/body.rs
@@ -1,4 +1,4 @@
-//! Reading a caller's body into memory that is reserved for it.
+//! Reads a caller's body into reserved memory.
 
 use std::time::Duration;
 
@@ -19,7 +19,7 @@
 use crate::traffic::Traffic;
 
 impl<D: Dialect + 'static> Traffic<D> {
-    /// Reads a body whole, by a time.
+    /// Reads a complete body until the deadline `read_by`.
     pub async fn read_body(
         &self,
         parts: &request::Parts,
@@ -29,10 +29,10 @@
         caller: &Caller,
     ) -> Result<BufferedBody, Refusal> {
         let hold = caller.account.hold(memory::Kind::BodyRead);
-        let patience = |bytes| self.body_memory_timeout(parts, head, bytes);
+        let memory_timeout = |bytes| self.body_memory_timeout(parts, head, bytes);
         let reading = self
             .room
-            .gather(body, hold, self.body_bytes(), Some(&patience));
+            .gather(body, hold, self.max_body_bytes(), Some(&memory_timeout));
         match self.clock.timeout_at(read_by, reading).await {
             Ok(Ok(body)) => Ok(body),
             Ok(Err(GatherError::TooLarge)) => Err(Refusal::not_run(
@@ -44,14 +44,14 @@
                 Err(Refusal::not_run(Kind::MalformedBody, "the body broke off")
                     .closing_connection())
             }
-            Ok(Err(GatherError::NoRoom(bytes))) => Err(self.no_room(head, bytes)),
+            Ok(Err(GatherError::NoRoom(bytes))) => Err(self.memory_refusal(head, bytes)),
             Err(_) => {
                 Err(Refusal::not_run(Kind::SlowSender, "the body is late").closing_connection())
             }
         }
     }
 
-    // How long a body waits for memory. Its route is looked up only here, since most find some at once.
+    // How long a body waits for memory. The route is looked up only here, since most bodies get memory at once.
     fn body_memory_timeout(
         &self,
         parts: &request::Parts,
@@ -66,22 +66,22 @@
         memory::body_patience(rank, bytes, target)
     }
 
-    fn no_room(&self, head: &CallerHead, bytes: u64) -> Refusal {
+    fn memory_refusal(&self, head: &CallerHead, bytes: u64) -> Refusal {
         let ledger = self.room.ledger();
-        let back = self.room.retry_after(bytes);
+        let retry_after = self.room.retry_after(bytes);
         self.metrics.count(Counter::MemoryRefused);
         warn!(self.log, "body refused for want of memory"; "id" => &head.id, "lacks" => bytes,
             "held_in_all" => ledger.total(), "budget" => ledger.budget().most,
-            "share" => ledger.share(), "retry_after_ms" => back.as_millis() as u64);
+            "share" => ledger.share(), "retry_after_ms" => retry_after.as_millis() as u64);
         Refusal::not_run(
             Kind::TooManyRequests,
             "the gateway has no memory for the body",
         )
-        .with_retry_after(back)
+        .with_retry_after(retry_after)
         .closing_connection()
     }
 
-    fn body_bytes(&self) -> usize {
+    fn max_body_bytes(&self) -> usize {
         let state = self.state.borrow();
         let directory = state.directory.as_ref();
         directory.map_or(1 << 20, |d| d.configuration().bounds.body_bytes)
--- a/components/gateway/src/buffers.rs
+++ b/components/gateway/src/buffers.rs
@@ -1,4 +1,4 @@
-//! Bytes that are counted as held until they are written.
+//! Buffers of bodies and answers that are accounted for until they are written or dropped.
 
 use std::any::Any;
 use std::cell::RefCell;
@@ -9,44 +9,44 @@
 
 use crate::caller::Caller;
 
-/// A part of an answer on its way to a caller. What it holds is given back once its last byte is written.
+/// Bytes of an answer that are queued for a caller. Their memory is released after the last byte is written.
 #[derive(Debug)]
 pub(crate) struct HeldBytes {
     bytes: Bytes,
     _hold: Option<Hold>,
-    waits_for: Option<(Rc<Caller>, u64)>,
+    queued_for: Option<(Rc<Caller>, u64)>,
     guard: Option<Rc<dyn Any>>,
 }
 
 impl HeldBytes {
-    /// Bytes of the gateway's own, too few to be counted.
+    /// Wraps bytes of the gateway itself, which are too few to be accounted for.
     pub fn uncounted(bytes: Bytes) -> Self {
         HeldBytes {
             bytes,
             _hold: None,
-            waits_for: None,
+            queued_for: None,
             guard: None,
         }
     }
 
-    /// Bytes that wait for a caller, held on its account.
+    /// Wraps bytes that are queued for a caller and held on its account.
     pub fn counted(bytes: Bytes, hold: Hold, caller: &Rc<Caller>) -> Self {
         let length = bytes.len() as u64;
         caller.add_unsent(length);
         HeldBytes {
             bytes,
             _hold: Some(hold),
-            waits_for: Some((Rc::clone(caller), length)),
+            queued_for: Some((Rc::clone(caller), length)),
             guard: None,
         }
     }
 
-    /// Keeps a value until the last byte is written.
+    /// Sets the value that is dropped after the last byte is written.
     pub fn set_guard(&mut self, guard: Option<Rc<dyn Any>>) {
         self.guard = guard;
     }
 
-    /// Bytes that are left.
+    /// Remaining length in bytes.
     pub fn len(&self) -> usize {
         self.bytes.len()
     }
@@ -68,20 +68,20 @@
 
 impl Drop for HeldBytes {
     fn drop(&mut self) {
-        if let Some((caller, length)) = &self.waits_for {
+        if let Some((caller, length)) = &self.queued_for {
             caller.remove_unsent(*length);
         }
     }
 }
 
-/// A body that was read as a whole, with what it holds.
+/// A complete body and the hold on its memory.
 #[derive(Debug)]
 pub(crate) struct BufferedBody {
     pub bytes: Bytes,
     pub hold: Hold,
 }
 
-/// A caller's body, kept while its request may be sent once more.
+/// A caller's body, kept while its request may be sent again.
 #[derive(Debug)]
 pub(crate) struct KeptBody {
     length: usize,
@@ -89,7 +89,7 @@
 }
 
 impl KeptBody {
-    /// Keeps a whole body.
+    /// Keeps a complete body.
     pub fn new(mut body: BufferedBody) -> Self {
         body.hold.change(Kind::BodyKept);
         KeptBody {
@@ -98,17 +98,17 @@
         }
     }
 
-    /// Its length in bytes, also after it was let go.
+    /// Length in bytes, also after the body was discarded.
     pub fn len(&self) -> usize {
         self.length
     }
 
-    /// Whether it has no bytes.
+    /// Whether the length is zero.
     pub fn is_empty(&self) -> bool {
         self.length == 0
     }
 
-    /// The whole body; nothing after it was let go.
+    /// The body; empty after it was discarded.
     pub fn bytes(&self) -> Bytes {
         let kept = self.kept.borrow();
         kept.as_ref()
@@ -116,12 +116,12 @@
             .unwrap_or_default()
     }
 
-    /// Whether the request can be sent once more, as far as its body goes.
+    /// Whether the body is still there, so that the request can be sent again.
     pub fn is_kept(&self) -> bool {
         self.kept.borrow().is_some()
     }
 
-    /// The request is not sent again: gives the memory back.
+    /// Releases the body's memory; the request can't be sent again.
     pub fn discard(&self) {
         self.kept.borrow_mut().take();
     }
--- a/components/gateway/src/caller.rs
+++ b/components/gateway/src/caller.rs
@@ -1,4 +1,4 @@
-//! One caller's connection: what is held for it, and whether it makes progress.
+//! A caller's connection: its memory account and its progress.
 
 use std::cell::{Cell, RefCell};
 use std::pin::Pin;
@@ -13,20 +13,20 @@
 
 use crate::clock::Clock;
 
-/// One caller's connection. It serves one request at a time.
+/// A caller's connection, which serves one request at a time.
 #[derive(Debug)]
 pub(crate) struct Caller {
-    /// What is held for its request.
+    /// Account of the memory held for its request.
     pub account: Account,
-    /// Resolves once the connection is to be closed for want of memory.
+    /// Notified when the connection is to be closed because memory is short.
     pub close_requested: Notify,
     clock: Clock,
-    // The cost of the connection itself.
+    // Memory of the connection itself.
     _connection: Hold,
     running: Cell<u32>,
-    rests_since: Cell<Duration>,
-    head_since: Cell<Option<Duration>>,
-    waiting: Cell<u64>,
+    idle_since: Cell<Duration>,
+    head_started_at: Cell<Option<Duration>>,
+    unsent: Cell<u64>,
     progress_at: Cell<Duration>,
     unread_since: Cell<Option<Duration>>,
     request: RefCell<Request>,
@@ -35,11 +35,11 @@
 #[derive(Clone, Debug, Default)]
 struct Request {
     id: String,
-    until: Duration,
+    deadline: Duration,
 }
 
 impl Caller {
-    /// A connection that was just accepted.
+    /// Creates the state of a connection that was just accepted.
     pub fn new(clock: Clock, account: Account, connection: Hold) -> Self {
         let now = clock.now();
         Caller {
@@ -48,74 +48,75 @@
             clock,
             _connection: connection,
             running: Cell::new(0),
-            rests_since: Cell::new(now),
-            head_since: Cell::new(None),
-            waiting: Cell::new(0),
+            idle_since: Cell::new(now),
+            head_started_at: Cell::new(None),
+            unsent: Cell::new(0),
             progress_at: Cell::new(now),
             unread_since: Cell::new(None),
             request: RefCell::default(),
         }
     }
 
-    /// Its request was read up to the body; the caller waits for an answer until a time.
-    pub fn set_request(&self, id: &str, until: Duration) {
+    /// Sets the request whose head was read, and the deadline of its answer.
+    pub fn set_request(&self, id: &str, deadline: Duration) {
         let mut request = self.request.borrow_mut();
         request.id.clear();
         request.id.push_str(id);
-        request.until = until;
+        request.deadline = deadline;
     }
 
-    /// Id of its request, for logs.
+    /// Id of the request, for logs.
     pub fn request_id(&self) -> String {
         self.request.borrow().id.clone()
     }
 
-    /// A request begins.
+    /// Records that a request starts.
     pub fn start_request(&self) {
         self.running.set(self.running.get() + 1);
-        self.head_since.set(None);
+        self.head_started_at.set(None);
     }
 
-    /// A request is over, up to the last byte of its answer.
+    /// Records that the last byte of a request's answer was written.
     pub fn finish_request(&self) {
         self.running.set(self.running.get() - 1);
-        self.rests_since.set(self.clock.now());
+        self.idle_since.set(self.clock.now());
     }
 
-    /// How long it has been at rest, if it is.
+    /// How long the connection has been idle, if it is.
     pub fn idle_time(&self, now: Duration) -> Option<Duration> {
-        let rests = self.running.get() == 0;
-        rests.then(|| now.saturating_sub(self.rests_since.get()))
+        let is_idle = self.running.get() == 0;
+        is_idle.then(|| now.saturating_sub(self.idle_since.get()))
     }
 
-    /// How long the head of its next request has been coming, if one has begun.
+    /// How long the head of the next request has been arriving, if it has begun.
     pub fn head_receive_time(&self, now: Duration) -> Option<Duration> {
-        let since = self.head_since.get()?;
+        let since = self.head_started_at.get()?;
         Some(now.saturating_sub(since))
     }
 
-    /// Bytes of an answer begin to wait for it.
+    /// Adds bytes of an answer that are queued for the caller.
     pub fn add_unsent(&self, bytes: u64) {
-        if self.waiting.get() == 0 {
+        if self.unsent.get() == 0 {
             self.progress_at.set(self.clock.now());
         }
-        self.waiting.set(self.waiting.get() + bytes);
+        self.unsent.set(self.unsent.get() + bytes);
     }
 
-    /// Bytes of an answer that wait for it.
+    /// Bytes of an answer that are queued for the caller.
     pub fn unsent_bytes(&self) -> u64 {
-        self.waiting.get()
+        self.unsent.get()
     }
 
-    /// Bytes of an answer wait no longer.
+    /// Removes bytes that were written or dropped.
     pub fn remove_unsent(&self, bytes: u64) {
-        self.waiting.set(self.waiting.get() - bytes);
+        self.unsent.set(self.unsent.get() - bytes);
     }
 
-    /// Whether its endpoint's answer is read on; `false` while there is no memory for it. Returns how long it was not.
-    pub fn set_reading(&self, reads: bool) -> Duration {
+    /// Sets whether the endpoint's answer is read; `false` while there is no memory for it. Returns how long reading was
+    /// paused.
+    pub fn set_reading(&self, is_reading: bool) -> Duration {
         let now = self.clock.now();
-        if reads {
+        if is_reading {
             let since = self.unread_since.take();
             return since.map_or(Duration::ZERO, |since| now.saturating_sub(since));
         }
@@ -123,39 +124,39 @@
         Duration::ZERO
     }
 
-    /// Its answer on the way.
+    /// Progress of the answer.
     pub fn delivery(&self, now: Duration) -> Delivery {
         let unread = self.unread_since.get();
         Delivery {
-            held: self.waiting.get(),
+            held: self.unsent.get(),
             stalled: now.saturating_sub(self.progress_at.get()),
             unread: unread.map(|since| now.saturating_sub(since)),
         }
     }
 
-    /// Counts its progress from now on, since it couldn't make any.
+    /// Restarts the stall time after a time in which the caller could make no progress.
     pub fn reset_progress(&self, now: Duration) {
         self.progress_at.set(now);
     }
 
-    /// Whether it takes nothing of its answer any more: its own time is over and it made no progress for `idle`.
+    /// Whether the answer's deadline has passed and the caller has taken nothing for more than `idle`.
     pub fn is_stalled_past_deadline(&self, now: Duration, idle: Duration) -> bool {
         let delivery = self.delivery(now);
-        delivery.held > 0 && delivery.stalled > idle && now > self.request.borrow().until
+        delivery.held > 0 && delivery.stalled > idle && now > self.request.borrow().deadline
     }
 
-    fn has_read(&self, bytes: usize) {
-        if bytes > 0 && self.running.get() == 0 && self.head_since.get().is_none() {
-            self.head_since.set(Some(self.clock.now()));
+    fn record_read(&self, bytes: usize) {
+        if bytes > 0 && self.running.get() == 0 && self.head_started_at.get().is_none() {
+            self.head_started_at.set(Some(self.clock.now()));
         }
     }
 
-    fn has_written(&self) {
+    fn record_write(&self) {
         self.progress_at.set(self.clock.now());
     }
 }
 
-/// A caller's socket that tells its [`Caller`] of progress.
+/// A caller's socket that reports progress to its [`Caller`].
 #[derive(Debug)]
 pub(crate) struct ProgressStream {
     pub stream: TcpStream,
@@ -170,7 +171,7 @@
     ) -> Poll<std::io::Result<()>> {
         let before = buffer.filled().len();
         ready!(Pin::new(&mut self.stream).poll_read(context, buffer))?;
-        self.caller.has_read(buffer.filled().len() - before);
+        self.caller.record_read(buffer.filled().len() - before);
         Poll::Ready(Ok(()))
     }
 }
@@ -182,7 +183,7 @@
         bytes: &[u8],
     ) -> Poll<std::io::Result<usize>> {
         let written = ready!(Pin::new(&mut self.stream).poll_write(context, bytes))?;
-        self.caller.has_written();
+        self.caller.record_write();
         Poll::Ready(Ok(written))
     }
 
@@ -192,7 +193,7 @@
         slices: &[std::io::IoSlice<'_>],
     ) -> Poll<std::io::Result<usize>> {
         let written = ready!(Pin::new(&mut self.stream).poll_write_vectored(context, slices))?;
-        self.caller.has_written();
+        self.caller.record_write();
         Poll::Ready(Ok(written))
     }
 
--- a/components/gateway/src/connecting.rs
+++ b/components/gateway/src/connecting.rs
@@ -1,4 +1,4 @@
-//! The connection that an attempt goes over: one that rested, or a new one.
+//! Gets the connection of an attempt: an idle one or a new one.
 
 use std::time::Duration;
 
@@ -14,20 +14,20 @@
 use crate::ports::Dialect;
 use crate::traffic::Traffic;
 
-/// Longest time that a new connection may take.
-const CONNECT_TIME: Duration = Duration::from_millis(400);
+/// Timeout of a connect.
+const CONNECT_TIMEOUT: Duration = Duration::from_millis(400);
 
-enum Reserved {
-    /// A connection that rested.
-    Rested(Connection),
-    /// One may be opened.
+enum Reservation {
+    /// An idle connection of the pool.
+    Idle(Connection),
+    /// A connection can be opened.
     New,
-    /// None may be opened now.
+    /// No connection can be opened now.
     Full,
 }
 
 impl<D: Dialect + 'static> Traffic<D> {
-    /// Gives a run its connection; says whether there is one.
+    /// Gives a run its connection. Returns whether it got one.
     pub async fn connect(
         &self,
         job: &Job,
@@ -36,18 +36,18 @@
         run: &mut EndpointRun<D>,
     ) -> bool {
         match self.reserve(job, placement, options) {
-            Reserved::Rested(connection) => {
+            Reservation::Idle(connection) => {
                 run.connection = Some(connection);
                 run.reserved = true;
                 return true;
             }
-            Reserved::Full => {
+            Reservation::Full => {
                 run.set_health(HealthSignal::Inconclusive);
                 return false;
             }
-            Reserved::New => run.reserved = true,
+            Reservation::New => run.reserved = true,
         }
-        match Connection::open(placement.address, CONNECT_TIME).await {
+        match Connection::open(placement.address, CONNECT_TIMEOUT).await {
             Ok(connection) => {
                 run.connection = Some(connection);
                 true
@@ -61,18 +61,18 @@
         }
     }
 
-    fn reserve(&self, job: &Job, placement: &Placement, options: SendOptions) -> Reserved {
+    fn reserve(&self, job: &Job, placement: &Placement, options: SendOptions) -> Reservation {
         let now = self.clock.now();
-        let most = self.most_connections(job);
+        let max = self.most_connections(job);
         let mut state = self.state.borrow_mut();
         if options.after_unresponsive {
             state.pool.drop_idle(&placement.endpoint);
         }
         if let Some(connection) = state.pool.take_idle(now, &placement.endpoint) {
-            return Reserved::Rested(connection);
+            return Reservation::Idle(connection);
         }
-        let Err(cause) = state.pool.reserve(&placement.endpoint, most) else {
-            return Reserved::New;
+        let Err(cause) = state.pool.reserve(&placement.endpoint, max) else {
+            return Reservation::New;
         };
         drop(state);
         if cause == ReserveError::NoMemory {
@@ -82,6 +82,6 @@
                 "endpoint" => &placement.endpoint, "held_in_all" => ledger.total(),
                 "budget" => ledger.budget().most);
         }
-        Reserved::Full
+        Reservation::Full
     }
 }
--- a/components/gateway/src/connection_pool.rs
+++ b/components/gateway/src/connection_pool.rs
@@ -1,4 +1,4 @@
-//! Kept connections to endpoints.
+//! Pool of keep-alive connections to endpoints.
 
 use std::collections::HashMap;
 use std::time::Duration;
@@ -6,11 +6,11 @@
 use memory::{Hold, Kind, Ledger};
 use transport::Connection;
 
-use crate::memory_manager::ENDPOINT_CONNECTION;
+use crate::memory_manager::ENDPOINT_CONNECTION_BYTES;
 
-/// An idle connection is dropped so long before its endpoint would close it.
+/// An idle connection is dropped this long before its endpoint would close it.
 const KEEP_ALIVE_MARGIN: Duration = Duration::from_millis(700);
-/// Longest rest where the endpoint does not name its own bound.
+/// Maximum idle time of a connection, also if the endpoint states a longer one.
 const MAX_IDLE_TIME: Duration = Duration::from_secs(8);
 
 #[derive(Debug)]
@@ -19,23 +19,23 @@
     until: Duration,
 }
 
-/// Idle connections by endpoint, and how many are open.
+/// Idle connections and number of open connections, by endpoint.
 #[derive(Debug)]
 pub(crate) struct ConnectionPool {
     idle: HashMap<String, Vec<IdleConnection>>,
     open: OpenConnections,
 }
 
-/// Why no further connection may be opened.
+/// Why no further connection can be opened.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum ReserveError {
-    /// As many are open as may be.
+    /// The maximum number is open.
     Full,
-    /// There is no memory for one.
+    /// There is no memory for another connection.
     NoMemory,
 }
 
-// Open connections by endpoint, and the memory that all of them hold.
+// Number of open connections by endpoint, and the memory of all of them.
 #[derive(Debug)]
 struct OpenConnections {
     counts: HashMap<String, u32>,
@@ -48,7 +48,7 @@
         if count >= max {
             return Err(ReserveError::Full);
         }
-        if !self.hold.grow(ENDPOINT_CONNECTION) {
+        if !self.hold.grow(ENDPOINT_CONNECTION_BYTES) {
             return Err(ReserveError::NoMemory);
         }
         self.counts.insert(endpoint.to_string(), count + 1);
@@ -63,12 +63,12 @@
         if *count == 0 {
             self.counts.remove(endpoint);
         }
-        self.hold.shrink(ENDPOINT_CONNECTION);
+        self.hold.shrink(ENDPOINT_CONNECTION_BYTES);
     }
 }
 
 impl ConnectionPool {
-    /// No connection yet; what they cost is held in a ledger.
+    /// Creates an empty pool whose connections are accounted for in a ledger.
     pub fn new(ledger: &Ledger) -> Self {
         ConnectionPool {
             idle: HashMap::new(),
@@ -79,25 +79,25 @@
         }
     }
 
-    /// Takes a connection that rests and can still be used.
+    /// Removes and returns an idle connection that is still usable.
     pub fn take_idle(&mut self, now: Duration, endpoint: &str) -> Option<Connection> {
         let idle = self.idle.get_mut(endpoint)?;
-        while let Some(rest) = idle.pop() {
-            if now < rest.until && rest.connection.is_open() && rest.connection.is_free() {
-                return Some(rest.connection);
+        while let Some(entry) = idle.pop() {
+            if now < entry.until && entry.connection.is_open() && entry.connection.is_free() {
+                return Some(entry.connection);
             }
-            drop(rest);
+            drop(entry);
             self.open.release(endpoint);
         }
         None
     }
 
-    /// Counts a connection that is about to be opened, unless `max` are open or there is no memory for it.
+    /// Counts a connection that is about to be opened. Fails if `max` are open or there is no memory for it.
     pub fn reserve(&mut self, endpoint: &str, max: u32) -> Result<(), ReserveError> {
         self.open.add(endpoint, max)
     }
 
-    /// Lets a connection rest.
+    /// Returns a connection to the pool. `keep_alive` is the idle time that the endpoint states.
     pub fn put_idle(
         &mut self,
         now: Duration,
@@ -105,19 +105,19 @@
         connection: Connection,
         keep_alive: Option<Duration>,
     ) {
-        let rest = keep_alive.map_or(MAX_IDLE_TIME, |k| k.saturating_sub(KEEP_ALIVE_MARGIN));
-        if rest.is_zero() || !connection.is_open() {
+        let idle_time = keep_alive.map_or(MAX_IDLE_TIME, |k| k.saturating_sub(KEEP_ALIVE_MARGIN));
+        if idle_time.is_zero() || !connection.is_open() {
             drop(connection);
             return self.record_closed(endpoint);
         }
         let idle = self.idle.entry(endpoint.to_string()).or_default();
         idle.push(IdleConnection {
             connection,
-            until: now + rest.min(MAX_IDLE_TIME),
+            until: now + idle_time.min(MAX_IDLE_TIME),
         });
     }
 
-    /// A connection that was taken or reserved is closed.
+    /// Records that a connection that was taken or reserved is closed.
     pub fn record_closed(&mut self, endpoint: &str) {
         self.open.release(endpoint);
     }
@@ -125,18 +125,18 @@
     /// Drops the idle connections of an endpoint.
     pub fn drop_idle(&mut self, endpoint: &str) {
         let idle = self.idle.remove(endpoint).unwrap_or_default();
-        for rest in idle {
-            drop(rest);
+        for entry in idle {
+            drop(entry);
             self.open.release(endpoint);
         }
     }
 
-    /// Drops connections that rested for too long or were closed.
+    /// Drops idle connections that have expired or were closed.
     pub fn drop_expired(&mut self, now: Duration) {
         let open = &mut self.open;
         for (endpoint, idle) in &mut self.idle {
             let before = idle.len();
-            idle.retain(|rest| now < rest.until && rest.connection.is_open());
+            idle.retain(|entry| now < entry.until && entry.connection.is_open());
             for _ in idle.len()..before {
                 open.release(endpoint);
             }
--- a/components/gateway/src/coordinator_contact.rs
+++ b/components/gateway/src/coordinator_contact.rs
@@ -1,36 +1,36 @@
-//! Whether this gateway has lost its coordinators, shared between the threads.
+//! Whether this gateway has lost contact with its coordinators, shared between the threads.
 
 use std::sync::atomic::{AtomicU64, Ordering};
 use std::time::Duration;
 
-/// A gateway that no coordinator ever decided for waits this long for one after its start: when all start at once,
-/// each would read the table of all endpoints otherwise. A coordinator has it within some 2 s.
-const START_TIME: Duration = Duration::from_secs(5);
-/// A gateway counts as alone for this long after a request without any coordinator's decision, so that one
-/// reply in between does not make it drop what it has just read.
-const ALONE_FOR: Duration = Duration::from_secs(10);
+/// Time after the start during which a gateway without any decision so far still waits for a coordinator. Without it, all
+/// gateways that start at once would read the table of all endpoints; a coordinator has it within about 2 s.
+const START_GRACE: Duration = Duration::from_secs(5);
+/// Contact counts as lost for this long after a request without a coordinator's decision, so that a single reply in between
+/// doesn't make the gateway drop the endpoints that it has just read.
+const LOST_TIME: Duration = Duration::from_secs(10);
 
-/// Written by the traffic thread, read by the control thread. Times are microseconds on the monotonic clock, 0
-/// for never.
+/// Times of requests with and without a coordinator's decision. Written by the traffic thread, read by the control thread.
+/// Times are microseconds on the monotonic clock; 0 means never.
 #[derive(Debug, Default)]
 pub struct CoordinatorContact {
     decided_us: AtomicU64,
     undecided_us: AtomicU64,
-    // First of the requests without a decision since the last that had one.
+    // First request without a decision since the last one with a decision.
     since_us: AtomicU64,
 }
 
 impl CoordinatorContact {
-    /// A coordinator decided about a request.
+    /// Records that a coordinator decided about a request.
     pub fn record_decision(&self, now: Duration) {
         self.decided_us.store(micros(now), Ordering::Relaxed);
         self.since_us.store(0, Ordering::Relaxed);
     }
 
-    /// No coordinator decided about a request.
+    /// Records that no coordinator decided about a request.
     pub fn record_no_decision(&self, now: Duration) {
         let never_decided = self.decided_us.load(Ordering::Relaxed) == 0;
-        if never_decided && now < START_TIME {
+        if never_decided && now < START_GRACE {
             return;
         }
         self.undecided_us.store(micros(now), Ordering::Relaxed);
@@ -40,7 +40,7 @@
         }
     }
 
-    /// For how long no coordinator has decided about any request, as far as there were some.
+    /// Time since the first request without a decision after the last decision; zero if there is none.
     pub fn time_without_decision(&self, now: Duration) -> Duration {
         match self.since_us.load(Ordering::Relaxed) {
             0 => Duration::ZERO,
@@ -48,11 +48,11 @@
         }
     }
 
-    /// Whether requests were left without a decision lately.
+    /// Whether a request was left without a decision recently.
     pub fn is_lost(&self, now: Duration) -> bool {
         match self.undecided_us.load(Ordering::Relaxed) {
             0 => false,
-            at => now < Duration::from_micros(at) + ALONE_FOR,
+            at => now < Duration::from_micros(at) + LOST_TIME,
         }
     }
 }
--- a/components/gateway/src/endpoint_run.rs
+++ b/components/gateway/src/endpoint_run.rs
@@ -1,4 +1,4 @@
-//! A request under way at an endpoint, and what its end says.
+//! A request in flight at an endpoint, and the health signal that its end gives.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -10,20 +10,19 @@
 use crate::job::SharedJob;
 use crate::traffic::Traffic;
 
-/// Shortest time that answers are compared by in a roll-out, in seconds: below it the time is that of the way there and of
-/// busy processors. A new version gets a small part of the requests, so its connections rest between them and its quick
-/// answers come some ms later; without this, good versions of a service that answers within 1 ms were reverted in 4 of 8
-/// runs beside load.
-const SHORTEST_TIME_S: f64 = 0.02;
+/// Lower limit of the answer times that a roll-out compares, in seconds. Below it, network and processor load make up the
+/// time. A new version gets few requests, so its connections are idle in between and its quick answers take some ms
+/// longer. Without this limit, good versions of a service that answers within 1 ms were reverted in 4 of 8 runs under load.
+const MIN_COMPARED_TIME_S: f64 = 0.02;
 
-/// A request under way at an endpoint. Dropping it closes the connection, unless it was finished.
+/// A request in flight at an endpoint. Dropping it without [`finish`](Self::finish) closes the connection.
 pub(crate) struct EndpointRun<D> {
     pub traffic: Rc<Traffic<D>>,
     pub ticket: Ticket,
     pub connection: Option<Connection>,
-    /// Whether a connection is counted for it.
+    /// Whether the connection pool counts a connection for it.
     pub reserved: bool,
-    /// Whether the head of an answer came.
+    /// Whether the head of an answer was received.
     pub answered: bool,
     pub health: Option<HealthSignal>,
     pub sent_at: Duration,
@@ -32,15 +31,15 @@
 }
 
 impl<D> EndpointRun<D> {
-    /// Says how the endpoint did.
+    /// Sets the health signal that the run reports when it is dropped.
     pub fn set_health(&mut self, health: HealthSignal) {
         self.health = Some(health);
     }
 
-    /// The whole answer was read: the connection rests.
+    /// Returns the connection to the pool after the whole answer was read.
     pub fn finish(mut self, keep_alive: Option<Duration>) {
         if self.traffic.said_it_leaves(&self.placement) {
-            // Dropped, the connection closes.
+            // The drop closes the connection.
             return;
         }
         let now = self.traffic.clock.now();
@@ -53,44 +52,52 @@
         }
     }
 
-    /// Its first token, or its whole answer, came.
+    /// Records that the first token, or the whole answer, was received.
     pub fn record_first_token(&mut self) {
         let now = self.traffic.clock.now();
         let mut state = self.traffic.state.borrow_mut();
         state.board.first_token(now, &mut self.ticket);
     }
 
-    /// An event of its stream came.
+    /// Records that an event of the stream was received.
     pub fn record_event(&mut self) {
         let now = self.traffic.clock.now();
         let mut state = self.traffic.state.borrow_mut();
         state.board.event(now, &mut self.ticket);
     }
 
-    // What this run says of its endpoint's version, if a roll-out is under way. The time of an engine's answer is
-    // reported in parts of the time expected, since an endpoint of a new version has read no prompts yet.
-    fn evidence(&self, now: Duration, way: Duration, health: HealthSignal) -> Option<Answer> {
-        let took = now.saturating_sub(self.sent_at + way).as_secs_f64();
+    // Evidence of this run about its endpoint's version, for a roll-out. An engine's answer time is given relative to the
+    // expected time, since an endpoint of a new version hasn't cached any prompts yet. `round_trip` is the round-trip time to the
+    // endpoint's region.
+    fn evidence(
+        &self,
+        now: Duration,
+        round_trip: Duration,
+        health: HealthSignal,
+    ) -> Option<Answer> {
+        let elapsed_s = now.saturating_sub(self.sent_at + round_trip).as_secs_f64();
         match health {
             HealthSignal::Inconclusive => None,
             HealthSignal::Faulty | HealthSignal::Unresponsive => Some(Answer::Failed),
             HealthSignal::Healthy if self.job.engine => {
-                let expected = self.placement.hold.as_secs_f64().max(SHORTEST_TIME_S);
-                Some(Answer::Whole(took / expected * 1000.0))
+                let expected = self.placement.hold.as_secs_f64().max(MIN_COMPARED_TIME_S);
+                Some(Answer::Whole(elapsed_s / expected * 1000.0))
+            }
+            HealthSignal::Healthy => {
+                Some(Answer::Whole(elapsed_s.max(MIN_COMPARED_TIME_S) * 1000.0))
             }
-            HealthSignal::Healthy => Some(Answer::Whole(took.max(SHORTEST_TIME_S) * 1000.0)),
         }
     }
 
     fn health_at_drop(&self, now: Duration) -> HealthSignal {
         let waited = now.saturating_sub(self.sent_at);
-        let given = self.job.expiry.saturating_sub(self.sent_at);
+        let timeout = self.job.expiry.saturating_sub(self.sent_at);
         let expected = Duration::from_secs_f64(self.placement.expected_ms / 1000.0);
         match (self.health, self.answered) {
             (Some(health), _) => health,
             (None, true) if now >= self.job.expiry => HealthSignal::Faulty,
             (None, true) => HealthSignal::Inconclusive,
-            (None, false) => signal_without_answer(waited, expected, given),
+            (None, false) => signal_without_answer(waited, expected, timeout),
         }
     }
 }
@@ -102,23 +109,23 @@
         let mut state = self.traffic.state.borrow_mut();
         if self.job.engine {
             let route = &self.job.route;
-            let whole = route.timeout.saturating_sub(route.target);
+            let max_duration = route.timeout.saturating_sub(route.target);
             state
                 .board
-                .stream_ended(now, &self.ticket, route.gap_target, whole);
+                .stream_ended(now, &self.ticket, route.gap_target, max_duration);
         }
         state.board.ended(now, &self.ticket, health);
         if health == HealthSignal::Unresponsive {
-            // Its other open connections may say nothing either.
+            // The endpoint's other open connections may not respond either.
             state.pool.drop_idle(&self.placement.endpoint);
         }
-        // The way to another region is none of the version's doing.
-        let way_ms = state
+        // The round trip to another region is not caused by the version.
+        let round_trip_ms = state
             .board
             .network_costs()
             .region_round_trip_ms(&self.placement.hall);
-        let way = Duration::from_secs_f64(way_ms / 1000.0);
-        if let Some(answer) = self.evidence(now, way, health) {
+        let round_trip = Duration::from_secs_f64(round_trip_ms / 1000.0);
+        if let Some(answer) = self.evidence(now, round_trip, health) {
             let (service, route) = (&self.job.work.service, self.job.asked().route);
             let reported = state
                 .gates
--- a/components/gateway/src/events.rs
+++ b/components/gateway/src/events.rs
@@ -1,22 +1,22 @@
-//! Whole events of an event stream. Pure.
+//! Splits an event stream into complete events, without I/O.
 
 use std::fmt;
 
 use bytes::{Bytes, BytesMut};
 
-/// Longest event that is waited for, in bytes.
+/// Maximum number of buffered bytes, and so of the bytes of an event.
 const MAX_EVENT_BYTES: usize = 1 << 20;
 
-/// One whole event, with the blank line that ends it.
+/// One complete event, including the blank line that ends it.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Event {
-    /// Its number, if it has one.
+    /// Value of its `id` field, if that is a number.
     pub id: Option<u64>,
-    /// Its bytes as they came.
+    /// Bytes as received.
     pub bytes: Bytes,
 }
 
-/// An event that is longer than any event may be.
+/// Error of an event that exceeds the maximum size.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct SplitError;
 
@@ -28,16 +28,16 @@
 
 impl std::error::Error for SplitError {}
 
-/// Splits a stream of bytes into events.
+/// Splits a byte stream into events.
 #[derive(Debug, Default)]
 pub struct EventSplitter {
     buffer: BytesMut,
-    // Bytes already searched for an end.
+    // Number of bytes already searched for the end of an event.
     searched: usize,
 }
 
 impl EventSplitter {
-    /// Takes bytes as they came.
+    /// Appends received bytes. Fails if the buffer exceeds the maximum size of an event.
     pub fn push(&mut self, bytes: &[u8]) -> Result<(), SplitError> {
         self.buffer.extend_from_slice(bytes);
         match self.buffer.len() > MAX_EVENT_BYTES {
@@ -46,18 +46,18 @@
         }
     }
 
-    /// The next whole event.
+    /// Removes and returns the next complete event.
     pub fn next_event(&mut self) -> Option<Event> {
         let end = self.find_end()?;
         let bytes = self.buffer.split_to(end).freeze();
         self.searched = 0;
         Some(Event {
-            id: id_of(&bytes),
+            id: parse_id(&bytes),
             bytes,
         })
     }
 
-    /// Whether a part of an event is left over.
+    /// Whether bytes of an incomplete event are buffered.
     pub fn has_partial_event(&self) -> bool {
         !self.buffer.is_empty()
     }
@@ -78,7 +78,7 @@
     }
 }
 
-fn id_of(event: &[u8]) -> Option<u64> {
+fn parse_id(event: &[u8]) -> Option<u64> {
     let mut lines = event.split(|byte| *byte == b'\n');
     let value = lines.find_map(|line| line.strip_prefix(b"id:"))?;
     std::str::from_utf8(value).ok()?.trim().parse().ok()
--- a/components/gateway/src/handler.rs
+++ b/components/gateway/src/handler.rs
@@ -1,4 +1,4 @@
-//! From a caller's request to its final answer.
+//! Handles a caller's request up to its final answer.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -22,12 +22,12 @@
 use crate::stream::Relay;
 use crate::traffic::Traffic;
 
-/// Longest time a request is held whose route is not known yet.
+/// Deadline of a request whose route is not known yet, if the request names none.
 pub(crate) const UNROUTED_TIMEOUT: Duration = Duration::from_secs(2);
-/// Longest time to come back when this gateway refused with its own part of a limit only: by then it is in touch with the
-/// others again, or others decide in their place (a gateway is silent after 1.5 s).
-const ALONE_RETRY: Duration = Duration::from_millis(1500);
-/// Time to come back, elsewhere, when this gateway stops.
+/// Upper limit of the retry delay when this gateway refuses by its own part of a limit only. After it the gateway has
+/// contact with the coordinators again, or others have replaced them: a gateway counts as silent after 1.5 s.
+const MAX_ALONE_RETRY: Duration = Duration::from_millis(1500);
+/// Retry delay, at another gateway, when this one stops.
 const STOPPING_RETRY: Duration = Duration::from_millis(20);
 
 impl<D: Dialect + 'static> Traffic<D> {
@@ -89,7 +89,7 @@
         Ok(answer)
     }
 
-    // Takes the request's cost from its tenant's limit; a coordinator that does so places it as well.
+    // Charges the request to its tenant's limit. A coordinator that charges it also places it.
     async fn charge(
         &self,
         job: &Job,
@@ -103,8 +103,8 @@
                 match decided.outcome {
                     Outcome::Placed(placement) => placed = Some(placement),
                     Outcome::Nowhere | Outcome::LinkFull(_) => {}
-                    Outcome::OverLimit(wait) => return Err(over_limit(wait)),
-                    Outcome::Starting => return Err(starting()),
+                    Outcome::OverLimit(wait) => return Err(limit_refusal(wait)),
+                    Outcome::Starting => return Err(starting_refusal()),
                 }
             }
         }
@@ -119,8 +119,8 @@
         let now = self.clock.now();
         let mut state = self.state.borrow_mut();
         let tenant = job.tenant.as_deref().unwrap_or_default();
-        let longest = match state.fleet.is_alone() {
-            true => ALONE_RETRY,
+        let max_wait = match state.fleet.is_alone() {
+            true => MAX_ALONE_RETRY,
             false => Duration::MAX,
         };
         let Some(quota) = state.quotas.get_mut(tenant) else {
@@ -128,7 +128,7 @@
         };
         quota.take(now, job.cost, job.is_urgent()).map_err(|wait| {
             self.log_limit(now, &job.head.id, tenant, job.cost, &quota.state());
-            over_limit(wait.min(longest))
+            limit_refusal(wait.min(max_wait))
         })
     }
 
@@ -160,21 +160,21 @@
                 first,
                 events,
             } => {
-                // Bounded by what the pieces hold.
-                let (pieces, received) = mpsc::unbounded_channel();
-                let relay = Relay::new(self, job, progress, pieces);
+                // Bounded by the memory that its parts reserve.
+                let (parts_sender, parts_receiver) = mpsc::unbounded_channel();
+                let relay = Relay::new(self, job, progress, parts_sender);
                 tokio::task::spawn_local(relay.run(first, *events));
-                Response::from_parts(head, AnswerBody::stream(received))
+                Response::from_parts(head, AnswerBody::stream(parts_receiver))
             }
         }
     }
 
     fn log_answer(&self, job: &Job, answer: &Answer) {
-        let held = self.clock.now().saturating_sub(job.arrived);
-        self.metrics.time(Timer::FirstToken, held);
+        let elapsed = self.clock.now().saturating_sub(job.arrived);
+        self.metrics.time(Timer::FirstToken, elapsed);
         self.metrics.count(Counter::Done);
         info!(self.log, "answered"; "id" => &job.head.id, "route" => &job.route.name,
-            "status" => answer.status().as_u16(), "ms" => held.as_millis() as u64,
+            "status" => answer.status().as_u16(), "ms" => elapsed.as_millis() as u64,
             "tenant" => &job.tenant);
     }
 
@@ -192,12 +192,12 @@
     }
 }
 
-// Without a coordinator's decision nothing was charged, and there is no endpoint to go to.
-fn starting() -> Refusal {
+// The coordinators have just started, so nothing was charged and no endpoint chosen.
+fn starting_refusal() -> Refusal {
     let Nowhere { cause, wait } = Nowhere::STARTING;
     Refusal::not_run(Kind::PlatformUnavailable, cause).with_retry_after(wait)
 }
 
-fn over_limit(wait: Duration) -> Refusal {
+fn limit_refusal(wait: Duration) -> Refusal {
     Refusal::not_run(Kind::TeamLimit, "the tenant's limit is used up").with_retry_after(wait)
 }
--- a/components/gateway/src/interrupted.rs
+++ b/components/gateway/src/interrupted.rs
@@ -1,4 +1,4 @@
-//! Whether an endpoint ended when an answer of it was cut off.
+//! Finds out whether an endpoint ended when it interrupted an answer.
 
 use std::collections::VecDeque;
 use std::rc::Rc;
@@ -15,128 +15,130 @@
 use crate::ports::Dialect;
 use crate::traffic::Traffic;
 
-/// Longest time that a connection to the endpoint may take; whoever closed connections and then takes none is gone.
-const LOOK_TIME: Duration = Duration::from_millis(400);
-/// What is sent on waits this long for the look: an ended endpoint's VM refuses within a way there and back.
-const LOOK_WAIT: Duration = Duration::from_millis(100);
-/// How long the endpoint is taken to keep a connection on which nothing was sent: long enough for the next request, short
-/// enough that it isn't closed under one.
-const LOOK_KEEP: Duration = Duration::from_secs(1);
-/// A record that says that an endpoint started again comes within this time of its end: some seconds until it runs, and the
-/// way through the store.
-const RECORD_TIME: Duration = Duration::from_secs(10);
-/// Cut answers remembered for that long; the oldest give way.
-const MOST_CUTS: usize = 512;
+/// Connect timeout of the check. An endpoint that closed connections and accepts no new one counts as ended.
+const CHECK_CONNECT_TIMEOUT: Duration = Duration::from_millis(400);
+/// Time that the next attempt waits for the check. The VM of an ended endpoint refuses a connection within one round trip.
+const CHECK_WAIT: Duration = Duration::from_millis(100);
+/// Keep-alive time assumed for the connection of a check, on which nothing was sent: long enough for the next request,
+/// short enough that the endpoint doesn't close it during one.
+const CHECK_KEEP_ALIVE: Duration = Duration::from_secs(1);
+/// Time after an endpoint's end within which its record shows the restart: some seconds until it runs, and the delay of the
+/// store.
+const RESTART_RECORD_TIME: Duration = Duration::from_secs(10);
+/// Maximum number of interrupted runs kept; the oldest are dropped first.
+const MAX_RUNS: usize = 512;
 
-/// What ran where when it was cut off by an endpoint that took connections again.
+/// Runs that were interrupted by an endpoint that still accepted connections, for as long as its restart may be reported.
 #[derive(Debug, Default)]
 pub(crate) struct InterruptedRuns {
-    cuts: VecDeque<Cut>,
+    runs: VecDeque<InterruptedRun>,
 }
 
 #[derive(Debug)]
-struct Cut {
+struct InterruptedRun {
     content: Fingerprint,
     incarnation: u64,
     at: Duration,
 }
 
 impl InterruptedRuns {
-    fn note(&mut self, now: Duration, content: Fingerprint, incarnation: u64) {
-        self.cuts.retain(|cut| now < cut.at + RECORD_TIME);
-        if self.cuts.len() >= MOST_CUTS {
-            self.cuts.pop_front();
+    fn add(&mut self, now: Duration, content: Fingerprint, incarnation: u64) {
+        self.runs.retain(|run| now < run.at + RESTART_RECORD_TIME);
+        if self.runs.len() >= MAX_RUNS {
+            self.runs.pop_front();
         }
-        self.cuts.push_back(Cut {
+        self.runs.push_back(InterruptedRun {
             content,
             incarnation,
             at: now,
         });
     }
 
-    // Contents that a process ran which has ended.
-    fn take(&mut self, now: Duration, incarnation: u64) -> Vec<Fingerprint> {
-        let of_process = |cut: &Cut| cut.incarnation == incarnation && now < cut.at + RECORD_TIME;
-        let found = self.cuts.iter().filter(|cut| of_process(cut));
-        let contents = found.map(|cut| cut.content).collect();
-        self.cuts.retain(|cut| cut.incarnation != incarnation);
+    // Removes the runs of an ended process and returns their contents.
+    fn remove(&mut self, now: Duration, incarnation: u64) -> Vec<Fingerprint> {
+        let is_of_process = |run: &InterruptedRun| {
+            run.incarnation == incarnation && now < run.at + RESTART_RECORD_TIME
+        };
+        let found = self.runs.iter().filter(|run| is_of_process(run));
+        let contents = found.map(|run| run.content).collect();
+        self.runs.retain(|run| run.incarnation != incarnation);
         contents
     }
 }
 
 impl<D> Traffic<D> {
-    /// An endpoint's record says that this start of it has ended.
+    /// Records that an endpoint's process with this incarnation has ended, as its record shows.
     pub fn record_restart(&self, now: Duration, incarnation: u64) {
         self.metrics.count(Counter::Restarts);
         self.endpoint_restarted.notify_waiters();
-        let contents = self.state.borrow_mut().cuts.take(now, incarnation);
+        let contents = self.state.borrow_mut().cuts.remove(now, incarnation);
         for content in contents {
             self.record_endpoint_end(content, incarnation);
         }
     }
 
-    /// Waits until it is known that the endpoint of a request started again: what ran there is lost, also where its
-    /// connection is silent.
+    /// Waits until the endpoint of a placement is known to have restarted. Its runs are lost then, even if the connection
+    /// reports nothing.
     pub async fn wait_for_restart(&self, placement: &Placement) {
         loop {
             let changed = self.endpoint_restarted.notified();
-            if self.is_over(placement) {
+            if self.has_restarted(placement) {
                 return;
             }
             changed.await;
         }
     }
 
-    fn is_over(&self, placement: &Placement) -> bool {
+    fn has_restarted(&self, placement: &Placement) -> bool {
         self.state.borrow().board.has_restarted_since(placement)
     }
 }
 
 impl<D: Dialect + 'static> Traffic<D> {
-    /// An endpoint cut an answer off. Looks whether it ended, also if the caller leaves meanwhile; what is sent on next waits
-    /// a moment for that.
+    /// Checks whether an endpoint that interrupted an answer has ended. The check runs on if the caller disconnects; the
+    /// next attempt waits up to [`CHECK_WAIT`] for it.
     pub async fn check_after_interruption(self: &Rc<Self>, job: &SharedJob, placement: &Placement) {
-        let look = self.look(job, placement);
-        // Slower looks end on their own.
-        let _ = tokio::time::timeout(LOOK_WAIT, look).await;
+        let check = self.spawn_check(job, placement);
+        // A slower check goes on in the background.
+        let _ = tokio::time::timeout(CHECK_WAIT, check).await;
     }
 
-    fn look(self: &Rc<Self>, job: &SharedJob, placement: &Placement) -> JoinHandle<()> {
+    fn spawn_check(self: &Rc<Self>, job: &SharedJob, placement: &Placement) -> JoinHandle<()> {
         let (traffic, job, placement) = (Rc::clone(self), Rc::clone(job), placement.clone());
         tokio::task::spawn_local(async move {
-            if traffic.was_to_leave(&placement) {
+            if traffic.was_leaving(&placement) {
                 return;
             }
-            let has_ended = match traffic.is_over(&placement) {
+            let has_ended = match traffic.has_restarted(&placement) {
                 true => Some(true),
-                false => traffic.takes_no_connection(&job, &placement).await,
+                false => traffic.refuses_connections(&job, &placement).await,
             };
             info!(traffic.log, "endpoint cut an answer off"; "id" => &job.head.id, "content" => %job.content,
                 "endpoint" => &placement.endpoint, "endpoint_ended" => has_ended);
             if has_ended == Some(true) {
                 return traffic.record_endpoint_end(job.content, placement.incarnation);
             }
-            // It may have started again already.
+            // The endpoint may already have restarted.
             let now = traffic.clock.now();
             let mut state = traffic.state.borrow_mut();
-            state.cuts.note(now, job.content, placement.incarnation);
+            state.cuts.add(now, job.content, placement.incarnation);
         })
     }
 
-    // Whether no connection can be made any more; `None` if none may be opened.
-    async fn takes_no_connection(&self, job: &SharedJob, placement: &Placement) -> Option<bool> {
-        let most = self.most_connections(job);
+    // Whether the endpoint accepts no new connection; `None` if the pool allows none.
+    async fn refuses_connections(&self, job: &SharedJob, placement: &Placement) -> Option<bool> {
+        let max = self.most_connections(job);
         let endpoint = &placement.endpoint;
-        let reserved = self.state.borrow_mut().pool.reserve(endpoint, most);
+        let reserved = self.state.borrow_mut().pool.reserve(endpoint, max);
         reserved.ok()?;
-        let opened = Connection::open(placement.address, LOOK_TIME).await;
+        let opened = Connection::open(placement.address, CHECK_CONNECT_TIMEOUT).await;
         let now = self.clock.now();
         let mut state = self.state.borrow_mut();
         match opened {
             Ok(connection) => {
                 state
                     .pool
-                    .put_idle(now, endpoint, connection, Some(LOOK_KEEP));
+                    .put_idle(now, endpoint, connection, Some(CHECK_KEEP_ALIVE));
                 Some(false)
             }
             Err(_) => {
@@ -146,9 +148,9 @@
         }
     }
 
-    // Whether the endpoint said that it leaves, in an answer or in its record, or its record is gone: its end says nothing of
-    // what it ran. Where endpoints aren't followed the record is not known.
-    fn was_to_leave(&self, placement: &Placement) -> bool {
+    // Whether the endpoint announced that it leaves, in an answer or in its record, or its record is gone: then its end isn't
+    // caused by what it ran. A gateway that doesn't follow endpoints doesn't know the record.
+    fn was_leaving(&self, placement: &Placement) -> bool {
         if self.said_it_leaves(placement) {
             return true;
         }
--- a/components/gateway/src/job.rs
+++ b/components/gateway/src/job.rs
@@ -1,4 +1,4 @@
-//! One admitted request.
+//! An admitted request and its attempts.
 
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -14,48 +14,48 @@
 use crate::ports::CallerHead;
 use crate::versions::{is_lost_when_cut, route_hash, Asked};
 
-/// Ranks of a route within one rank of its tenant.
+/// Number of route ranks within each rank of a tenant.
 pub(crate) const ROUTE_RANKS: u8 = 3;
 
-/// A request on its way to an endpoint.
+/// A request that was admitted.
 #[derive(Debug)]
 pub(crate) struct Job {
-    /// Head as the caller sent it.
+    /// Head of the request as the caller sent it.
     pub parts: request::Parts,
-    /// What was read of it.
+    /// Values read from the head.
     pub head: CallerHead,
-    /// Whole body, while it may be sent once more.
+    /// Body, kept while the request may be sent again.
     pub body: KeptBody,
-    /// Whose request it is.
+    /// Connection that the request came on.
     pub caller: Rc<Caller>,
-    /// What it asks for, the same for each try of its caller.
+    /// Fingerprint of the content, the same for each retry by its caller.
     pub content: Fingerprint,
-    /// Whether it is served for its key only.
+    /// Whether the route requires a key.
     pub needs_key: bool,
-    /// Its route.
+    /// Route.
     pub route: Route,
-    /// Tenant whose key it carries.
+    /// Tenant that the request's key belongs to.
     pub tenant: Option<String>,
-    /// What it takes of its tenant's limit.
+    /// Cost in units of the tenant's limit.
     pub cost: u64,
-    /// Rank for engines, 0 is the most urgent.
+    /// Rank for engines; 0 is the most urgent.
     pub priority: u8,
-    /// What is to be placed.
+    /// Work to place.
     pub work: Work,
-    /// Whether its endpoints are engines.
+    /// Whether the endpoints are engines.
     pub engine: bool,
-    /// Connections that each endpoint accepts of all gateways together.
+    /// Connections that each endpoint accepts from all gateways together.
     pub max_connections: u32,
-    /// When its head was read.
+    /// When the head was read.
     pub arrived: Duration,
-    /// When its final answer is due.
+    /// Deadline of the final answer.
     pub expiry: Duration,
-    /// Version of the configuration that it was admitted under.
+    /// Version of the configuration that admitted the request.
     pub version: u64,
 }
 
 impl Job {
-    /// What matters for the version that runs it.
+    /// The request's properties that decide which version runs it.
     pub fn asked(&self) -> Asked {
         Asked {
             route: route_hash(&self.route.name),
@@ -64,7 +64,7 @@
         }
     }
 
-    /// Whether it comes first where its tenant's limit is short.
+    /// Whether the request has precedence when its tenant's limit is nearly used up.
     pub fn is_urgent(&self) -> bool {
         self.route.priority + 1 < ROUTE_RANKS
     }
@@ -76,14 +76,14 @@
 /// Attempts of one request so far.
 #[derive(Debug, Default)]
 pub(crate) struct Progress {
-    /// Endpoints that were tried.
+    /// Endpoints that are excluded from further attempts.
     pub tried: Vec<String>,
-    /// Times that it was sent.
+    /// Number of times the request was sent.
     pub sent: u32,
-    /// Times that a send to an endpoint that names a limit was not granted.
+    /// Number of sends that weren't granted, to endpoints that announced a limit.
     pub ungranted: usize,
-    /// Whether some endpoint may have run it.
+    /// Whether any endpoint may have run the request.
     pub maybe_run: bool,
-    /// The coordinator that charged its tenant; none if that was done here.
+    /// Coordinator that charged the tenant; `None` if this gateway did.
     pub charged_by: Option<SocketAddr>,
 }
--- a/components/gateway/src/memory_manager.rs
+++ b/components/gateway/src/memory_manager.rs
@@ -1,4 +1,5 @@
-//! The memory of the traffic thread: who holds it, who waits for it, and who gives it back first.
+//! Memory accounting of the traffic thread: reservations, waiters, and the choice of the caller to disconnect when memory
+//! is short.
 
 use std::cell::{Cell, RefCell};
 use std::rc::{Rc, Weak};
@@ -13,23 +14,23 @@
 use crate::clock::Clock;
 use crate::traffic::Traffic;
 
-/// Cost of a caller's connection that has served a request, in bytes, measured by an allocator that counts.
-pub(crate) const CALLER_CONNECTION: u64 = 20 << 10;
-/// Cost of a connection to an endpoint and of the request on it, bodies aside, in bytes, measured in the same way.
-pub(crate) const ENDPOINT_CONNECTION: u64 = 40 << 10;
-/// Where memory has no bound, a stream is read ahead up to this many bytes only: some hundred events, as many as the
-/// kernel's buffers hold besides.
-const UNBOUNDED_AHEAD: u64 = 128 << 10;
-/// Shortest pause in reading after which an endpoint's end counts as its answer to the pause. Endpoints are said to wait
-/// for some seconds; a break sooner has other causes.
-const LEAST_CUT: Duration = Duration::from_secs(1);
-/// Time between two looks at what is held above which this process stood still meanwhile; they are due each 0.1 s.
-const LONGEST_LOOK: Duration = Duration::from_secs(1);
+/// Memory of a caller's connection that has served a request, in bytes, measured with a counting allocator.
+pub(crate) const CALLER_CONNECTION_BYTES: u64 = 20 << 10;
+/// Memory of a connection to an endpoint and of the request on it without bodies, in bytes, measured in the same way.
+pub(crate) const ENDPOINT_CONNECTION_BYTES: u64 = 40 << 10;
+/// Read-ahead of a stream in bytes when memory has no limit: some hundred events, about as many as the kernel's buffers
+/// hold in addition.
+const UNBOUNDED_READ_AHEAD_BYTES: u64 = 128 << 10;
+/// Shortest pause in reading that counts as the cause of an interrupted answer. Endpoints are expected to wait for some
+/// seconds; an earlier interruption has other causes.
+const MIN_UNREAD_TIMEOUT: Duration = Duration::from_secs(1);
+/// Time between two memory checks above which this process counts as suspended in between; checks are due every 0.1 s.
+const MAX_CHECK_INTERVAL: Duration = Duration::from_secs(1);
 
-/// Pause between two times that what is held is shown.
-const SHOW_PAUSE: Duration = Duration::from_millis(300);
+/// Interval between updates of the memory metrics.
+const METRICS_INTERVAL: Duration = Duration::from_millis(300);
 
-/// Memory for callers and endpoints.
+/// Accounts for the memory of callers and endpoints.
 #[derive(Debug)]
 pub(crate) struct MemoryManager {
     pub(crate) clock: Clock,
@@ -38,30 +39,30 @@
     waiting: Cell<u32>,
     gate: Cell<PauseGate>,
     rate: Cell<ReleaseRate>,
-    cut_after: Cell<Option<Duration>>,
+    unread_timeout: Cell<Option<Duration>>,
     callers: RefCell<Vec<Weak<Caller>>>,
-    looked_at: Cell<Duration>,
-    shown_at: Cell<Duration>,
+    checked_at: Cell<Duration>,
+    metrics_set_at: Cell<Duration>,
 }
 
-// Counts one that waits for memory, until it has it or leaves.
-struct Waiting<'a>(&'a Cell<u32>);
+// Counts a task that waits for memory, until it has it or is cancelled.
+struct WaitGuard<'a>(&'a Cell<u32>);
 
-impl<'a> Waiting<'a> {
+impl<'a> WaitGuard<'a> {
     fn new(count: &'a Cell<u32>) -> Self {
         count.set(count.get() + 1);
-        Waiting(count)
+        WaitGuard(count)
     }
 }
 
-impl Drop for Waiting<'_> {
+impl Drop for WaitGuard<'_> {
     fn drop(&mut self) {
         self.0.set(self.0.get() - 1);
     }
 }
 
 impl MemoryManager {
-    /// Nothing held yet, on a VM of so many MiB; 0 sets no bound.
+    /// Creates the manager of a VM with `mib` MiB of memory; 0 sets no limit.
     pub fn new(clock: Clock, mib: u64) -> Self {
         let released = Rc::new(Notify::new());
         let on_release = Rc::clone(&released);
@@ -73,33 +74,32 @@
             waiting: Cell::default(),
             gate: Cell::default(),
             rate: Cell::default(),
-            cut_after: Cell::default(),
+            unread_timeout: Cell::default(),
             callers: RefCell::default(),
-            looked_at: Cell::default(),
-            shown_at: Cell::default(),
+            checked_at: Cell::default(),
+            metrics_set_at: Cell::default(),
         }
     }
 
-    /// The ledger.
     pub fn ledger(&self) -> &Ledger {
         &self.ledger
     }
 
-    /// Whether memory is bounded at all.
+    /// Whether memory has a limit.
     pub fn is_bounded(&self) -> bool {
         self.ledger.budget().most.is_some()
     }
 
-    /// Whether no connection is taken for want of memory.
+    /// Whether accepting connections is paused because memory is short.
     pub fn is_paused(&self) -> bool {
         self.gate.get().is_paused()
     }
 
-    /// A caller that was accepted, unless its connection finds no room.
+    /// Opens the account of an accepted caller; `None` if there is no memory for its connection.
     pub fn open_caller(&self) -> Option<Rc<Caller>> {
         let account = self.ledger.open();
         let mut connection = account.hold(Kind::Connection);
-        if !connection.grow(CALLER_CONNECTION) {
+        if !connection.grow(CALLER_CONNECTION_BYTES) {
             return None;
         }
         let caller = Rc::new(Caller::new(self.clock, account, connection));
@@ -107,17 +107,17 @@
         Some(caller)
     }
 
-    /// Waits until something is given back.
+    /// Waits until memory is released.
     pub async fn wait_for_release(&self) {
         self.released.notified().await;
     }
 
-    /// Waits until a hold has so many bytes more. Cancelling reserves nothing.
+    /// Adds `bytes` to a hold, waiting for memory if needed. Cancelling reserves nothing.
     pub async fn reserve(&self, hold: &mut Hold, bytes: u64) {
         if hold.grow(bytes) {
             return;
         }
-        let _waiting = Waiting::new(&self.waiting);
+        let _waiting = WaitGuard::new(&self.waiting);
         loop {
             let released = self.released.notified();
             if hold.grow(bytes) {
@@ -127,16 +127,17 @@
         }
     }
 
-    /// Reserves bytes of an answer that is read ahead, if there is room now.
+    /// Adds `bytes` to the hold of an answer that is read ahead, if there is memory now.
     pub fn try_reserve_read_ahead(&self, caller: &Caller, hold: &mut Hold, bytes: u64) -> bool {
-        let waiting = caller.unsent_bytes();
-        let ahead = self.is_bounded() || waiting == 0 || waiting + bytes <= UNBOUNDED_AHEAD;
-        ahead && hold.grow(bytes)
+        let unsent = caller.unsent_bytes();
+        let can_read_ahead =
+            self.is_bounded() || unsent == 0 || unsent + bytes <= UNBOUNDED_READ_AHEAD_BYTES;
+        can_read_ahead && hold.grow(bytes)
     }
 
-    /// The same, once there is room. Cancelling reserves nothing.
+    /// Waits until [`try_reserve_read_ahead`](Self::try_reserve_read_ahead) succeeds. Cancelling reserves nothing.
     pub async fn reserve_read_ahead(&self, caller: &Caller, hold: &mut Hold, bytes: u64) {
-        let _waiting = Waiting::new(&self.waiting);
+        let _waiting = WaitGuard::new(&self.waiting);
         loop {
             let released = self.released.notified();
             if self.try_reserve_read_ahead(caller, hold, bytes) {
@@ -146,62 +147,62 @@
         }
     }
 
-    /// When a caller who was refused for want of so many bytes is to come back.
+    /// Retry delay of a caller that was refused because `bytes` were lacking.
     pub fn retry_after(&self, bytes: u64) -> Duration {
         self.rate.get().wait_for(bytes)
     }
 
-    /// An endpoint ended its answer after it had not been read for a time. Returns what is now known of endpoints, if it
-    /// is news.
+    /// Records that an endpoint interrupted an answer that had not been read for `unread`. Returns the time after which
+    /// endpoints end unread answers if this shortened it.
     pub fn record_unread_interruption(&self, unread: Duration) -> Option<Duration> {
-        let known = self.cut_after.get().unwrap_or(Duration::MAX);
-        if unread < LEAST_CUT || unread >= known {
+        let known = self.unread_timeout.get().unwrap_or(Duration::MAX);
+        if unread < MIN_UNREAD_TIMEOUT || unread >= known {
             return None;
         }
-        self.cut_after.set(Some(unread));
+        self.unread_timeout.set(Some(unread));
         Some(unread)
     }
 
-    fn look(&self, now: Duration, budget: Budget) -> Option<Turn> {
+    fn check(&self, now: Duration, budget: Budget) -> Option<Turn> {
         self.ledger.set_budget(budget);
         let mut rate = self.rate.get();
         rate.sample(now, self.ledger.released());
         self.rate.set(rate);
-        self.look_at_gate()
+        self.check_gate()
     }
 
-    fn look_at_gate(&self) -> Option<Turn> {
+    fn check_gate(&self) -> Option<Turn> {
         let mut gate = self.gate.get();
         let turn = gate.look(self.ledger.total(), self.ledger.budget());
         self.gate.set(gate);
         turn
     }
 
-    // The caller that is to give its memory back, if somebody waits for some.
-    fn victim(&self, now: Duration) -> Option<Rc<Caller>> {
+    // The caller to disconnect for its memory, if another task waits for memory.
+    fn caller_to_disconnect(&self, now: Duration) -> Option<Rc<Caller>> {
         let mut callers = self.callers.borrow_mut();
         callers.retain(|caller| caller.strong_count() > 0);
-        let since = now.saturating_sub(self.looked_at.replace(now));
-        if since > LONGEST_LOOK {
-            // This process stood still, not the callers.
+        let since_check = now.saturating_sub(self.checked_at.replace(now));
+        if since_check > MAX_CHECK_INTERVAL {
+            // This process was suspended; the callers weren't stalled.
             let callers = callers.iter().filter_map(Weak::upgrade);
             callers.for_each(|caller| caller.reset_progress(now));
         }
-        // Where memory has no bound nobody waits for another one.
+        // Without a limit no task waits for the memory of another.
         if self.waiting.get() == 0 || !self.is_bounded() {
             return None;
         }
         let callers: Vec<Rc<Caller>> = callers.iter().filter_map(Weak::upgrade).collect();
         let deliveries: Vec<_> = callers.iter().map(|caller| caller.delivery(now)).collect();
         let terms = Terms {
-            cut_after: self.cut_after.get(),
+            cut_after: self.unread_timeout.get(),
         };
         slowest(&deliveries, terms).map(|i| Rc::clone(&callers[i]))
     }
 }
 
 impl<D> Traffic<D> {
-    /// Looks at what is held: puts the budget in force, and ends the slowest caller if others wait for its memory.
+    /// Applies the current budget and disconnects the slowest caller if others wait for its memory.
     pub fn check_memory(&self) {
         let now = self.clock.now();
         let (mib, tables) = {
@@ -212,13 +213,13 @@
             };
             (state.settings.memory_mib.max(0) as u64, tables)
         };
-        let turn = self.room.look(now, Budget::of_vm(mib, tables));
-        self.note_turn(turn);
-        if now.saturating_sub(self.room.shown_at.get()) >= SHOW_PAUSE {
-            self.room.shown_at.set(now);
-            self.show_memory();
+        let turn = self.room.check(now, Budget::of_vm(mib, tables));
+        self.log_turn(turn);
+        if now.saturating_sub(self.room.metrics_set_at.get()) >= METRICS_INTERVAL {
+            self.room.metrics_set_at.set(now);
+            self.set_metrics();
         }
-        let Some(caller) = self.room.victim(now) else {
+        let Some(caller) = self.room.caller_to_disconnect(now) else {
             return;
         };
         let delivery = caller.delivery(now);
@@ -232,14 +233,14 @@
         caller.close_requested.notify_one();
     }
 
-    /// Whether a connection may be taken now.
+    /// Whether a connection can be accepted now.
     pub fn can_accept(&self) -> bool {
-        let turn = self.room.look_at_gate();
-        self.note_turn(turn);
+        let turn = self.room.check_gate();
+        self.log_turn(turn);
         !self.room.is_paused()
     }
 
-    fn note_turn(&self, turn: Option<Turn>) {
+    fn log_turn(&self, turn: Option<Turn>) {
         let ledger = &self.room.ledger;
         let (held, budget) = (ledger.total(), ledger.budget().most);
         let connections = ledger.held(Kind::Connection);
@@ -257,14 +258,14 @@
         }
     }
 
-    fn show_memory(&self) {
+    fn set_metrics(&self) {
         let ledger = &self.room.ledger;
         for kind in Kind::ALL {
             self.metrics.set(gauge_of(kind), ledger.held(kind));
         }
         self.metrics.set(Gauge::HeldPeak, ledger.peak());
-        let most = ledger.budget().most;
-        self.metrics.set(Gauge::Budget, most.unwrap_or_default());
+        let max = ledger.budget().most;
+        self.metrics.set(Gauge::Budget, max.unwrap_or_default());
     }
 }
 
--- a/components/gateway/src/pending_replies.rs
+++ b/components/gateway/src/pending_replies.rs
@@ -1,4 +1,4 @@
-//! Questions to coordinators, one datagram each, that wait for their replies.
+//! Matches replies of coordinators to pending queries, one datagram each.
 
 use std::cell::{Cell, RefCell};
 use std::collections::HashMap;
@@ -6,7 +6,7 @@
 
 use tokio::sync::oneshot;
 
-/// Questions without a reply yet, by their numbers.
+/// Queries that have no reply yet, by their numbers.
 #[derive(Debug)]
 pub(crate) struct PendingReplies<R> {
     waiting: RefCell<HashMap<i64, oneshot::Sender<R>>>,
@@ -23,36 +23,36 @@
 }
 
 impl<R> PendingReplies<R> {
-    /// A number that no question had before.
+    /// Returns an unused query number.
     pub fn next_number(&self) -> i64 {
         self.number.set(self.number.get() + 1);
         self.number.get()
     }
 
-    /// Awaits the reply to a question that is about to be sent.
+    /// Registers a query that is about to be sent.
     pub fn register(&self, number: i64) -> oneshot::Receiver<R> {
         let (sender, reply) = oneshot::channel();
         self.waiting.borrow_mut().insert(number, sender);
         reply
     }
 
-    /// The reply, if it comes in time.
+    /// Waits up to `timeout` for the reply.
     pub async fn wait(
         &self,
-        time: Duration,
+        timeout: Duration,
         number: i64,
         reply: oneshot::Receiver<R>,
     ) -> Option<R> {
-        let reply = tokio::time::timeout(time, reply).await;
+        let reply = tokio::time::timeout(timeout, reply).await;
         self.waiting.borrow_mut().remove(&number);
         reply.ok()?.ok()
     }
 
-    /// Hands a reply to whoever waits for it. One that comes too late is for nobody.
+    /// Delivers a reply to its waiting query. A late reply is dropped.
     pub fn deliver(&self, number: i64, reply: R) {
-        let waiting = self.waiting.borrow_mut().remove(&number);
-        if let Some(waiting) = waiting {
-            let _ = waiting.send(reply);
+        let sender = self.waiting.borrow_mut().remove(&number);
+        if let Some(sender) = sender {
+            let _ = sender.send(reply);
         }
     }
 }
--- a/components/gateway/src/request_quarantine.rs
+++ b/components/gateway/src/request_quarantine.rs
@@ -1,4 +1,4 @@
-//! Requests that end their endpoints, as the traffic thread meets them.
+//! Quarantine of requests that end their endpoints, on the traffic thread.
 
 use std::time::Duration;
 
@@ -12,11 +12,11 @@
 use crate::traffic::Traffic;
 
 impl<D> Traffic<D> {
-    /// Why a job is sent to no endpoint, if its content is held back. Callers are told the whole time: a try before its end
-    /// is refused as well.
+    /// Returns the refusal of a job whose content is quarantined. Its retry delay is the whole remaining hold: an earlier
+    /// retry is refused as well.
     pub fn quarantine_refusal(&self, job: &Job, progress: &Progress) -> Option<Refusal> {
         let now = self.clock.now();
-        let left = {
+        let remaining = {
             let state = self.state.borrow();
             state.quarantine.remaining_hold(now, job.content)?
         };
@@ -24,18 +24,18 @@
         self.metrics.count(Counter::QuarantineRefused);
         Some(match progress.maybe_run {
             true => Refusal::maybe_run(Kind::EndpointFailed, message),
-            false => Refusal::not_run(Kind::Quarantined, message).with_retry_after(left),
+            false => Refusal::not_run(Kind::Quarantined, message).with_retry_after(remaining),
         })
     }
 
-    /// Whether a job that was cut off may be sent on, as far as its content goes.
+    /// Whether the quarantine allows an interrupted job to be sent again.
     pub fn quarantine_allows_retry(&self, job: &Job) -> bool {
         let now = self.clock.now();
         let state = self.state.borrow();
         state.quarantine.can_retry(now, job.content)
     }
 
-    /// An endpoint ended while it ran a content.
+    /// Records that an endpoint ended while it ran a content.
     pub fn record_endpoint_end(&self, content: Fingerprint, incarnation: u64) {
         let observation = Observation::Ended {
             content,
@@ -43,12 +43,12 @@
         };
         if self.record_observation(observation) {
             self.state.borrow_mut().tally.observations.push(observation);
-            // The next gateway that is asked for the same has to know.
+            // Other gateways may get the same content next, so they are notified now.
             self.send_tally();
         }
     }
 
-    /// A job ran to its end.
+    /// Records that a job ran to its end.
     pub fn record_completed(&self, job: &Job) {
         let observation = Observation::Completed(job.content);
         if self.record_observation(observation) {
@@ -56,7 +56,7 @@
         }
     }
 
-    /// Takes what other gateways saw.
+    /// Merges observations of other gateways.
     pub fn merge_observations(&self, observations: &[Observation]) {
         for observation in observations {
             self.record_observation(*observation);
@@ -66,23 +66,23 @@
     fn record_observation(&self, observation: Observation) -> bool {
         let now = self.clock.now();
         let (Observation::Ended { content, .. } | Observation::Completed(content)) = observation;
-        self.change(now, content, |quarantine| {
+        self.apply_change(now, content, |quarantine| {
             quarantine.record(now, observation)
         })
     }
 
-    /// Takes what others hold back.
+    /// Merges the quarantined contents of other gateways.
     pub fn merge_held(&self, held: &[Held]) {
         let now = self.clock.now();
         for held in held {
-            self.change(now, held.content, |quarantine| {
+            self.apply_change(now, held.content, |quarantine| {
                 quarantine.merge_held(now, *held)
             });
         }
     }
 
-    // Changes the quarantine, and says what it does to a content.
-    fn change(
+    // Applies a change to the quarantine and logs when it quarantines or releases the content.
+    fn apply_change(
         &self,
         now: Duration,
         content: Fingerprint,
@@ -93,9 +93,9 @@
         let changed = change(&mut state.quarantine);
         let after = state.quarantine.remaining_hold(now, content);
         match (before, after) {
-            (None, Some(left)) => {
+            (None, Some(remaining)) => {
                 self.metrics.count(Counter::Quarantined);
-                warn!(self.log, "request quarantined"; "content" => %content, "for_s" => left.as_secs());
+                warn!(self.log, "request quarantined"; "content" => %content, "for_s" => remaining.as_secs());
             }
             (Some(_), None) => info!(self.log, "request let go"; "content" => %content),
             _ => {}
--- a/components/gateway/src/retry.rs
+++ b/components/gateway/src/retry.rs
@@ -1,4 +1,4 @@
-//! Sending a request to endpoints until one answers it or it may not be sent again.
+//! Sends a request to endpoints until one answers it or no retry is allowed.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -15,15 +15,15 @@
 use crate::ports::Dialect;
 use crate::traffic::Traffic;
 
-/// Time to come back when endpoints have no room.
+/// Retry delay for the caller when endpoints have no room.
 const NO_ROOM_RETRY: Duration = Duration::from_millis(150);
-/// Attempts that reached no endpoint, after which a request is given up.
-const MOST_UNSENT: usize = 4;
-/// A first attempt of a repeatable request is waited for at most this many times its target.
-const PATIENCE_TARGETS: u32 = 2;
+/// Attempts that reached no endpoint after which a request fails.
+const MAX_UNSENT: usize = 4;
+/// An attempt of a repeatable request that has another attempt left times out after this many times the target latency.
+const ATTEMPT_TIMEOUT_TARGETS: u32 = 2;
 
 impl<D: Dialect + 'static> Traffic<D> {
-    /// Runs attempts until one is answered, or says why none is.
+    /// Runs attempts until one is answered; returns the refusal if none is.
     pub async fn run_attempts(
         self: &Rc<Self>,
         job: &SharedJob,
@@ -37,20 +37,20 @@
                 Some(placement) => placement,
                 None => match self.find(job, progress).await {
                     Ok(placement) => placement,
-                    Err(nowhere) => return Err(refused(progress, nowhere)),
+                    Err(nowhere) => return Err(no_endpoint_refusal(progress, nowhere)),
                 },
             };
-            // Word of it may have come meanwhile.
+            // Its content may have been quarantined in the meantime.
             if let Some(refusal) = self.quarantine_refusal(job, progress) {
                 return Err(refusal);
             }
-            if let Some(refusal) = self.overtaken(job, progress) {
+            if let Some(refusal) = self.expired_refusal(job, progress) {
                 return Err(refusal);
             }
             if !self.is_wanted(&placement) {
-                // A coordinator that names it again has no other one.
+                // A coordinator that chooses it again knows no other endpoint.
                 if progress.tried.contains(&placement.endpoint) {
-                    return Err(refused(progress, Nowhere::NO_ENDPOINT));
+                    return Err(no_endpoint_refusal(progress, Nowhere::NO_ENDPOINT));
                 }
                 progress.tried.push(placement.endpoint);
                 continue;
@@ -63,15 +63,15 @@
             let expiry = self.attempt_expiry(job, progress);
             progress.sent += 1;
             let attempt = self.attempt_unless_restarted(job, &placement, options);
-            let attempted = self.clock.timeout_at(expiry, attempt).await;
+            let result = self.clock.timeout_at(expiry, attempt).await;
             progress.tried.push(placement.endpoint.clone());
-            let outcome = match attempted {
-                Ok(AttemptOutcome::Answered(reply)) => return Ok(reply),
+            let lost_cause = match result {
+                Ok(AttemptOutcome::Answered(answer)) => return Ok(answer),
                 Ok(AttemptOutcome::NotSent) => {
                     progress.sent -= 1;
                     unsent += 1;
-                    if unsent >= MOST_UNSENT || self.clock.now() >= job.expiry {
-                        return Err(refused(progress, Nowhere::NO_ENDPOINT));
+                    if unsent >= MAX_UNSENT || self.clock.now() >= job.expiry {
+                        return Err(no_endpoint_refusal(progress, Nowhere::NO_ENDPOINT));
                     }
                     continue;
                 }
@@ -82,23 +82,25 @@
                     Some("the endpoint gave no answer in time")
                 }
                 Ok(AttemptOutcome::Failed { head, body }) => {
-                    if !self.may_send_again(job, progress, true) {
+                    if !self.try_spend_retry(job, progress, true) {
                         return Ok(EndpointAnswer::Whole { head, body });
                     }
-                    // An endpoint that fails has run it: whatever ends it now is no promise.
+                    // An endpoint that answers with a failure has run the request, so no later refusal may say that it
+                    // didn't run.
                     progress.maybe_run = true;
                     continue;
                 }
             };
-            progress.maybe_run |= outcome.is_some();
-            if !self.may_send_again(job, progress, outcome.is_some()) {
-                return Err(self.given_up(job, progress, outcome));
+            progress.maybe_run |= lost_cause.is_some();
+            if !self.try_spend_retry(job, progress, lost_cause.is_some()) {
+                return Err(self.failure_refusal(job, progress, lost_cause));
             }
         }
     }
 
-    // Why a job is not sent any more: the VM may have been frozen or suspended since it was admitted.
-    fn overtaken(&self, job: &Job, progress: &Progress) -> Option<Refusal> {
+    // Returns the refusal of a job that can no longer be sent: the VM may have been frozen or suspended since the job was
+    // admitted.
+    fn expired_refusal(&self, job: &Job, progress: &Progress) -> Option<Refusal> {
         if self.can_still_send(job) {
             return None;
         }
@@ -113,7 +115,7 @@
         })
     }
 
-    /// Whether a job's time is not over and its key may be used now. Looked at last before it is sent.
+    /// Whether a job's deadline hasn't passed and its key can be used now. Checked last before the job is sent.
     pub fn can_still_send(&self, job: &Job) -> bool {
         let now = self.clock.now();
         let ages = Ages::of(&self.state.borrow().settings);
@@ -121,8 +123,9 @@
         now < job.expiry && may_use_key
     }
 
-    fn may_send_again(&self, job: &Job, progress: &Progress, ran: bool) -> bool {
-        let allowed = job.route.execution.is_repeatable() || (!ran && !progress.maybe_run);
+    // Whether a job can be sent again; spends from the retry budget if so.
+    fn try_spend_retry(&self, job: &Job, progress: &Progress, has_run: bool) -> bool {
+        let allowed = job.route.execution.is_repeatable() || (!has_run && !progress.maybe_run);
         allowed
             && job.body.is_kept()
             && progress.sent < job.route.max_attempts
@@ -131,17 +134,17 @@
             && self.may_repeat(&job.work.service)
     }
 
-    // A repeatable request with another attempt left does not wait for its deadline.
+    // When an attempt times out. A repeatable request with another attempt left doesn't wait until its deadline.
     fn attempt_expiry(&self, job: &Job, progress: &Progress) -> Duration {
-        let repeats = job.route.execution.is_repeatable();
-        if repeats && progress.sent + 1 < job.route.max_attempts {
-            let patience = self.clock.now() + job.route.target * PATIENCE_TARGETS;
-            return patience.min(job.expiry);
+        let is_repeatable = job.route.execution.is_repeatable();
+        if is_repeatable && progress.sent + 1 < job.route.max_attempts {
+            let timeout_at = self.clock.now() + job.route.target * ATTEMPT_TIMEOUT_TARGETS;
+            return timeout_at.min(job.expiry);
         }
         job.expiry
     }
 
-    fn given_up(&self, job: &Job, progress: &Progress, cause: Option<&str>) -> Refusal {
+    fn failure_refusal(&self, job: &Job, progress: &Progress, cause: Option<&str>) -> Refusal {
         let out_of_time = self.clock.now() >= job.expiry;
         match (progress.maybe_run, out_of_time) {
             (true, true) => Refusal::maybe_run(Kind::DeadlinePassed, cause.unwrap_or("late")),
@@ -157,7 +160,7 @@
     }
 }
 
-fn refused(progress: &Progress, nowhere: Nowhere) -> Refusal {
+fn no_endpoint_refusal(progress: &Progress, nowhere: Nowhere) -> Refusal {
     match progress.maybe_run {
         true => Refusal::maybe_run(Kind::EndpointFailed, "no other endpoint takes work"),
         false => Refusal::not_run(Kind::NoEndpoint, nowhere.cause).with_retry_after(nowhere.wait),
--- a/components/gateway/src/server.rs
+++ b/components/gateway/src/server.rs
@@ -1,4 +1,4 @@
-//! Listening to callers, and to those who ask whether this gateway takes them.
+//! Listeners for callers, readiness checks and metrics.
 
 use std::cell::Cell;
 use std::convert::Infallible;
@@ -24,27 +24,28 @@
 use crate::ports::Dialect;
 use crate::traffic::Traffic;
 
-/// Connections that wait to be accepted.
+/// Maximum number of connections that wait to be accepted.
 const BACKLOG: i32 = 1024;
-/// Descriptors kept for endpoints, the store and files, out of all of the process.
-const KEPT_DESCRIPTORS: usize = 400;
-/// Pause after a failed accept.
-const ACCEPT_PAUSE: Duration = Duration::from_millis(20);
-/// Pause between looks at whether a connection rests for too long.
-const REST_LOOK: Duration = Duration::from_millis(500);
-/// Pause between looks at whether callers are still taken.
-const STOP_LOOK: Duration = Duration::from_millis(250);
-/// Size of the buffers that the kernel has for a caller's connection, in bytes each way, where memory is bounded.
-const SOCKET_BUFFER: usize = 64 << 10;
-/// A connection that waits for a head for so long ends, whatever the configuration says; while none is known, its bound.
-const HEAD_TIME: Duration = Duration::from_secs(60);
+/// File descriptors of the process that are reserved for endpoints, the store and files.
+const RESERVED_DESCRIPTORS: usize = 400;
+/// Delay after a failed accept.
+const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(20);
+/// Interval of the checks whether a connection has timed out.
+const CONNECTION_CHECK_INTERVAL: Duration = Duration::from_millis(500);
+/// Interval of the checks whether the gateway still accepts callers.
+const STOP_CHECK_INTERVAL: Duration = Duration::from_millis(250);
+/// Size of the kernel's buffer for a caller's connection, in bytes per direction, if memory has a limit.
+const SOCKET_BUFFER_BYTES: usize = 64 << 10;
+/// Maximum time for reading the head of a request, whatever the configuration says. Also the head and idle timeout while
+/// no configuration is known.
+const MAX_HEAD_TIME: Duration = Duration::from_secs(60);
 
-/// Binds a listener.
+/// Binds a listener on the current runtime.
 pub(crate) fn bind(address: SocketAddr) -> std::io::Result<TcpListener> {
     TcpListener::from_std(bind_std(address)?)
 }
 
-/// Binds a listener that no runtime watches yet.
+/// Binds a listener that is not registered with a runtime yet.
 pub(crate) fn bind_std(address: SocketAddr) -> std::io::Result<std::net::TcpListener> {
     let socket = Socket::new(
         Domain::for_address(address),
@@ -58,24 +59,25 @@
     Ok(socket.into())
 }
 
-/// Accepts callers until the gateway stops; the listener is closed then.
+/// Accepts callers until the gateway stops, then closes the listener.
 pub(crate) async fn serve_callers<D: Dialect + 'static>(
     traffic: Rc<Traffic<D>>,
     listener: TcpListener,
     descriptors: usize,
 ) {
     if traffic.room.is_bounded() {
-        bound_buffers(&traffic, &listener);
+        limit_socket_buffers(&traffic, &listener);
     }
-    let most = descriptors.saturating_sub(KEPT_DESCRIPTORS).max(64) / 2;
+    let max_open = descriptors.saturating_sub(RESERVED_DESCRIPTORS).max(64) / 2;
     let open = Rc::new(Cell::new(0_usize));
     while !traffic.freshness.is_closed(traffic.clock.now()) {
         if !traffic.can_accept() {
-            // Those that connect wait in the kernel meanwhile.
-            let _ = tokio::time::timeout(STOP_LOOK, traffic.room.wait_for_release()).await;
+            // New connections wait in the kernel's backlog.
+            let _ =
+                tokio::time::timeout(STOP_CHECK_INTERVAL, traffic.room.wait_for_release()).await;
             continue;
         }
-        let accepted = tokio::time::timeout(STOP_LOOK, listener.accept()).await;
+        let accepted = tokio::time::timeout(STOP_CHECK_INTERVAL, listener.accept()).await;
         let Ok(accepted) = accepted else {
             continue;
         };
@@ -83,11 +85,11 @@
             Ok((stream, _)) => stream,
             Err(error) => {
                 warn!(traffic.log, "accept failed"; "cause" => %error);
-                tokio::time::sleep(ACCEPT_PAUSE).await;
+                tokio::time::sleep(ACCEPT_RETRY_DELAY).await;
                 continue;
             }
         };
-        let caller = match open.get() < most {
+        let caller = match open.get() < max_open {
             true => traffic.room.open_caller(),
             false => None,
         };
@@ -112,9 +114,9 @@
     let _ = stream.set_nodelay(true);
     let service = service_fn(|request: Request<Incoming>| {
         let (traffic, caller) = (Rc::clone(&traffic), Rc::clone(&caller));
-        // In a box of its own it takes nothing while the connection rests.
+        // Boxed, so that it takes no memory while the connection is idle.
         Box::pin(async move {
-            let guard = Busy::new(Rc::clone(&traffic), Rc::clone(&caller));
+            let guard = InFlightGuard::new(Rc::clone(&traffic), Rc::clone(&caller));
             let mut answer = Rc::clone(&traffic).answer(request, caller).await;
             if traffic.freshness.is_stopping() {
                 let close = http::HeaderValue::from_static("close");
@@ -127,53 +129,52 @@
     let mut builder = Builder::new();
     builder
         .timer(TokioTimer::new())
-        .header_read_timeout(HEAD_TIME)
-        .max_buf_size(head_bytes(&traffic));
-    let watched = ProgressStream {
+        .header_read_timeout(MAX_HEAD_TIME)
+        .max_buf_size(max_head_bytes(&traffic));
+    let stream = ProgressStream {
         stream,
         caller: Rc::clone(&caller),
     };
-    let connection = builder.serve_connection(TokioIo::new(watched), service);
+    let connection = builder.serve_connection(TokioIo::new(stream), service);
     tokio::pin!(connection);
-    let mut look = tokio::time::interval(REST_LOOK);
-    look.set_missed_tick_behavior(tokio::time::MissedTickBehavior::Delay);
+    let mut check = tokio::time::interval(CONNECTION_CHECK_INTERVAL);
+    check.set_missed_tick_behavior(tokio::time::MissedTickBehavior::Delay);
     loop {
         tokio::select! {
             _ = connection.as_mut() => return,
             () = caller.close_requested.notified() => return,
-            _ = look.tick() => match due_end(&traffic, &caller) {
+            _ = check.tick() => match due_connection_end(&traffic, &caller) {
                 None => {}
-                Some(DueEnd::AtRest) => connection.as_mut().graceful_shutdown(),
-                Some(DueEnd::Now) => return,
+                Some(ConnectionEnd::WhenIdle) => connection.as_mut().graceful_shutdown(),
+                Some(ConnectionEnd::Immediate) => return,
             },
         }
     }
 }
 
-// What the kernel holds for a caller is out of sight of the ledger, so it is kept small; at the 3 ms to callers that the
-// deployments name it carries 20 MB/s. What is too small for a network only makes it slower. Accepted connections inherit
-// the sizes.
-fn bound_buffers<D>(traffic: &Traffic<D>, listener: &TcpListener) {
+// The ledger doesn't count the kernel's buffers, so they are kept small. At the 3 ms to callers that the deployments state
+// they carry 20 MB/s; on a network with more latency they only reduce the rate. Accepted connections inherit the sizes.
+fn limit_socket_buffers<D>(traffic: &Traffic<D>, listener: &TcpListener) {
     let socket = SockRef::from(listener);
     let set = socket
-        .set_send_buffer_size(SOCKET_BUFFER)
-        .and_then(|()| socket.set_recv_buffer_size(SOCKET_BUFFER));
+        .set_send_buffer_size(SOCKET_BUFFER_BYTES)
+        .and_then(|()| socket.set_recv_buffer_size(SOCKET_BUFFER_BYTES));
     if let Err(error) = set {
         warn!(traffic.log, "callers' buffers are not bounded"; "cause" => %error);
     }
 }
 
-// How a connection is to end.
-enum DueEnd {
-    // Once nothing is under way.
-    AtRest,
-    // As it is.
-    Now,
+// How a connection ends.
+enum ConnectionEnd {
+    // Graceful shutdown: once no request is in flight.
+    WhenIdle,
+    // At once.
+    Immediate,
 }
 
-fn due_end<D>(traffic: &Traffic<D>, caller: &Caller) -> Option<DueEnd> {
+fn due_connection_end<D>(traffic: &Traffic<D>, caller: &Caller) -> Option<ConnectionEnd> {
     let now = traffic.clock.now();
-    let bounds = bounds(traffic);
+    let bounds = caller_bounds(traffic);
     let (head_time, idle_time) = (bounds.head_time, bounds.idle_time);
     if let Some(time) = caller
         .head_receive_time(now)
@@ -182,7 +183,7 @@
         traffic.metrics.count(Counter::SlowHeads);
         info!(traffic.log, "connection ended"; "cause" => "the head comes too slowly",
             "ms" => time.as_millis() as u64);
-        return Some(DueEnd::Now);
+        return Some(ConnectionEnd::Immediate);
     }
     if caller.is_stalled_past_deadline(now, idle_time) {
         let delivery = caller.delivery(now);
@@ -190,57 +191,57 @@
         info!(traffic.log, "answer cut off"; "id" => caller.request_id(),
             "cause" => "the caller takes nothing and its time is over", "held" => delivery.held,
             "stalled_ms" => delivery.stalled.as_millis() as u64);
-        return Some(DueEnd::Now);
+        return Some(ConnectionEnd::Immediate);
     }
-    let rest = caller.idle_time(now)?;
-    (traffic.freshness.is_closed(now) || rest > idle_time).then_some(DueEnd::AtRest)
+    let idle = caller.idle_time(now)?;
+    (traffic.freshness.is_closed(now) || idle > idle_time).then_some(ConnectionEnd::WhenIdle)
 }
 
-// Counts a request as running until its answer is over.
-struct Busy<D> {
+// Counts a request as in flight until its answer is written or dropped.
+struct InFlightGuard<D> {
     traffic: Rc<Traffic<D>>,
     caller: Rc<Caller>,
 }
 
-impl<D> Busy<D> {
+impl<D> InFlightGuard<D> {
     fn new(traffic: Rc<Traffic<D>>, caller: Rc<Caller>) -> Self {
         caller.start_request();
         traffic.in_flight.set(traffic.in_flight.get() + 1);
-        Busy { traffic, caller }
+        InFlightGuard { traffic, caller }
     }
 }
 
-impl<D> Drop for Busy<D> {
+impl<D> Drop for InFlightGuard<D> {
     fn drop(&mut self) {
         self.caller.finish_request();
         self.traffic.in_flight.set(self.traffic.in_flight.get() - 1);
     }
 }
 
-// The bounds in force; before there are any, a connection has the time of the first head.
-fn bounds<D>(traffic: &Traffic<D>) -> CallerBounds {
+// The configured bounds, or defaults while no configuration is known.
+fn caller_bounds<D>(traffic: &Traffic<D>) -> CallerBounds {
     let state = traffic.state.borrow();
     let directory = state.directory.as_ref();
     match directory {
         Some(directory) => directory.configuration().bounds.clone(),
         None => CallerBounds {
-            head_time: HEAD_TIME,
-            idle_time: HEAD_TIME,
+            head_time: MAX_HEAD_TIME,
+            idle_time: MAX_HEAD_TIME,
             ..CallerBounds::default()
         },
     }
 }
 
-fn head_bytes<D>(traffic: &Traffic<D>) -> usize {
-    const LEAST: usize = 8192;
+fn max_head_bytes<D>(traffic: &Traffic<D>) -> usize {
+    const MIN: usize = 8192;
     const DEFAULT: usize = 16 << 10;
     let state = traffic.state.borrow();
     let directory = state.directory.as_ref();
     let bytes = directory.map_or(DEFAULT, |d| d.configuration().bounds.head_bytes);
-    bytes.max(LEAST)
+    bytes.max(MIN)
 }
 
-/// Answers whether this gateway takes callers.
+/// Serves the readiness check: whether this gateway accepts callers.
 pub(crate) async fn serve_readiness<D: Dialect + 'static>(
     traffic: Rc<Traffic<D>>,
     listener: TcpListener,
@@ -260,7 +261,7 @@
     .await;
 }
 
-/// Shows the metrics as text.
+/// Serves the metrics as text.
 pub(crate) async fn serve_metrics(metrics: Arc<Metrics>, listener: TcpListener) {
     plain::serve(listener, move |_| {
         let text = metrics.text();
--- a/components/gateway/src/stream.rs
+++ b/components/gateway/src/stream.rs
@@ -1,4 +1,4 @@
-//! Passing a stream's events on, over as many endpoints as it takes.
+//! Forwards a stream's events to the caller and resumes the stream at other endpoints.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -18,33 +18,34 @@
 use crate::ports::Dialect;
 use crate::traffic::Traffic;
 
-/// What an event takes beside its bytes while it waits, in bytes, measured by an allocator that counts.
-const EVENT_OVERHEAD: u64 = 128;
-/// A resumable stream that pauses longer than this many times its aim goes on elsewhere.
-const PATIENCE_GAPS: u32 = 2;
-/// Pause that is in time where the route names none.
-const DEFAULT_GAP: Duration = Duration::from_millis(500);
+/// Memory of a queued event besides its payload, in bytes, measured with a counting allocator.
+const EVENT_OVERHEAD_BYTES: u64 = 128;
+/// A resumable stream moves to another endpoint after a gap of this many times its gap target.
+const STALL_GAPS: u32 = 2;
+/// Gap target of a route that sets none.
+const DEFAULT_GAP_TARGET: Duration = Duration::from_millis(500);
 
-enum End {
+enum StreamEnd {
     Whole,
     CallerLeft,
     TimedOut,
     Broken,
-    // A repeat was taken from the budget; until then a silent endpoint is waited for.
-    Silent,
+    // No event came in time, and a retry was taken from the retry budget; without one the endpoint is waited for.
+    Stalled,
 }
 
+/// Forwards one stream to its caller.
 pub(crate) struct Relay<D> {
     traffic: Rc<Traffic<D>>,
     job: SharedJob,
     progress: Progress,
-    pieces: mpsc::UnboundedSender<BodyPart>,
+    parts: mpsc::UnboundedSender<BodyPart>,
     last_event: Option<u64>,
-    passed: u64,
-    passed_at: Duration,
+    forwarded: u64,
+    forwarded_at: Duration,
     longest_gap: Duration,
-    // Longest time that the endpoint was not read for want of memory.
-    unread: Duration,
+    // Longest time that the endpoint was not read because memory was short.
+    longest_unread: Duration,
 }
 
 impl<D: Dialect + 'static> Relay<D> {
@@ -52,88 +53,88 @@
         traffic: &Rc<Traffic<D>>,
         job: &SharedJob,
         progress: Progress,
-        pieces: mpsc::UnboundedSender<BodyPart>,
+        parts: mpsc::UnboundedSender<BodyPart>,
     ) -> Self {
         Relay {
             traffic: Rc::clone(traffic),
             job: Rc::clone(job),
             progress,
-            pieces,
+            parts,
             last_event: job.head.last_event,
-            passed: 0,
-            passed_at: traffic.clock.now(),
+            forwarded: 0,
+            forwarded_at: traffic.clock.now(),
             longest_gap: Duration::ZERO,
-            unread: Duration::ZERO,
+            longest_unread: Duration::ZERO,
         }
     }
 
-    /// Passes events on until the stream, the caller or the time ends.
+    /// Forwards events until the stream ends, the caller disconnects or the deadline passes.
     pub async fn run(mut self, first: Event, events: EndpointStream<D>) {
         let mut next = Some((first, events));
         while let Some((first, mut events)) = next.take() {
-            let end = self.pass(first, &mut events).await;
+            let end = self.forward_events(first, &mut events).await;
             let endpoint = events.run.placement.endpoint.clone();
             let cause = match end {
-                End::Whole => {
+                StreamEnd::Whole => {
                     events.finish();
                     self.traffic.record_completed(&self.job);
-                    // The caller may have left meanwhile.
-                    let _ = self.pieces.send(BodyPart::End);
+                    // The caller may have disconnected.
+                    let _ = self.parts.send(BodyPart::End);
                     "whole"
                 }
-                End::CallerLeft => "caller left",
-                End::TimedOut => "out of time",
-                End::Broken | End::Silent => {
-                    let is_silent = matches!(end, End::Silent);
-                    if !is_silent {
-                        self.record_unread_interruption();
+                StreamEnd::CallerLeft => "caller left",
+                StreamEnd::TimedOut => "out of time",
+                StreamEnd::Broken | StreamEnd::Stalled => {
+                    let is_stalled = matches!(end, StreamEnd::Stalled);
+                    if !is_stalled {
+                        self.learn_unread_timeout();
                     }
                     let placement = events.run.placement.clone();
-                    events.run.set_health(match is_silent {
+                    events.run.set_health(match is_stalled {
                         true => HealthSignal::Unresponsive,
                         false => HealthSignal::Faulty,
                     });
                     drop(events);
-                    if !is_silent {
+                    if !is_stalled {
                         self.traffic
                             .check_after_interruption(&self.job, &placement)
                             .await;
                     }
-                    next = self.resume(&endpoint, is_silent).await;
+                    next = self.resume(&endpoint, is_stalled).await;
                     if next.is_some() {
                         continue;
                     }
                     "broken off"
                 }
             };
-            self.close(cause, &endpoint);
+            self.log_end(cause, &endpoint);
         }
     }
 
-    async fn pass(&mut self, first: Event, events: &mut EndpointStream<D>) -> End {
+    async fn forward_events(&mut self, first: Event, events: &mut EndpointStream<D>) -> StreamEnd {
         if let Some(end) = self.forward(first).await {
             return end;
         }
         let (clock, expiry) = (self.traffic.clock, self.job.expiry);
-        let patience = self.patience();
+        let stall_timeout = self.stall_timeout();
         let placement = events.run.placement.clone();
         loop {
             let next = tokio::select! {
                 next = events.next() => next,
-                () = self.pieces.closed() => return End::CallerLeft,
-                () = self.traffic.wait_for_restart(&placement) => return End::Broken,
-                () = clock.sleep_until(expiry) => return End::TimedOut,
-                () = tokio::time::sleep(patience), if self.may_resume() => {
+                () = self.parts.closed() => return StreamEnd::CallerLeft,
+                () = self.traffic.wait_for_restart(&placement) => return StreamEnd::Broken,
+                () = clock.sleep_until(expiry) => return StreamEnd::TimedOut,
+                () = tokio::time::sleep(stall_timeout), if self.can_resume() => {
                     if self.traffic.may_repeat(&self.job.work.service) {
-                        return End::Silent;
+                        return StreamEnd::Stalled;
                     }
                     continue;
                 }
             };
             let end = match next {
                 NextEvent::Event(event) => self.forward(event).await,
-                NextEvent::End => Some(End::Whole),
-                NextEvent::Broken => Some(End::Broken),
+                NextEvent::End => Some(StreamEnd::Whole),
+                NextEvent::Broken => Some(StreamEnd::Broken),
             };
             if let Some(end) = end {
                 return end;
@@ -141,33 +142,33 @@
         }
     }
 
-    async fn forward(&mut self, event: Event) -> Option<End> {
+    async fn forward(&mut self, event: Event) -> Option<StreamEnd> {
         if event.id.is_some() && event.id <= self.last_event {
             return None;
         }
         let id = event.id;
-        let hold = match self.hold(event.bytes.len()).await {
+        let hold = match self.reserve(event.bytes.len()).await {
             Ok(hold) => hold,
             Err(end) => return Some(end),
         };
-        // The splitter's buffer holds other events as well; a copy is counted exactly.
+        // The splitter's buffer is shared with other events; a copy has exactly the size that is accounted for.
         let bytes = Bytes::copy_from_slice(&event.bytes);
         let bytes = HeldBytes::counted(bytes, hold, &self.job.caller);
-        if self.pieces.send(BodyPart::Data(bytes)).is_err() {
-            return Some(End::CallerLeft);
+        if self.parts.send(BodyPart::Data(bytes)).is_err() {
+            return Some(StreamEnd::CallerLeft);
         }
         let now = self.traffic.clock.now();
-        let gap = now.saturating_sub(self.passed_at);
+        let gap = now.saturating_sub(self.forwarded_at);
         self.longest_gap = self.longest_gap.max(gap);
-        self.passed_at = now;
-        self.passed += 1;
+        self.forwarded_at = now;
+        self.forwarded += 1;
         self.last_event = id.or(self.last_event);
         None
     }
 
-    // Reserves memory for an event. While there is none the endpoint is not read.
-    async fn hold(&mut self, length: usize) -> Result<Hold, End> {
-        let needed = length as u64 + EVENT_OVERHEAD;
+    // Reserves memory for an event. The endpoint is not read until there is some (backpressure).
+    async fn reserve(&mut self, length: usize) -> Result<Hold, StreamEnd> {
+        let needed = length as u64 + EVENT_OVERHEAD_BYTES;
         let caller = Rc::clone(&self.job.caller);
         let room = &self.traffic.room;
         let mut hold = caller.account.hold(Kind::ReadAhead);
@@ -179,30 +180,34 @@
         caller.set_reading(false);
         let end = tokio::select! {
             () = room.reserve_read_ahead(&caller, &mut hold, needed) => None,
-            () = self.pieces.closed() => Some(End::CallerLeft),
-            () = clock.sleep_until(expiry) => Some(End::TimedOut),
+            () = self.parts.closed() => Some(StreamEnd::CallerLeft),
+            () = clock.sleep_until(expiry) => Some(StreamEnd::TimedOut),
         };
         let unread = caller.set_reading(true);
-        self.unread = self.unread.max(unread);
+        self.longest_unread = self.longest_unread.max(unread);
         end.map_or(Ok(hold), Err)
     }
 
-    // An endpoint that was not read for long and broke off did so for that.
-    fn record_unread_interruption(&self) {
-        if let Some(unread) = self.traffic.room.record_unread_interruption(self.unread) {
+    // Attributes an interruption to an earlier pause in reading, if the pause was long enough.
+    fn learn_unread_timeout(&self) {
+        if let Some(unread) = self
+            .traffic
+            .room
+            .record_unread_interruption(self.longest_unread)
+        {
             info!(self.traffic.log, "endpoints end what is not read"; "id" => &self.job.head.id,
                 "after_ms" => unread.as_millis() as u64);
         }
     }
 
-    // Another run that goes on after the last event, if the route allows one. `granted` says that the budget gave
-    // a repeat for the first try.
-    async fn resume(&mut self, from: &str, granted: bool) -> Option<(Event, EndpointStream<D>)> {
-        // A repeat is granted before its time where the endpoint is silent.
-        let after_unresponsive = granted;
-        let mut granted = granted;
-        while self.may_resume()
-            && (std::mem::take(&mut granted) || self.traffic.may_repeat(&self.job.work.service))
+    // Resumes the stream after the last event at another endpoint, if the route allows it. `has_retry` says whether a retry
+    // was already taken from the budget for the first attempt.
+    async fn resume(&mut self, from: &str, has_retry: bool) -> Option<(Event, EndpointStream<D>)> {
+        // Only a stalled endpoint has its retry taken in advance.
+        let after_unresponsive = has_retry;
+        let mut has_retry = has_retry;
+        while self.can_resume()
+            && (std::mem::take(&mut has_retry) || self.traffic.may_repeat(&self.job.work.service))
         {
             self.progress.tried.push(from.to_string());
             let (clock, expiry) = (self.traffic.clock, self.job.expiry);
@@ -221,12 +226,11 @@
             let attempt = self
                 .traffic
                 .attempt_unless_restarted(&self.job, &placement, options);
-            let attempted = tokio::select! {
-                attempted = clock.timeout_at(expiry, attempt) => attempted.ok()?,
-                () = self.pieces.closed() => return None,
+            let outcome = tokio::select! {
+                result = clock.timeout_at(expiry, attempt) => result.ok()?,
+                () = self.parts.closed() => return None,
             };
-            if let AttemptOutcome::Answered(EndpointAnswer::Events { first, events, .. }) =
-                attempted
+            if let AttemptOutcome::Answered(EndpointAnswer::Events { first, events, .. }) = outcome
             {
                 return Some((first, *events));
             }
@@ -235,24 +239,24 @@
         None
     }
 
-    fn may_resume(&self) -> bool {
+    fn can_resume(&self) -> bool {
         let route = &self.job.route;
-        let repeatable = route.execution.is_repeatable() && self.job.body.is_kept();
-        repeatable
+        let is_repeatable = route.execution.is_repeatable() && self.job.body.is_kept();
+        is_repeatable
             && self.progress.sent < route.max_attempts
             && self.traffic.quarantine_allows_retry(&self.job)
     }
 
-    fn patience(&self) -> Duration {
-        self.job.route.gap_target.unwrap_or(DEFAULT_GAP) * PATIENCE_GAPS
+    fn stall_timeout(&self) -> Duration {
+        self.job.route.gap_target.unwrap_or(DEFAULT_GAP_TARGET) * STALL_GAPS
     }
 
-    fn close(&self, end: &str, endpoint: &str) {
-        let held = self.traffic.clock.now().saturating_sub(self.job.arrived);
+    fn log_end(&self, end: &str, endpoint: &str) {
+        let elapsed = self.traffic.clock.now().saturating_sub(self.job.arrived);
         info!(self.traffic.log, "stream ended"; "id" => &self.job.head.id, "content" => %self.job.content, "end" => end,
-            "endpoint" => endpoint, "events" => self.passed, "attempts" => self.progress.sent,
-            "unread_ms" => self.unread.as_millis() as u64,
+            "endpoint" => endpoint, "events" => self.forwarded, "attempts" => self.progress.sent,
+            "unread_ms" => self.longest_unread.as_millis() as u64,
             "longest_gap_ms" => self.longest_gap.as_millis() as u64,
-            "ms" => held.as_millis() as u64);
+            "ms" => elapsed.as_millis() as u64);
     }
 }
