--- a/components/gateway/src/admission.rs
+++ b/components/gateway/src/admission.rs
@@ -68,7 +68,7 @@
                 answer_tokens: head.answer_guess.unwrap_or(tokens.1),
                 body_bytes: body.bytes.len().min(u32::MAX as usize) as u32,
             },
-            engine: spec.is_some_and(|s| s.engine.is_some()),
+            is_engine: spec.is_some_and(|s| s.engine.is_some()),
             max_connections: spec.map_or(u32::MAX, |s| s.max_connections),
             cost: tenant.map_or(0, |t| request_cost(&head, t)),
             priority: rank(route, tenant),
--- a/components/gateway/src/answer.rs
+++ b/components/gateway/src/answer.rs
@@ -38,7 +38,7 @@
     Whole(Option<HeldBytes>),
     /// A body that is forwarded as it is received.
     Stream {
-        parts: mpsc::UnboundedReceiver<BodyPart>,
+        body_parts: mpsc::UnboundedReceiver<BodyPart>,
         /// Whether the stream was interrupted. The parts before are sent to the caller first.
         is_interrupted: bool,
     },
@@ -63,10 +63,10 @@
     }
 
     /// Creates a body that is forwarded as it is received.
-    pub fn stream(parts: mpsc::UnboundedReceiver<BodyPart>) -> Self {
+    pub fn stream(body_parts: mpsc::UnboundedReceiver<BodyPart>) -> Self {
         AnswerBody {
             content: Content::Stream {
-                parts,
+                body_parts,
                 is_interrupted: false,
             },
             guard: None,
@@ -100,9 +100,9 @@
                 ..
             } => Poll::Ready(Some(Err(TruncatedAnswer))),
             Content::Stream {
-                parts,
+                body_parts,
                 is_interrupted,
-            } => match parts.poll_recv(context) {
+            } => match body_parts.poll_recv(context) {
                 Poll::Pending => Poll::Pending,
                 Poll::Ready(Some(BodyPart::Data(bytes))) => Poll::Ready(Some(with_guard(bytes))),
                 Poll::Ready(Some(BodyPart::End)) => Poll::Ready(None),
--- a/components/gateway/src/attempt.rs
+++ b/components/gateway/src/attempt.rs
@@ -161,8 +161,8 @@
             traffic: Rc::clone(self),
             ticket: self.note_sent(job, placement),
             connection: None,
-            reserved: false,
-            answered: false,
+            has_reservation: false,
+            has_answer_head: false,
             health: None,
             sent_at: self.clock.now(),
             placement: placement.clone(),
@@ -197,7 +197,7 @@
             }
             Err(_) => return AttemptOutcome::NotSent,
         };
-        run.answered = true;
+        run.has_answer_head = true;
         let (head, body) = answer.into_parts();
         let read = self.dialect.read_answer(head.status, &head.headers);
         self.hear(job, placement, run.sent_at, head.status, &read);
@@ -231,7 +231,7 @@
             remaining: job.expiry.saturating_sub(self.clock.now()),
             tenant: job.tenant.clone(),
             priority: job.priority,
-            engine: job.engine,
+            engine: job.is_engine,
             last_event: last_event.or(job.head.last_event),
         };
         self.dialect.write_attempt(&mut headers, &attempt);
--- a/components/gateway/src/caller.rs
+++ b/components/gateway/src/caller.rs
@@ -76,7 +76,7 @@
         self.head_started_at.set(None);
     }
 
-    /// Records that the last byte of a request's answer was written.
+    /// Records that a request has ended: the last byte of its answer was written, or the answer was dropped.
     pub fn finish_request(&self) {
         self.running.set(self.running.get() - 1);
         self.idle_since.set(self.clock.now());
--- a/components/gateway/src/connecting.rs
+++ b/components/gateway/src/connecting.rs
@@ -38,14 +38,14 @@
         match self.reserve(job, placement, options) {
             Reservation::Idle(connection) => {
                 run.connection = Some(connection);
-                run.reserved = true;
+                run.has_reservation = true;
                 return true;
             }
             Reservation::Full => {
                 run.set_health(HealthSignal::Inconclusive);
                 return false;
             }
-            Reservation::New => run.reserved = true,
+            Reservation::New => run.has_reservation = true,
         }
         match Connection::open(placement.address, CONNECT_TIMEOUT).await {
             Ok(connection) => {
--- a/components/gateway/src/connection_pool.rs
+++ b/components/gateway/src/connection_pool.rs
@@ -16,7 +16,7 @@
 #[derive(Debug)]
 struct IdleConnection {
     connection: Connection,
-    until: Duration,
+    expires_at: Duration,
 }
 
 /// Idle connections and number of open connections, by endpoint.
@@ -83,7 +83,7 @@
     pub fn take_idle(&mut self, now: Duration, endpoint: &str) -> Option<Connection> {
         let idle = self.idle.get_mut(endpoint)?;
         while let Some(entry) = idle.pop() {
-            if now < entry.until && entry.connection.is_open() && entry.connection.is_free() {
+            if now < entry.expires_at && entry.connection.is_open() && entry.connection.is_free() {
                 return Some(entry.connection);
             }
             drop(entry);
@@ -113,7 +113,7 @@
         let idle = self.idle.entry(endpoint.to_string()).or_default();
         idle.push(IdleConnection {
             connection,
-            until: now + idle_time.min(MAX_IDLE_TIME),
+            expires_at: now + idle_time.min(MAX_IDLE_TIME),
         });
     }
 
@@ -136,7 +136,7 @@
         let open = &mut self.open;
         for (endpoint, idle) in &mut self.idle {
             let before = idle.len();
-            idle.retain(|entry| now < entry.until && entry.connection.is_open());
+            idle.retain(|entry| now < entry.expires_at && entry.connection.is_open());
             for _ in idle.len()..before {
                 open.release(endpoint);
             }
--- a/components/gateway/src/endpoint_run.rs
+++ b/components/gateway/src/endpoint_run.rs
@@ -21,9 +21,9 @@
     pub ticket: Ticket,
     pub connection: Option<Connection>,
     /// Whether the connection pool counts a connection for it.
-    pub reserved: bool,
+    pub has_reservation: bool,
     /// Whether the head of an answer was received.
-    pub answered: bool,
+    pub has_answer_head: bool,
     pub health: Option<HealthSignal>,
     pub sent_at: Duration,
     pub placement: Placement,
@@ -44,7 +44,7 @@
         }
         let now = self.traffic.clock.now();
         if let Some(connection) = self.connection.take() {
-            self.reserved = false;
+            self.has_reservation = false;
             let mut state = self.traffic.state.borrow_mut();
             state
                 .pool
@@ -66,9 +66,9 @@
         state.board.event(now, &mut self.ticket);
     }
 
-    // Evidence of this run about its endpoint's version, for a roll-out. An engine's answer time is given relative to the
-    // expected time, since an endpoint of a new version hasn't cached any prompts yet. `round_trip` is the round-trip time to the
-    // endpoint's region.
+    // Evidence of this run about its endpoint's version, for a roll-out under way. An engine's answer time is given relative
+    // to the expected time, since an endpoint of a new version has no prompts in its cache yet. `round_trip` is the round-trip
+    // time to the endpoint's region.
     fn evidence(
         &self,
         now: Duration,
@@ -79,7 +79,7 @@
         match health {
             HealthSignal::Inconclusive => None,
             HealthSignal::Faulty | HealthSignal::Unresponsive => Some(Answer::Failed),
-            HealthSignal::Healthy if self.job.engine => {
+            HealthSignal::Healthy if self.job.is_engine => {
                 let expected = self.placement.hold.as_secs_f64().max(MIN_COMPARED_TIME_S);
                 Some(Answer::Whole(elapsed_s / expected * 1000.0))
             }
@@ -93,7 +93,7 @@
         let waited = now.saturating_sub(self.sent_at);
         let timeout = self.job.expiry.saturating_sub(self.sent_at);
         let expected = Duration::from_secs_f64(self.placement.expected_ms / 1000.0);
-        match (self.health, self.answered) {
+        match (self.health, self.has_answer_head) {
             (Some(health), _) => health,
             (None, true) if now >= self.job.expiry => HealthSignal::Faulty,
             (None, true) => HealthSignal::Inconclusive,
@@ -107,7 +107,7 @@
         let now = self.traffic.clock.now();
         let health = self.health_at_drop(now);
         let mut state = self.traffic.state.borrow_mut();
-        if self.job.engine {
+        if self.job.is_engine {
             let route = &self.job.route;
             let max_duration = route.timeout.saturating_sub(route.target);
             state
@@ -132,7 +132,7 @@
                 .reported(&self.placement, service, route, answer);
             state.tally.reported.extend(reported);
         }
-        if self.reserved {
+        if self.has_reservation {
             state.pool.record_closed(&self.placement.endpoint);
         }
     }
--- a/components/gateway/src/handler.rs
+++ b/components/gateway/src/handler.rs
@@ -84,7 +84,7 @@
         if served.is_err() && !progress.maybe_run {
             self.give_back(&job, &progress).await;
         }
-        let answer = self.reply(&job, progress, served?);
+        let answer = self.build_answer(&job, progress, served?);
         self.log_answer(&job, &answer);
         Ok(answer)
     }
@@ -144,13 +144,13 @@
         state.give_back(now, tenant, job.cost);
     }
 
-    fn reply(
+    fn build_answer(
         self: &Rc<Self>,
         job: &SharedJob,
         progress: Progress,
-        reply: EndpointAnswer<D>,
+        answer: EndpointAnswer<D>,
     ) -> Answer {
-        match reply {
+        match answer {
             EndpointAnswer::Whole { head, body } => {
                 let body = HeldBytes::counted(body.bytes, body.hold, &job.caller);
                 Response::from_parts(head, AnswerBody::whole(body))
--- a/components/gateway/src/interrupted.rs
+++ b/components/gateway/src/interrupted.rs
@@ -96,7 +96,7 @@
 
 impl<D: Dialect + 'static> Traffic<D> {
     /// Checks whether an endpoint that interrupted an answer has ended. The check runs on if the caller disconnects; the
-    /// next attempt waits up to [`CHECK_WAIT`] for it.
+    /// next attempt waits up to `CHECK_WAIT` for it.
     pub async fn check_after_interruption(self: &Rc<Self>, job: &SharedJob, placement: &Placement) {
         let check = self.spawn_check(job, placement);
         // A slower check goes on in the background.
--- a/components/gateway/src/job.rs
+++ b/components/gateway/src/job.rs
@@ -43,7 +43,7 @@
     /// Work to place.
     pub work: Work,
     /// Whether the endpoints are engines.
-    pub engine: bool,
+    pub is_engine: bool,
     /// Connections that each endpoint accepts from all gateways together.
     pub max_connections: u32,
     /// When the head was read.
--- a/components/gateway/src/memory_manager.rs
+++ b/components/gateway/src/memory_manager.rs
@@ -24,7 +24,7 @@
 /// Shortest pause in reading that counts as the cause of an interrupted answer. Endpoints are expected to wait for some
 /// seconds; an earlier interruption has other causes.
 const MIN_UNREAD_TIMEOUT: Duration = Duration::from_secs(1);
-/// Time between two memory checks above which this process counts as suspended in between; checks are due every 0.1 s.
+/// A longer time between two memory checks means that this process was suspended. Checks are due every 0.1 s.
 const MAX_CHECK_INTERVAL: Duration = Duration::from_secs(1);
 
 /// Interval between updates of the memory metrics.
@@ -36,7 +36,7 @@
     pub(crate) clock: Clock,
     ledger: Ledger,
     released: Rc<Notify>,
-    waiting: Cell<u32>,
+    waiters: Cell<u32>,
     gate: Cell<PauseGate>,
     rate: Cell<ReleaseRate>,
     unread_timeout: Cell<Option<Duration>>,
@@ -71,7 +71,7 @@
             clock,
             ledger: Ledger::new(budget, move || on_release.notify_waiters()),
             released,
-            waiting: Cell::default(),
+            waiters: Cell::default(),
             gate: Cell::default(),
             rate: Cell::default(),
             unread_timeout: Cell::default(),
@@ -117,7 +117,7 @@
         if hold.grow(bytes) {
             return;
         }
-        let _waiting = WaitGuard::new(&self.waiting);
+        let _guard = WaitGuard::new(&self.waiters);
         loop {
             let released = self.released.notified();
             if hold.grow(bytes) {
@@ -137,7 +137,7 @@
 
     /// Waits until [`try_reserve_read_ahead`](Self::try_reserve_read_ahead) succeeds. Cancelling reserves nothing.
     pub async fn reserve_read_ahead(&self, caller: &Caller, hold: &mut Hold, bytes: u64) {
-        let _waiting = WaitGuard::new(&self.waiting);
+        let _guard = WaitGuard::new(&self.waiters);
         loop {
             let released = self.released.notified();
             if self.try_reserve_read_ahead(caller, hold, bytes) {
@@ -189,7 +189,7 @@
             callers.for_each(|caller| caller.reset_progress(now));
         }
         // Without a limit no task waits for the memory of another.
-        if self.waiting.get() == 0 || !self.is_bounded() {
+        if self.waiters.get() == 0 || !self.is_bounded() {
             return None;
         }
         let callers: Vec<Rc<Caller>> = callers.iter().filter_map(Weak::upgrade).collect();
--- a/components/gateway/src/pending_replies.rs
+++ b/components/gateway/src/pending_replies.rs
@@ -9,14 +9,14 @@
 /// Queries that have no reply yet, by their numbers.
 #[derive(Debug)]
 pub(crate) struct PendingReplies<R> {
-    waiting: RefCell<HashMap<i64, oneshot::Sender<R>>>,
+    senders: RefCell<HashMap<i64, oneshot::Sender<R>>>,
     number: Cell<i64>,
 }
 
 impl<R> Default for PendingReplies<R> {
     fn default() -> Self {
         PendingReplies {
-            waiting: RefCell::default(),
+            senders: RefCell::default(),
             number: Cell::default(),
         }
     }
@@ -32,7 +32,7 @@
     /// Registers a query that is about to be sent.
     pub fn register(&self, number: i64) -> oneshot::Receiver<R> {
         let (sender, reply) = oneshot::channel();
-        self.waiting.borrow_mut().insert(number, sender);
+        self.senders.borrow_mut().insert(number, sender);
         reply
     }
 
@@ -44,13 +44,13 @@
         reply: oneshot::Receiver<R>,
     ) -> Option<R> {
         let reply = tokio::time::timeout(timeout, reply).await;
-        self.waiting.borrow_mut().remove(&number);
+        self.senders.borrow_mut().remove(&number);
         reply.ok()?.ok()
     }
 
     /// Delivers a reply to its waiting query. A late reply is dropped.
     pub fn deliver(&self, number: i64, reply: R) {
-        let sender = self.waiting.borrow_mut().remove(&number);
+        let sender = self.senders.borrow_mut().remove(&number);
         if let Some(sender) = sender {
             let _ = sender.send(reply);
         }
--- a/components/gateway/src/retry.rs
+++ b/components/gateway/src/retry.rs
@@ -17,7 +17,7 @@
 
 /// Retry delay for the caller when endpoints have no room.
 const NO_ROOM_RETRY: Duration = Duration::from_millis(150);
-/// Attempts that reached no endpoint after which a request fails.
+/// Number of attempts that reach no endpoint after which a request fails.
 const MAX_UNSENT: usize = 4;
 /// An attempt of a repeatable request that has another attempt left times out after this many times the target latency.
 const ATTEMPT_TIMEOUT_TARGETS: u32 = 2;
@@ -98,8 +98,8 @@
         }
     }
 
-    // Returns the refusal of a job that can no longer be sent: the VM may have been frozen or suspended since the job was
-    // admitted.
+    // Returns the refusal of a job whose deadline has passed or whose key can no longer be used: the VM may have been frozen
+    // or suspended since the job was admitted.
     fn expired_refusal(&self, job: &Job, progress: &Progress) -> Option<Refusal> {
         if self.can_still_send(job) {
             return None;
@@ -119,14 +119,14 @@
     pub fn can_still_send(&self, job: &Job) -> bool {
         let now = self.clock.now();
         let ages = Ages::of(&self.state.borrow().settings);
-        let may_use_key = !job.needs_key || self.freshness.allows_keys(now, ages.keys);
-        now < job.expiry && may_use_key
+        let can_use_key = !job.needs_key || self.freshness.allows_keys(now, ages.keys);
+        now < job.expiry && can_use_key
     }
 
     // Whether a job can be sent again; spends from the retry budget if so.
     fn try_spend_retry(&self, job: &Job, progress: &Progress, has_run: bool) -> bool {
-        let allowed = job.route.execution.is_repeatable() || (!has_run && !progress.maybe_run);
-        allowed
+        let is_allowed = job.route.execution.is_repeatable() || (!has_run && !progress.maybe_run);
+        is_allowed
             && job.body.is_kept()
             && progress.sent < job.route.max_attempts
             && self.clock.now() < job.expiry
--- a/components/gateway/src/server.rs
+++ b/components/gateway/src/server.rs
@@ -131,11 +131,11 @@
         .timer(TokioTimer::new())
         .header_read_timeout(MAX_HEAD_TIME)
         .max_buf_size(max_head_bytes(&traffic));
-    let stream = ProgressStream {
+    let progress_stream = ProgressStream {
         stream,
         caller: Rc::clone(&caller),
     };
-    let connection = builder.serve_connection(TokioIo::new(stream), service);
+    let connection = builder.serve_connection(TokioIo::new(progress_stream), service);
     tokio::pin!(connection);
     let mut check = tokio::time::interval(CONNECTION_CHECK_INTERVAL);
     check.set_missed_tick_behavior(tokio::time::MissedTickBehavior::Delay);
@@ -160,7 +160,7 @@
         .set_send_buffer_size(SOCKET_BUFFER_BYTES)
         .and_then(|()| socket.set_recv_buffer_size(SOCKET_BUFFER_BYTES));
     if let Err(error) = set {
-        warn!(traffic.log, "callers' buffers are not bounded"; "cause" => %error);
+        warn!(traffic.log, "cannot limit the socket buffers of callers"; "cause" => %error);
     }
 }
 
@@ -193,8 +193,8 @@
             "stalled_ms" => delivery.stalled.as_millis() as u64);
         return Some(ConnectionEnd::Immediate);
     }
-    let idle = caller.idle_time(now)?;
-    (traffic.freshness.is_closed(now) || idle > idle_time).then_some(ConnectionEnd::WhenIdle)
+    let idle_for = caller.idle_time(now)?;
+    (traffic.freshness.is_closed(now) || idle_for > idle_time).then_some(ConnectionEnd::WhenIdle)
 }
 
 // Counts a request as in flight until its answer is written or dropped.
--- a/components/gateway/src/stream.rs
+++ b/components/gateway/src/stream.rs
@@ -39,7 +39,7 @@
     traffic: Rc<Traffic<D>>,
     job: SharedJob,
     progress: Progress,
-    parts: mpsc::UnboundedSender<BodyPart>,
+    body_parts: mpsc::UnboundedSender<BodyPart>,
     last_event: Option<u64>,
     forwarded: u64,
     forwarded_at: Duration,
@@ -53,13 +53,13 @@
         traffic: &Rc<Traffic<D>>,
         job: &SharedJob,
         progress: Progress,
-        parts: mpsc::UnboundedSender<BodyPart>,
+        body_parts: mpsc::UnboundedSender<BodyPart>,
     ) -> Self {
         Relay {
             traffic: Rc::clone(traffic),
             job: Rc::clone(job),
             progress,
-            parts,
+            body_parts,
             last_event: job.head.last_event,
             forwarded: 0,
             forwarded_at: traffic.clock.now(),
@@ -79,7 +79,7 @@
                     events.finish();
                     self.traffic.record_completed(&self.job);
                     // The caller may have disconnected.
-                    let _ = self.parts.send(BodyPart::End);
+                    let _ = self.body_parts.send(BodyPart::End);
                     "whole"
                 }
                 StreamEnd::CallerLeft => "caller left",
@@ -121,7 +121,7 @@
         loop {
             let next = tokio::select! {
                 next = events.next() => next,
-                () = self.parts.closed() => return StreamEnd::CallerLeft,
+                () = self.body_parts.closed() => return StreamEnd::CallerLeft,
                 () = self.traffic.wait_for_restart(&placement) => return StreamEnd::Broken,
                 () = clock.sleep_until(expiry) => return StreamEnd::TimedOut,
                 () = tokio::time::sleep(stall_timeout), if self.can_resume() => {
@@ -154,7 +154,7 @@
         // The splitter's buffer is shared with other events; a copy has exactly the size that is accounted for.
         let bytes = Bytes::copy_from_slice(&event.bytes);
         let bytes = HeldBytes::counted(bytes, hold, &self.job.caller);
-        if self.parts.send(BodyPart::Data(bytes)).is_err() {
+        if self.body_parts.send(BodyPart::Data(bytes)).is_err() {
             return Some(StreamEnd::CallerLeft);
         }
         let now = self.traffic.clock.now();
@@ -180,7 +180,7 @@
         caller.set_reading(false);
         let end = tokio::select! {
             () = room.reserve_read_ahead(&caller, &mut hold, needed) => None,
-            () = self.parts.closed() => Some(StreamEnd::CallerLeft),
+            () = self.body_parts.closed() => Some(StreamEnd::CallerLeft),
             () = clock.sleep_until(expiry) => Some(StreamEnd::TimedOut),
         };
         let unread = caller.set_reading(true);
@@ -228,7 +228,7 @@
                 .attempt_unless_restarted(&self.job, &placement, options);
             let outcome = tokio::select! {
                 result = clock.timeout_at(expiry, attempt) => result.ok()?,
-                () = self.parts.closed() => return None,
+                () = self.body_parts.closed() => return None,
             };
             if let AttemptOutcome::Answered(EndpointAnswer::Events { first, events, .. }) = outcome
             {
