--- a/components/gateway/src/attempt.rs
+++ b/components/gateway/src/attempt.rs
@@ -161,7 +161,7 @@
             traffic: Rc::clone(self),
             ticket: self.note_sent(job, placement),
             connection: None,
-            has_reservation: false,
+            is_counted: false,
             has_answer_head: false,
             health: None,
             sent_at: self.clock.now(),
@@ -272,10 +272,10 @@
     ) -> AttemptOutcome<D> {
         let ran_for = self.clock.now().saturating_sub(run.sent_at);
         self.note_begun(job, ran_for);
-        let hold = job.caller.account.hold(Kind::Whole);
+        let reservation = job.caller.account.hold(Kind::Whole);
         let gathered = self
             .room
-            .gather(body, hold, MAX_WHOLE_ANSWER_BYTES, None)
+            .gather(body, reservation, MAX_WHOLE_ANSWER_BYTES, None)
             .await;
         let Ok(body) = gathered else {
             run.set_health(HealthSignal::Faulty);
--- a/components/gateway/src/body.rs
+++ b/components/gateway/src/body.rs
@@ -28,11 +28,14 @@
         read_by: Duration,
         caller: &Caller,
     ) -> Result<BufferedBody, Refusal> {
-        let hold = caller.account.hold(memory::Kind::BodyRead);
+        let reservation = caller.account.hold(memory::Kind::BodyRead);
         let memory_timeout = |bytes| self.body_memory_timeout(parts, head, bytes);
-        let reading = self
-            .room
-            .gather(body, hold, self.max_body_bytes(), Some(&memory_timeout));
+        let reading = self.room.gather(
+            body,
+            reservation,
+            self.max_body_bytes(),
+            Some(&memory_timeout),
+        );
         match self.clock.timeout_at(read_by, reading).await {
             Ok(Ok(body)) => Ok(body),
             Ok(Err(GatherError::TooLarge)) => Err(Refusal::not_run(
--- a/components/gateway/src/buffers.rs
+++ b/components/gateway/src/buffers.rs
@@ -13,7 +13,7 @@
 #[derive(Debug)]
 pub(crate) struct HeldBytes {
     bytes: Bytes,
-    _hold: Option<Hold>,
+    _reservation: Option<Hold>,
     queued_for: Option<(Rc<Caller>, u64)>,
     guard: Option<Rc<dyn Any>>,
 }
@@ -23,19 +23,19 @@
     pub fn uncounted(bytes: Bytes) -> Self {
         HeldBytes {
             bytes,
-            _hold: None,
+            _reservation: None,
             queued_for: None,
             guard: None,
         }
     }
 
     /// Wraps bytes that are queued for a caller and held on its account.
-    pub fn counted(bytes: Bytes, hold: Hold, caller: &Rc<Caller>) -> Self {
+    pub fn counted(bytes: Bytes, reservation: Hold, caller: &Rc<Caller>) -> Self {
         let length = bytes.len() as u64;
         caller.add_unsent(length);
         HeldBytes {
             bytes,
-            _hold: Some(hold),
+            _reservation: Some(reservation),
             queued_for: Some((Rc::clone(caller), length)),
             guard: None,
         }
@@ -74,11 +74,11 @@
     }
 }
 
-/// A complete body and the hold on its memory.
+/// A complete body and the reservation of its memory.
 #[derive(Debug)]
 pub(crate) struct BufferedBody {
     pub bytes: Bytes,
-    pub hold: Hold,
+    pub reservation: Hold,
 }
 
 /// A caller's body, kept while its request may be sent again.
@@ -91,7 +91,7 @@
 impl KeptBody {
     /// Keeps a complete body.
     pub fn new(mut body: BufferedBody) -> Self {
-        body.hold.change(Kind::BodyKept);
+        body.reservation.change(Kind::BodyKept);
         KeptBody {
             length: body.bytes.len(),
             kept: RefCell::new(Some(body)),
--- a/components/gateway/src/connecting.rs
+++ b/components/gateway/src/connecting.rs
@@ -17,7 +17,7 @@
 /// Timeout of a connect.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(400);
 
-enum Reservation {
+enum ConnectionSource {
     /// An idle connection of the pool.
     Idle(Connection),
     /// A connection can be opened.
@@ -35,17 +35,17 @@
         options: SendOptions,
         run: &mut EndpointRun<D>,
     ) -> bool {
-        match self.reserve(job, placement, options) {
-            Reservation::Idle(connection) => {
+        match self.connection_source(job, placement, options) {
+            ConnectionSource::Idle(connection) => {
                 run.connection = Some(connection);
-                run.has_reservation = true;
+                run.is_counted = true;
                 return true;
             }
-            Reservation::Full => {
+            ConnectionSource::Full => {
                 run.set_health(HealthSignal::Inconclusive);
                 return false;
             }
-            Reservation::New => run.has_reservation = true,
+            ConnectionSource::New => run.is_counted = true,
         }
         match Connection::open(placement.address, CONNECT_TIMEOUT).await {
             Ok(connection) => {
@@ -61,7 +61,12 @@
         }
     }
 
-    fn reserve(&self, job: &Job, placement: &Placement, options: SendOptions) -> Reservation {
+    fn connection_source(
+        &self,
+        job: &Job,
+        placement: &Placement,
+        options: SendOptions,
+    ) -> ConnectionSource {
         let now = self.clock.now();
         let max = self.most_connections(job);
         let mut state = self.state.borrow_mut();
@@ -69,10 +74,10 @@
             state.pool.drop_idle(&placement.endpoint);
         }
         if let Some(connection) = state.pool.take_idle(now, &placement.endpoint) {
-            return Reservation::Idle(connection);
+            return ConnectionSource::Idle(connection);
         }
         let Err(cause) = state.pool.reserve(&placement.endpoint, max) else {
-            return Reservation::New;
+            return ConnectionSource::New;
         };
         drop(state);
         if cause == ReserveError::NoMemory {
@@ -82,6 +87,6 @@
                 "endpoint" => &placement.endpoint, "held_in_all" => ledger.total(),
                 "budget" => ledger.budget().most);
         }
-        Reservation::Full
+        ConnectionSource::Full
     }
 }
--- a/components/gateway/src/connection_pool.rs
+++ b/components/gateway/src/connection_pool.rs
@@ -39,7 +39,7 @@
 #[derive(Debug)]
 struct OpenConnections {
     counts: HashMap<String, u32>,
-    hold: Hold,
+    reservation: Hold,
 }
 
 impl OpenConnections {
@@ -48,7 +48,7 @@
         if count >= max {
             return Err(ReserveError::Full);
         }
-        if !self.hold.grow(ENDPOINT_CONNECTION_BYTES) {
+        if !self.reservation.grow(ENDPOINT_CONNECTION_BYTES) {
             return Err(ReserveError::NoMemory);
         }
         self.counts.insert(endpoint.to_string(), count + 1);
@@ -63,7 +63,7 @@
         if *count == 0 {
             self.counts.remove(endpoint);
         }
-        self.hold.shrink(ENDPOINT_CONNECTION_BYTES);
+        self.reservation.shrink(ENDPOINT_CONNECTION_BYTES);
     }
 }
 
@@ -74,7 +74,7 @@
             idle: HashMap::new(),
             open: OpenConnections {
                 counts: HashMap::new(),
-                hold: ledger.open().hold(Kind::Connection),
+                reservation: ledger.open().hold(Kind::Connection),
             },
         }
     }
--- a/components/gateway/src/decisions.rs
+++ b/components/gateway/src/decisions.rs
@@ -204,7 +204,7 @@
     fn query(&self, job: &Job, tried: &[String], charged: bool) -> DecisionQuery {
         let parts = job.work.parts.iter();
         let excluded = tried.iter().map(|id| endpoint_hash(id) as i64);
-        let asked = job.asked();
+        let asked = job.request_traits();
         DecisionQuery {
             number: self.asking.replies.next_number(),
             service_name: job.work.service.clone(),
--- a/components/gateway/src/endpoint_run.rs
+++ b/components/gateway/src/endpoint_run.rs
@@ -21,7 +21,7 @@
     pub ticket: Ticket,
     pub connection: Option<Connection>,
     /// Whether the connection pool counts a connection for it.
-    pub has_reservation: bool,
+    pub is_counted: bool,
     /// Whether the head of an answer was received.
     pub has_answer_head: bool,
     pub health: Option<HealthSignal>,
@@ -44,7 +44,7 @@
         }
         let now = self.traffic.clock.now();
         if let Some(connection) = self.connection.take() {
-            self.has_reservation = false;
+            self.is_counted = false;
             let mut state = self.traffic.state.borrow_mut();
             state
                 .pool
@@ -126,13 +126,13 @@
             .region_round_trip_ms(&self.placement.hall);
         let round_trip = Duration::from_secs_f64(round_trip_ms / 1000.0);
         if let Some(answer) = self.evidence(now, round_trip, health) {
-            let (service, route) = (&self.job.work.service, self.job.asked().route);
+            let (service, route) = (&self.job.work.service, self.job.request_traits().route);
             let reported = state
                 .gates
                 .reported(&self.placement, service, route, answer);
             state.tally.reported.extend(reported);
         }
-        if self.has_reservation {
+        if self.is_counted {
             state.pool.record_closed(&self.placement.endpoint);
         }
     }
--- a/components/gateway/src/gather.rs
+++ b/components/gateway/src/gather.rs
@@ -79,7 +79,7 @@
         }
         Ok(BufferedBody {
             bytes: Bytes::from(bytes),
-            hold,
+            reservation: hold,
         })
     }
 
--- a/components/gateway/src/handler.rs
+++ b/components/gateway/src/handler.rs
@@ -152,7 +152,7 @@
     ) -> Answer {
         match answer {
             EndpointAnswer::Whole { head, body } => {
-                let body = HeldBytes::counted(body.bytes, body.hold, &job.caller);
+                let body = HeldBytes::counted(body.bytes, body.reservation, &job.caller);
                 Response::from_parts(head, AnswerBody::whole(body))
             }
             EndpointAnswer::Events {
--- a/components/gateway/src/job.rs
+++ b/components/gateway/src/job.rs
@@ -56,7 +56,7 @@
 
 impl Job {
     /// The request's properties that decide which version runs it.
-    pub fn asked(&self) -> Asked {
+    pub fn request_traits(&self) -> Asked {
         Asked {
             route: route_hash(&self.route.name),
             is_lost_when_cut: is_lost_when_cut(&self.route),
--- a/components/gateway/src/memory_manager.rs
+++ b/components/gateway/src/memory_manager.rs
@@ -112,35 +112,40 @@
         self.released.notified().await;
     }
 
-    /// Adds `bytes` to a hold, waiting for memory if needed. Cancelling reserves nothing.
-    pub async fn reserve(&self, hold: &mut Hold, bytes: u64) {
-        if hold.grow(bytes) {
+    /// Adds `bytes` to a reservation, waiting for memory if needed. Cancelling reserves nothing.
+    pub async fn reserve(&self, reservation: &mut Hold, bytes: u64) {
+        if reservation.grow(bytes) {
             return;
         }
         let _guard = WaitGuard::new(&self.waiters);
         loop {
             let released = self.released.notified();
-            if hold.grow(bytes) {
+            if reservation.grow(bytes) {
                 return;
             }
             released.await;
         }
     }
 
-    /// Adds `bytes` to the hold of an answer that is read ahead, if there is memory now.
-    pub fn try_reserve_read_ahead(&self, caller: &Caller, hold: &mut Hold, bytes: u64) -> bool {
+    /// Adds `bytes` to the reservation of an answer that is read ahead, if there is memory now.
+    pub fn try_reserve_read_ahead(
+        &self,
+        caller: &Caller,
+        reservation: &mut Hold,
+        bytes: u64,
+    ) -> bool {
         let unsent = caller.unsent_bytes();
         let can_read_ahead =
             self.is_bounded() || unsent == 0 || unsent + bytes <= UNBOUNDED_READ_AHEAD_BYTES;
-        can_read_ahead && hold.grow(bytes)
+        can_read_ahead && reservation.grow(bytes)
     }
 
     /// Waits until [`try_reserve_read_ahead`](Self::try_reserve_read_ahead) succeeds. Cancelling reserves nothing.
-    pub async fn reserve_read_ahead(&self, caller: &Caller, hold: &mut Hold, bytes: u64) {
+    pub async fn reserve_read_ahead(&self, caller: &Caller, reservation: &mut Hold, bytes: u64) {
         let _guard = WaitGuard::new(&self.waiters);
         loop {
             let released = self.released.notified();
-            if self.try_reserve_read_ahead(caller, hold, bytes) {
+            if self.try_reserve_read_ahead(caller, reservation, bytes) {
                 return;
             }
             released.await;
@@ -214,7 +219,7 @@
             (state.settings.memory_mib.max(0) as u64, tables)
         };
         let turn = self.room.check(now, Budget::of_vm(mib, tables));
-        self.log_turn(turn);
+        self.log_accept_change(turn);
         if now.saturating_sub(self.room.metrics_set_at.get()) >= METRICS_INTERVAL {
             self.room.metrics_set_at.set(now);
             self.set_metrics();
@@ -236,11 +241,11 @@
     /// Whether a connection can be accepted now.
     pub fn can_accept(&self) -> bool {
         let turn = self.room.check_gate();
-        self.log_turn(turn);
+        self.log_accept_change(turn);
         !self.room.is_paused()
     }
 
-    fn log_turn(&self, turn: Option<Turn>) {
+    fn log_accept_change(&self, turn: Option<Turn>) {
         let ledger = &self.room.ledger;
         let (held, budget) = (ledger.total(), ledger.budget().most);
         let connections = ledger.held(Kind::Connection);
--- a/components/gateway/src/placing.rs
+++ b/components/gateway/src/placing.rs
@@ -86,7 +86,7 @@
                     sent_here: true,
                     ..Exclusion::default()
                 };
-                let placement = state.choose(now, &job.work, exclusion, job.asked());
+                let placement = state.choose(now, &job.work, exclusion, job.request_traits());
                 (placement, state.board.link_wait(now, &job.work))
             };
             if let Some(placement) = placement {
--- a/components/gateway/src/retry.rs
+++ b/components/gateway/src/retry.rs
@@ -82,7 +82,7 @@
                     Some("the endpoint gave no answer in time")
                 }
                 Ok(AttemptOutcome::Failed { head, body }) => {
-                    if !self.try_spend_retry(job, progress, true) {
+                    if !self.try_retry(job, progress, true) {
                         return Ok(EndpointAnswer::Whole { head, body });
                     }
                     // An endpoint that answers with a failure has run the request, so no later refusal may say that it
@@ -92,7 +92,7 @@
                 }
             };
             progress.maybe_run |= lost_cause.is_some();
-            if !self.try_spend_retry(job, progress, lost_cause.is_some()) {
+            if !self.try_retry(job, progress, lost_cause.is_some()) {
                 return Err(self.failure_refusal(job, progress, lost_cause));
             }
         }
@@ -124,7 +124,7 @@
     }
 
     // Whether a job can be sent again; spends from the retry budget if so.
-    fn try_spend_retry(&self, job: &Job, progress: &Progress, has_run: bool) -> bool {
+    fn try_retry(&self, job: &Job, progress: &Progress, has_run: bool) -> bool {
         let is_allowed = job.route.execution.is_repeatable() || (!has_run && !progress.maybe_run);
         is_allowed
             && job.body.is_kept()
--- a/components/gateway/src/server.rs
+++ b/components/gateway/src/server.rs
@@ -175,17 +175,17 @@
 fn due_connection_end<D>(traffic: &Traffic<D>, caller: &Caller) -> Option<ConnectionEnd> {
     let now = traffic.clock.now();
     let bounds = caller_bounds(traffic);
-    let (head_time, idle_time) = (bounds.head_time, bounds.idle_time);
+    let (head_timeout, idle_timeout) = (bounds.head_time, bounds.idle_time);
     if let Some(time) = caller
         .head_receive_time(now)
-        .filter(|time| *time > head_time)
+        .filter(|time| *time > head_timeout)
     {
         traffic.metrics.count(Counter::SlowHeads);
         info!(traffic.log, "connection ended"; "cause" => "the head comes too slowly",
             "ms" => time.as_millis() as u64);
         return Some(ConnectionEnd::Immediate);
     }
-    if caller.is_stalled_past_deadline(now, idle_time) {
+    if caller.is_stalled_past_deadline(now, idle_timeout) {
         let delivery = caller.delivery(now);
         traffic.metrics.count(Counter::UntakenAnswers);
         info!(traffic.log, "answer cut off"; "id" => caller.request_id(),
@@ -194,7 +194,7 @@
         return Some(ConnectionEnd::Immediate);
     }
     let idle_for = caller.idle_time(now)?;
-    (traffic.freshness.is_closed(now) || idle_for > idle_time).then_some(ConnectionEnd::WhenIdle)
+    (traffic.freshness.is_closed(now) || idle_for > idle_timeout).then_some(ConnectionEnd::WhenIdle)
 }
 
 // Counts a request as in flight until its answer is written or dropped.
--- a/components/gateway/src/stream.rs
+++ b/components/gateway/src/stream.rs
@@ -147,13 +147,13 @@
             return None;
         }
         let id = event.id;
-        let hold = match self.reserve(event.bytes.len()).await {
-            Ok(hold) => hold,
+        let reservation = match self.reserve(event.bytes.len()).await {
+            Ok(reservation) => reservation,
             Err(end) => return Some(end),
         };
         // The splitter's buffer is shared with other events; a copy has exactly the size that is accounted for.
         let bytes = Bytes::copy_from_slice(&event.bytes);
-        let bytes = HeldBytes::counted(bytes, hold, &self.job.caller);
+        let bytes = HeldBytes::counted(bytes, reservation, &self.job.caller);
         if self.body_parts.send(BodyPart::Data(bytes)).is_err() {
             return Some(StreamEnd::CallerLeft);
         }
@@ -170,22 +170,22 @@
     async fn reserve(&mut self, length: usize) -> Result<Hold, StreamEnd> {
         let needed = length as u64 + EVENT_OVERHEAD_BYTES;
         let caller = Rc::clone(&self.job.caller);
-        let room = &self.traffic.room;
-        let mut hold = caller.account.hold(Kind::ReadAhead);
-        if room.try_reserve_read_ahead(&caller, &mut hold, needed) {
-            return Ok(hold);
+        let memory_manager = &self.traffic.room;
+        let mut reservation = caller.account.hold(Kind::ReadAhead);
+        if memory_manager.try_reserve_read_ahead(&caller, &mut reservation, needed) {
+            return Ok(reservation);
         }
         let (clock, expiry) = (self.traffic.clock, self.job.expiry);
         self.traffic.metrics.count(Counter::MemoryWaits);
         caller.set_reading(false);
         let end = tokio::select! {
-            () = room.reserve_read_ahead(&caller, &mut hold, needed) => None,
+            () = memory_manager.reserve_read_ahead(&caller, &mut reservation, needed) => None,
             () = self.body_parts.closed() => Some(StreamEnd::CallerLeft),
             () = clock.sleep_until(expiry) => Some(StreamEnd::TimedOut),
         };
         let unread = caller.set_reading(true);
         self.longest_unread = self.longest_unread.max(unread);
-        end.map_or(Ok(hold), Err)
+        end.map_or(Ok(reservation), Err)
     }
 
     // Attributes an interruption to an earlier pause in reading, if the pause was long enough.
