--- a/components/gateway/src/answer_notices.rs
+++ b/components/gateway/src/answer_notices.rs
@@ -111,7 +111,7 @@
     fn apply_leaving(&self, job: &Job, placement: &Placement) {
         self.metrics.count(Counter::LeavingSaid);
         let mut state = self.state.borrow_mut();
-        state.pool.forget(&placement.endpoint);
+        state.pool.drop_idle(&placement.endpoint);
         let notices = state.balancer.notices_mut();
         if notices.record_leaving(placement.incarnation, &job.work.service) {
             info!(self.log, "endpoint says that it leaves"; "id" => &job.head.id,
--- a/components/gateway/src/attempt.rs
+++ b/components/gateway/src/attempt.rs
@@ -13,20 +13,20 @@
 use telemetry::Counter;
 use transport::{ConnectionError, FullBody};
 
-use crate::endpoint_run::Run;
+use crate::buffers::BufferedBody;
+use crate::endpoint_run::EndpointRun;
 use crate::events::{Event, EventSplitter};
-use crate::held::Gathered;
 use crate::job::{Job, SharedJob};
 use crate::ports::{AnswerHead, AttemptHead, Dialect};
 use crate::sends::Grant;
 use crate::traffic::Traffic;
 
-/// Largest answer that is read as a whole, in bytes.
-const MAX_WHOLE_ANSWER: usize = 8 << 20;
-/// Largest body of a refusal that is read so that its connection can be kept, in bytes.
-const MAX_REFUSAL: usize = 64 << 10;
-/// Fields that concern one connection only.
-const HOP_FIELDS: [HeaderName; 7] = [
+/// Maximum size of a buffered answer, in bytes.
+const MAX_WHOLE_ANSWER_BYTES: usize = 8 << 20;
+/// Maximum size of a refusal's body, in bytes, that is read so that the connection can be reused.
+const MAX_REFUSAL_BYTES: usize = 64 << 10;
+/// Hop-by-hop headers, which aren't forwarded.
+const HOP_BY_HOP_HEADERS: [HeaderName; 7] = [
     http::header::CONNECTION,
     http::header::PROXY_AUTHENTICATE,
     http::header::PROXY_AUTHORIZATION,
@@ -38,36 +38,36 @@
 const KEEP_ALIVE: HeaderName = HeaderName::from_static("keep-alive");
 
 /// The events of a stream from one endpoint.
-pub(crate) struct EventRun<D> {
-    pub run: Run<D>,
+pub(crate) struct EndpointStream<D> {
+    pub run: EndpointRun<D>,
     pub keep_alive: Option<Duration>,
     body: Incoming,
     splitter: EventSplitter,
     ready: VecDeque<Event>,
 }
 
-/// What a stream brings next.
+/// Next item of a stream.
 pub(crate) enum NextEvent {
     /// An event.
     Event(Event),
-    /// Its whole end.
+    /// The complete end of the stream.
     End,
-    /// It broke off.
+    /// The stream ended without its complete end.
     Broken,
 }
 
-impl<D> EventRun<D> {
-    /// Waits for the next event. Cancelling loses nothing.
+impl<D> EndpointStream<D> {
+    /// Waits for the next event. Cancel safe.
     pub async fn next(&mut self) -> NextEvent {
         loop {
             if let Some(event) = self.ready.pop_front() {
-                self.run.event();
+                self.run.record_event();
                 return NextEvent::Event(event);
             }
             let frame = match self.body.frame().await {
                 Some(Ok(frame)) => frame,
                 Some(Err(_)) => return NextEvent::Broken,
-                None if self.splitter.has_rest() => return NextEvent::Broken,
+                None if self.splitter.has_partial_event() => return NextEvent::Broken,
                 None => return NextEvent::End,
             };
             let Ok(bytes) = frame.into_data() else {
@@ -82,38 +82,38 @@
         }
     }
 
-    /// The stream ended whole.
+    /// Records the complete end of the stream and returns its connection to the pool.
     pub fn finish(mut self) {
-        self.run.judge(HealthSignal::Healthy);
+        self.run.set_health(HealthSignal::Healthy);
         self.run.finish(self.keep_alive);
     }
 }
 
-/// What an endpoint answered.
-pub(crate) enum Reply<D> {
-    /// An answer known as a whole.
+/// An answer of an endpoint.
+pub(crate) enum EndpointAnswer<D> {
+    /// A buffered answer.
     Whole {
         head: response::Parts,
-        body: Gathered,
+        body: BufferedBody,
     },
-    /// A stream whose first event has come.
+    /// A stream whose first event was received.
     Events {
         head: response::Parts,
         first: Event,
-        events: Box<EventRun<D>>,
+        events: Box<EndpointStream<D>>,
     },
 }
 
-/// How an attempt came out.
-pub(crate) enum Attempted<D> {
+/// Outcome of an attempt.
+pub(crate) enum AttemptOutcome<D> {
     /// An answer of the endpoint.
-    Answered(Reply<D>),
-    /// An answer that says it failed.
+    Answered(EndpointAnswer<D>),
+    /// An answer with a server error.
     Failed {
         head: response::Parts,
-        body: Gathered,
+        body: BufferedBody,
     },
-    /// The endpoint says that it did not run the request.
+    /// The endpoint reported that it did not run the request.
     NotRun,
     /// Nothing was sent.
     NotSent,
@@ -121,95 +121,97 @@
     Lost(&'static str),
 }
 
-/// What an attempt goes on from.
+/// Options of one attempt.
 #[derive(Clone, Copy, Debug, Default)]
-pub(crate) struct Sending {
-    /// Last event that the caller has of this stream.
+pub(crate) struct SendOptions {
+    /// Id of the last event that was forwarded to the caller; the attempt resumes the stream after it.
     pub last_event: Option<u64>,
-    /// Whether the attempt before it met silence: then a connection that rested is not trusted. Open connections may
-    /// go silent without a reset, all at once, while new ones work.
-    pub after_silence: bool,
-    /// Whether the limit of the endpoint allows it.
+    /// Whether the previous attempt got no response. Then idle connections aren't reused: all open connections may stop
+    /// responding at once, without a reset, while new ones work.
+    pub after_unresponsive: bool,
+    /// Whether the endpoint's limit allows the send.
     pub grant: Grant,
 }
 
 impl<D: Dialect + 'static> Traffic<D> {
-    /// Sends a job to the endpoint chosen for it, and gives it up once that is known to have started again.
+    /// Sends a job to its chosen endpoint and aborts the attempt when the endpoint is known to have restarted.
     pub async fn attempt_unless_restarted(
         self: &Rc<Self>,
         job: &SharedJob,
         placement: &Placement,
-        sending: Sending,
-    ) -> Attempted<D> {
-        let ended = tokio::select! {
+        options: SendOptions,
+    ) -> AttemptOutcome<D> {
+        let cause = tokio::select! {
             biased;
-            attempted = self.attempt(job, placement, sending) => return attempted,
-            () = self.restarted(placement) => "the endpoint started again",
+            outcome = self.attempt(job, placement, options) => return outcome,
+            () = self.wait_for_restart(placement) => "the endpoint started again",
         };
-        self.look_after_cut(job, placement).await;
-        Attempted::Lost(ended)
+        self.check_after_interruption(job, placement).await;
+        AttemptOutcome::Lost(cause)
     }
 
-    /// Sends a job to the endpoint chosen for it.
+    /// Sends a job to its chosen endpoint.
     pub async fn attempt(
         self: &Rc<Self>,
         job: &SharedJob,
         placement: &Placement,
-        sending: Sending,
-    ) -> Attempted<D> {
-        let mut run = Run {
+        options: SendOptions,
+    ) -> AttemptOutcome<D> {
+        let mut run = EndpointRun {
             traffic: Rc::clone(self),
             ticket: self.record_sent(job, placement),
             connection: None,
-            reserved: false,
-            answered: false,
-            verdict: None,
+            is_counted: false,
+            has_answer_head: false,
+            health: None,
             sent_at: self.clock.now(),
             placement: placement.clone(),
             job: Rc::clone(job),
         };
-        if !self.connect(job, placement, sending, &mut run).await {
-            return Attempted::NotSent;
+        if !self.connect(job, placement, options, &mut run).await {
+            return AttemptOutcome::NotSent;
         }
-        // Opening a connection takes a while, in which the VM may be frozen or suspended, and the endpoint say that it wants
-        // nothing more, or name a limit.
+        // While the connection was opened the VM may have been frozen or suspended, and the endpoint may have announced that
+        // it takes no more requests, or a limit.
         let can_send =
-            self.is_accepting_requests(placement) && self.is_granted(placement, sending.grant);
-        if !self.may_still_send(job) || !can_send {
-            run.judge(HealthSignal::Inconclusive);
-            return Attempted::NotSent;
+            self.is_accepting_requests(placement) && self.is_granted(placement, options.grant);
+        if !self.can_still_send(job) || !can_send {
+            run.set_health(HealthSignal::Inconclusive);
+            return AttemptOutcome::NotSent;
         }
-        let request = self.request_of(job, placement, sending.last_event);
+        let request = self.build_request(job, placement, options.last_event);
         self.metrics.count(Counter::Attempts);
         run.sent_at = self.clock.now();
         let Some(connection) = run.connection.as_mut() else {
-            return Attempted::NotSent;
+            return AttemptOutcome::NotSent;
         };
         let answer = match connection.send(request).await {
             Ok(answer) => answer,
             Err(ConnectionError::Broken(error)) => {
-                run.judge(HealthSignal::Unresponsive);
+                run.set_health(HealthSignal::Unresponsive);
                 info!(self.log, "answer lost"; "id" => &job.head.id,
                     "endpoint" => &placement.endpoint, "cause" => %error);
-                self.look_after_cut(job, placement).await;
-                return Attempted::Lost("the endpoint closed the connection without an answer");
+                self.check_after_interruption(job, placement).await;
+                return AttemptOutcome::Lost(
+                    "the endpoint closed the connection without an answer",
+                );
             }
-            Err(_) => return Attempted::NotSent,
+            Err(_) => return AttemptOutcome::NotSent,
         };
-        run.answered = true;
+        run.has_answer_head = true;
         let (head, body) = answer.into_parts();
         let read = self.dialect.read_answer(head.status, &head.headers);
         self.apply_answer_head(job, placement, run.sent_at, head.status, &read);
         if read.id.as_deref() != Some(job.head.id.as_str()) {
-            run.judge(HealthSignal::Faulty);
-            return Attempted::Lost("the endpoint answered another request");
+            run.set_health(HealthSignal::Faulty);
+            return AttemptOutcome::Lost("the endpoint answered another request");
         }
         if read.not_run {
-            return self.declined(run, &read, body).await;
+            return self.not_run_answer(run, &read, body).await;
         }
         if !job.route.execution.is_repeatable() {
-            // It runs, so it is not sent again, and its answer needs the memory.
-            job.body.let_go();
+            // The request runs and isn't sent again; its answer needs the memory.
+            job.body.discard();
         }
         if job.route.execution.is_stream() && head.status.is_success() {
             return self.first_event(job, run, head, read, body).await;
@@ -217,92 +219,100 @@
         self.whole_answer(job, run, head, read, body).await
     }
 
-    fn request_of(
+    fn build_request(
         &self,
         job: &Job,
         placement: &Placement,
         last_event: Option<u64>,
     ) -> Request<FullBody> {
-        let mut fields = job.parts.headers.clone();
-        strip_hop_fields(&mut fields);
+        let mut headers = job.parts.headers.clone();
+        strip_hop_by_hop_headers(&mut headers);
         let attempt = AttemptHead {
             endpoint: placement.endpoint.clone(),
             remaining: job.expiry.saturating_sub(self.clock.now()),
             tenant: job.tenant.clone(),
             priority: job.priority,
-            engine: job.engine,
+            engine: job.is_engine,
             last_event: last_event.or(job.head.last_event),
         };
-        self.dialect.write_attempt(&mut fields, &attempt);
-        fields.remove(http::header::EXPECT);
-        let has_body = !job.body.is_empty() || fields.contains_key(http::header::CONTENT_LENGTH);
-        fields.remove(http::header::CONTENT_LENGTH);
+        self.dialect.write_attempt(&mut headers, &attempt);
+        headers.remove(http::header::EXPECT);
+        let has_body = !job.body.is_empty() || headers.contains_key(http::header::CONTENT_LENGTH);
+        headers.remove(http::header::CONTENT_LENGTH);
         if has_body {
-            fields.insert(http::header::CONTENT_LENGTH, job.body.len().into());
+            headers.insert(http::header::CONTENT_LENGTH, job.body.len().into());
         }
         let mut request = Request::new(FullBody::new(job.body.bytes()));
         *request.method_mut() = job.parts.method.clone();
         *request.uri_mut() = job.parts.uri.clone();
-        *request.headers_mut() = fields;
+        *request.headers_mut() = headers;
         request
     }
 
-    async fn declined(&self, mut run: Run<D>, read: &AnswerHead, body: Incoming) -> Attempted<D> {
-        run.judge(HealthSignal::Inconclusive);
-        let limited = Limited::new(body, MAX_REFUSAL);
+    async fn not_run_answer(
+        &self,
+        mut run: EndpointRun<D>,
+        read: &AnswerHead,
+        body: Incoming,
+    ) -> AttemptOutcome<D> {
+        run.set_health(HealthSignal::Inconclusive);
+        let limited = Limited::new(body, MAX_REFUSAL_BYTES);
         if limited.collect().await.is_ok() {
             run.finish(read.keep_alive);
         }
-        Attempted::NotRun
+        AttemptOutcome::NotRun
     }
 
     async fn whole_answer(
         self: &Rc<Self>,
         job: &SharedJob,
-        mut run: Run<D>,
+        mut run: EndpointRun<D>,
         mut head: response::Parts,
         read: AnswerHead,
         body: Incoming,
-    ) -> Attempted<D> {
+    ) -> AttemptOutcome<D> {
         let ran_for = self.clock.now().saturating_sub(run.sent_at);
         self.record_begun(job, ran_for);
-        let hold = job.caller.account.reservation(Kind::WholeAnswer);
-        let gathered = self.room.gather(body, hold, MAX_WHOLE_ANSWER, None).await;
+        let reservation = job.caller.account.reservation(Kind::WholeAnswer);
+        let gathered = self
+            .room
+            .gather(body, reservation, MAX_WHOLE_ANSWER_BYTES, None)
+            .await;
         let Ok(body) = gathered else {
-            run.judge(HealthSignal::Faulty);
-            self.look_after_cut(job, &run.placement).await;
-            return Attempted::Lost("the endpoint broke its answer off");
+            run.set_health(HealthSignal::Faulty);
+            self.check_after_interruption(job, &run.placement).await;
+            return AttemptOutcome::Lost("the endpoint broke its answer off");
         };
         let failed = head.status.is_server_error();
         if read.altered || (head.status.is_success() && !read.signed) {
-            run.judge(HealthSignal::Faulty);
-            return Attempted::Lost("the answer is not what the endpoint made");
+            run.set_health(HealthSignal::Faulty);
+            return AttemptOutcome::Lost("the answer is not what the endpoint made");
         }
-        run.first_token();
-        run.judge(match failed {
+        run.record_first_token();
+        run.set_health(match failed {
             true => HealthSignal::Faulty,
             false => HealthSignal::Healthy,
         });
         if !failed {
-            self.note_whole(job);
+            self.record_completed(job);
         }
         run.finish(read.keep_alive);
-        strip_hop_fields(&mut head.headers);
+        strip_hop_by_hop_headers(&mut head.headers);
         match failed {
-            true => Attempted::Failed { head, body },
-            false => Attempted::Answered(Reply::Whole { head, body }),
+            true => AttemptOutcome::Failed { head, body },
+            false => AttemptOutcome::Answered(EndpointAnswer::Whole { head, body }),
         }
     }
 
     async fn first_event(
         self: &Rc<Self>,
         job: &SharedJob,
-        run: Run<D>,
+        run: EndpointRun<D>,
         mut head: response::Parts,
         read: AnswerHead,
         body: Incoming,
-    ) -> Attempted<D> {
-        let mut events = EventRun {
+    ) -> AttemptOutcome<D> {
+        let mut events = EndpointStream {
             run,
             keep_alive: read.keep_alive,
             body,
@@ -310,41 +320,42 @@
             ready: VecDeque::new(),
         };
         if read.altered || !read.signed {
-            events.run.judge(HealthSignal::Faulty);
-            return Attempted::Lost("the answer is not what the endpoint made");
+            events.run.set_health(HealthSignal::Faulty);
+            return AttemptOutcome::Lost("the answer is not what the endpoint made");
         }
         match events.next().await {
             NextEvent::Event(first) => {
-                events.run.first_token();
+                events.run.record_first_token();
                 self.record_begun(job, Duration::ZERO);
-                strip_hop_fields(&mut head.headers);
-                Attempted::Answered(Reply::Events {
+                strip_hop_by_hop_headers(&mut head.headers);
+                AttemptOutcome::Answered(EndpointAnswer::Events {
                     head,
                     first,
                     events: Box::new(events),
                 })
             }
             end @ (NextEvent::End | NextEvent::Broken) => {
-                events.run.judge(HealthSignal::Faulty);
+                events.run.set_health(HealthSignal::Faulty);
                 if matches!(end, NextEvent::Broken) {
-                    self.look_after_cut(job, &events.run.placement).await;
+                    self.check_after_interruption(job, &events.run.placement)
+                        .await;
                 }
-                Attempted::Lost("the stream broke off before its first event")
+                AttemptOutcome::Lost("the stream broke off before its first event")
             }
         }
     }
 }
 
-fn strip_hop_fields(fields: &mut HeaderMap) {
-    let named: Vec<HeaderName> = fields
+fn strip_hop_by_hop_headers(headers: &mut HeaderMap) {
+    let listed: Vec<HeaderName> = headers
         .get_all(http::header::CONNECTION)
         .iter()
         .filter_map(|value| value.to_str().ok())
         .flat_map(|value| value.split(','))
         .filter_map(|name| name.trim().parse().ok())
         .collect();
-    for name in named.iter().chain(&HOP_FIELDS) {
-        fields.remove(name);
+    for name in listed.iter().chain(&HOP_BY_HOP_HEADERS) {
+        headers.remove(name);
     }
-    fields.remove(KEEP_ALIVE);
+    headers.remove(KEEP_ALIVE);
 }
--- a/components/gateway/src/connecting.rs
+++ b/components/gateway/src/connecting.rs
@@ -1,4 +1,4 @@
-//! The connection that an attempt goes over: one that rested, or a new one.
+//! Gets the connection of an attempt: an idle one or a new one.
 
 use std::time::Duration;
 
@@ -7,53 +7,53 @@
 use telemetry::Counter;
 use transport::Connection;
 
-use crate::attempt::Sending;
-use crate::endpoint_run::Run;
+use crate::attempt::SendOptions;
+use crate::connection_pool::ReserveError;
+use crate::endpoint_run::EndpointRun;
 use crate::job::Job;
-use crate::pool::Unopened;
 use crate::ports::Dialect;
 use crate::traffic::Traffic;
 
-/// Longest time that a new connection may take.
-const CONNECT_TIME: Duration = Duration::from_millis(400);
+/// Timeout of a connect.
+const CONNECT_TIMEOUT: Duration = Duration::from_millis(400);
 
-enum Reserved {
-    /// A connection that rested.
-    Rested(Connection),
-    /// One may be opened.
+enum ConnectionSource {
+    /// An idle connection of the pool.
+    Idle(Connection),
+    /// A connection can be opened.
     New,
-    /// None may be opened now.
+    /// No connection can be opened now.
     Full,
 }
 
 impl<D: Dialect + 'static> Traffic<D> {
-    /// Gives a run its connection; says whether there is one.
+    /// Gives a run its connection. Returns whether it got one.
     pub async fn connect(
         &self,
         job: &Job,
         placement: &Placement,
-        sending: Sending,
-        run: &mut Run<D>,
+        options: SendOptions,
+        run: &mut EndpointRun<D>,
     ) -> bool {
-        match self.reserve(job, placement, sending) {
-            Reserved::Rested(connection) => {
+        match self.connection_source(job, placement, options) {
+            ConnectionSource::Idle(connection) => {
                 run.connection = Some(connection);
-                run.reserved = true;
+                run.is_counted = true;
                 return true;
             }
-            Reserved::Full => {
-                run.judge(HealthSignal::Inconclusive);
+            ConnectionSource::Full => {
+                run.set_health(HealthSignal::Inconclusive);
                 return false;
             }
-            Reserved::New => run.reserved = true,
+            ConnectionSource::New => run.is_counted = true,
         }
-        match Connection::open(placement.address, CONNECT_TIME).await {
+        match Connection::open(placement.address, CONNECT_TIMEOUT).await {
             Ok(connection) => {
                 run.connection = Some(connection);
                 true
             }
             Err(error) => {
-                run.judge(HealthSignal::Unresponsive);
+                run.set_health(HealthSignal::Unresponsive);
                 info!(self.log, "endpoint unreachable"; "id" => &job.head.id,
                     "endpoint" => &placement.endpoint, "cause" => %error);
                 false
@@ -61,27 +61,32 @@
         }
     }
 
-    fn reserve(&self, job: &Job, placement: &Placement, sending: Sending) -> Reserved {
+    fn connection_source(
+        &self,
+        job: &Job,
+        placement: &Placement,
+        options: SendOptions,
+    ) -> ConnectionSource {
         let now = self.clock.now();
-        let most = self.max_endpoint_connections(job);
+        let max = self.max_endpoint_connections(job);
         let mut state = self.state.borrow_mut();
-        if sending.after_silence {
-            state.pool.forget(&placement.endpoint);
+        if options.after_unresponsive {
+            state.pool.drop_idle(&placement.endpoint);
         }
-        if let Some(connection) = state.pool.take(now, &placement.endpoint) {
-            return Reserved::Rested(connection);
+        if let Some(connection) = state.pool.take_idle(now, &placement.endpoint) {
+            return ConnectionSource::Idle(connection);
         }
-        let Err(cause) = state.pool.reserve(&placement.endpoint, most) else {
-            return Reserved::New;
+        let Err(cause) = state.pool.reserve(&placement.endpoint, max) else {
+            return ConnectionSource::New;
         };
         drop(state);
-        if cause == Unopened::NoMemory {
+        if cause == ReserveError::NoMemory {
             let ledger = self.room.ledger();
             self.metrics.count(Counter::MemoryRefused);
             warn!(self.log, "no connection to an endpoint for want of memory"; "id" => &job.head.id,
                 "endpoint" => &placement.endpoint, "held_in_all" => ledger.total(),
                 "budget" => ledger.budget().max_bytes);
         }
-        Reserved::Full
+        ConnectionSource::Full
     }
 }
--- a/components/gateway/src/decisions.rs
+++ b/components/gateway/src/decisions.rs
@@ -18,7 +18,7 @@
 use crate::job::Job;
 use crate::limit_reports::received_limits;
 use crate::peers::Fleet;
-use crate::replies::Replies;
+use crate::pending_replies::PendingReplies;
 use crate::sights::slowdown_of;
 use crate::traffic::Traffic;
 use crate::versions::RequestTraits;
@@ -47,7 +47,7 @@
 #[derive(Debug, Default)]
 pub(crate) struct DecisionQueries {
     socket: RefCell<Option<Rc<UdpSocket>>>,
-    replies: Replies<DecisionReply>,
+    replies: PendingReplies<DecisionReply>,
     unresponsive_until: RefCell<BTreeMap<SocketAddr, Duration>>,
 }
 
@@ -116,7 +116,7 @@
             if let Some(reply) = self.send_query(coordinator, query).await {
                 // A coordinator that has just started is alive, so this gateway need not follow all endpoints
                 // itself.
-                self.alone.decided(self.clock.now());
+                self.alone.record_decision(self.clock.now());
                 self.record_placed_limit(&reply);
                 match outcome_of(&reply)? {
                     Outcome::Starting => starting = Some(coordinator),
@@ -141,7 +141,7 @@
                 outcome,
             });
         }
-        self.alone.undecided(self.clock.now());
+        self.alone.record_no_decision(self.clock.now());
         None
     }
 
@@ -196,14 +196,14 @@
                 continue;
             };
             if let Some(reply) = message.reply {
-                self.decision_queries.replies.take(reply.number, reply);
+                self.decision_queries.replies.deliver(reply.number, reply);
             }
             if let Some(give_back) = message.give_back {
                 self.apply_give_back(&give_back);
             }
             self.apply_reported_sights(message.sights.as_ref());
             if let Some(reply) = message.send_reply {
-                self.send_queries.replies.take(reply.number, reply);
+                self.send_queries.replies.deliver(reply.number, reply);
             }
             let send_query = message.send_query.as_ref();
             if let Some(reply) = send_query.and_then(|query| self.answer_send(query)) {
@@ -226,7 +226,7 @@
     fn query(&self, job: &Job, tried: &[String], charged: bool) -> DecisionQuery {
         let parts = job.work.parts.iter();
         let excluded = tried.iter().map(|id| endpoint_hash(id) as i64);
-        let traits = job.asked();
+        let traits = job.request_traits();
         DecisionQuery {
             number: self.decision_queries.replies.next_number(),
             service_name: job.work.service.clone(),
@@ -284,14 +284,14 @@
             false => REPLY_TIMEOUT,
         };
         let number = query.number;
-        let reply = self.decision_queries.replies.expect(number);
+        let reply = self.decision_queries.replies.register(number);
         let message = Decision {
             query: Some(query),
             ..Decision::default()
         };
         self.send_decision(&message, coordinator).await;
         let replies = &self.decision_queries.replies;
-        replies.within(reply_timeout, number, reply).await
+        replies.wait(reply_timeout, number, reply).await
     }
 
     /// Sends one datagram. There is no retransmission: a query without a reply goes to the next coordinator.
--- a/components/gateway/src/endpoint_run.rs
+++ b/components/gateway/src/endpoint_run.rs
@@ -1,4 +1,4 @@
-//! A request under way at an endpoint, and what its end says.
+//! A request in flight at an endpoint, and the health signal that its end gives.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -10,123 +10,130 @@
 use crate::job::SharedJob;
 use crate::traffic::Traffic;
 
-/// Shortest time that answers are compared by in a roll-out, in seconds: below it the time is that of the way there and of
-/// busy processors. A new version gets a small part of the requests, so its connections rest between them and its quick
-/// answers come some ms later; without this, good versions of a service that answers within 1 ms were reverted in 4 of 8
-/// runs beside load.
-const SHORTEST_TIME_S: f64 = 0.02;
+/// Lower limit of the answer times that a roll-out compares, in seconds. Below it, network and processor load make up the
+/// time. A new version gets few requests, so its connections are idle in between and its quick answers take some ms
+/// longer. Without this limit, good versions of a service that answers within 1 ms were reverted in 4 of 8 runs under load.
+const MIN_COMPARED_TIME_S: f64 = 0.02;
 
-/// A request under way at an endpoint. Dropping it closes the connection, unless it was finished.
-pub(crate) struct Run<D> {
+/// A request in flight at an endpoint. Dropping it without [`finish`](Self::finish) closes the connection.
+pub(crate) struct EndpointRun<D> {
     pub traffic: Rc<Traffic<D>>,
     pub ticket: Ticket,
     pub connection: Option<Connection>,
-    /// Whether a connection is counted for it.
-    pub reserved: bool,
-    /// Whether the head of an answer came.
-    pub answered: bool,
-    pub verdict: Option<HealthSignal>,
+    /// Whether the connection pool counts a connection for it.
+    pub is_counted: bool,
+    /// Whether the head of an answer was received.
+    pub has_answer_head: bool,
+    pub health: Option<HealthSignal>,
     pub sent_at: Duration,
     pub placement: Placement,
     pub job: SharedJob,
 }
 
-impl<D> Run<D> {
-    /// Says how the endpoint did.
-    pub fn judge(&mut self, verdict: HealthSignal) {
-        self.verdict = Some(verdict);
+impl<D> EndpointRun<D> {
+    /// Sets the health signal that the run reports when it is dropped.
+    pub fn set_health(&mut self, health: HealthSignal) {
+        self.health = Some(health);
     }
 
-    /// The whole answer was read: the connection rests.
+    /// Returns the connection to the pool after the whole answer was read.
     pub fn finish(mut self, keep_alive: Option<Duration>) {
         if self.traffic.has_announced_leaving(&self.placement) {
-            // Dropped, the connection closes.
+            // The drop closes the connection.
             return;
         }
         let now = self.traffic.clock.now();
         if let Some(connection) = self.connection.take() {
-            self.reserved = false;
+            self.is_counted = false;
             let mut state = self.traffic.state.borrow_mut();
             state
                 .pool
-                .rest(now, &self.placement.endpoint, connection, keep_alive);
+                .put_idle(now, &self.placement.endpoint, connection, keep_alive);
         }
     }
 
-    /// Its first token, or its whole answer, came.
-    pub fn first_token(&mut self) {
+    /// Records that the first token, or the whole answer, was received.
+    pub fn record_first_token(&mut self) {
         let now = self.traffic.clock.now();
         let mut state = self.traffic.state.borrow_mut();
         state.balancer.first_token(now, &mut self.ticket);
     }
 
-    /// An event of its stream came.
-    pub fn event(&mut self) {
+    /// Records that an event of the stream was received.
+    pub fn record_event(&mut self) {
         let now = self.traffic.clock.now();
         let mut state = self.traffic.state.borrow_mut();
         state.balancer.event(now, &mut self.ticket);
     }
 
-    // What this run says of its endpoint's version, if a roll-out is under way. The time of an engine's answer is
-    // reported in parts of the time expected, since an endpoint of a new version has read no prompts yet.
-    fn evidence(&self, now: Duration, way: Duration, verdict: HealthSignal) -> Option<Answer> {
-        let took = now.saturating_sub(self.sent_at + way).as_secs_f64();
-        match verdict {
+    // Evidence of this run about its endpoint's version, for a roll-out under way. An engine's answer time is given relative
+    // to the expected time, since an endpoint of a new version has no prompts in its cache yet. `round_trip` is the round-trip
+    // time to the endpoint's region.
+    fn evidence(
+        &self,
+        now: Duration,
+        round_trip: Duration,
+        health: HealthSignal,
+    ) -> Option<Answer> {
+        let elapsed_s = now.saturating_sub(self.sent_at + round_trip).as_secs_f64();
+        match health {
             HealthSignal::Inconclusive => None,
             HealthSignal::Faulty | HealthSignal::Unresponsive => Some(Answer::Failed),
-            HealthSignal::Healthy if self.job.engine => {
-                let expected = self.placement.hold.as_secs_f64().max(SHORTEST_TIME_S);
-                Some(Answer::Complete(took / expected * 1000.0))
+            HealthSignal::Healthy if self.job.is_engine => {
+                let expected = self.placement.hold.as_secs_f64().max(MIN_COMPARED_TIME_S);
+                Some(Answer::Complete(elapsed_s / expected * 1000.0))
             }
-            HealthSignal::Healthy => Some(Answer::Complete(took.max(SHORTEST_TIME_S) * 1000.0)),
+            HealthSignal::Healthy => Some(Answer::Complete(
+                elapsed_s.max(MIN_COMPARED_TIME_S) * 1000.0,
+            )),
         }
     }
 
-    fn verdict_at_drop(&self, now: Duration) -> HealthSignal {
+    fn health_at_drop(&self, now: Duration) -> HealthSignal {
         let waited = now.saturating_sub(self.sent_at);
-        let given = self.job.expiry.saturating_sub(self.sent_at);
+        let timeout = self.job.expiry.saturating_sub(self.sent_at);
         let expected = Duration::from_secs_f64(self.placement.expected_ms / 1000.0);
-        match (self.verdict, self.answered) {
-            (Some(verdict), _) => verdict,
+        match (self.health, self.has_answer_head) {
+            (Some(health), _) => health,
             (None, true) if now >= self.job.expiry => HealthSignal::Faulty,
             (None, true) => HealthSignal::Inconclusive,
-            (None, false) => signal_without_answer(waited, expected, given),
+            (None, false) => signal_without_answer(waited, expected, timeout),
         }
     }
 }
 
-impl<D> Drop for Run<D> {
+impl<D> Drop for EndpointRun<D> {
     fn drop(&mut self) {
         let now = self.traffic.clock.now();
-        let verdict = self.verdict_at_drop(now);
+        let health = self.health_at_drop(now);
         let mut state = self.traffic.state.borrow_mut();
-        if self.job.engine {
+        if self.job.is_engine {
             let route = &self.job.route;
-            let whole = route.timeout.saturating_sub(route.target);
+            let max_duration = route.timeout.saturating_sub(route.target);
             state
                 .balancer
-                .stream_ended(now, &self.ticket, route.gap_target, whole);
+                .stream_ended(now, &self.ticket, route.gap_target, max_duration);
         }
-        state.balancer.ended(now, &self.ticket, verdict);
-        if verdict == HealthSignal::Unresponsive {
-            // Its other open connections may say nothing either.
-            state.pool.forget(&self.placement.endpoint);
+        state.balancer.ended(now, &self.ticket, health);
+        if health == HealthSignal::Unresponsive {
+            // The endpoint's other open connections may not respond either.
+            state.pool.drop_idle(&self.placement.endpoint);
         }
-        // The way to another region is none of the version's doing.
-        let way_ms = state
+        // The round trip to another region is not caused by the version.
+        let round_trip_ms = state
             .balancer
             .network_costs()
             .region_round_trip_ms(&self.placement.hall);
-        let way = Duration::from_secs_f64(way_ms / 1000.0);
-        if let Some(answer) = self.evidence(now, way, verdict) {
-            let (service, route) = (&self.job.work.service, self.job.asked().route);
+        let round_trip = Duration::from_secs_f64(round_trip_ms / 1000.0);
+        if let Some(answer) = self.evidence(now, round_trip, health) {
+            let (service, route) = (&self.job.work.service, self.job.request_traits().route);
             let reported = state
                 .gates
                 .answer_report(&self.placement, service, route, answer);
             state.tally.rollout_answers.extend(reported);
         }
-        if self.reserved {
-            state.pool.closed(&self.placement.endpoint);
+        if self.is_counted {
+            state.pool.record_closed(&self.placement.endpoint);
         }
     }
 }
--- a/components/gateway/src/gather.rs
+++ b/components/gateway/src/gather.rs
@@ -8,8 +8,8 @@
 use hyper::body::Incoming;
 use memory::Reservation;
 
-use crate::held::Gathered;
-use crate::room::Room;
+use crate::buffers::BufferedBody;
+use crate::memory_manager::MemoryManager;
 
 /// The buffer grows by at least its size divided by this, so that its contents are seldom moved.
 const GROWTH_DIVISOR: usize = 8;
@@ -25,7 +25,7 @@
     NoRoom(u64),
 }
 
-impl Room {
+impl MemoryManager {
     /// Reads a complete body of at most `max_bytes`. If memory is short, waits for it for the time that
     /// `wait_time` returns for the number of missing bytes, or without a limit if it is `None`. In that case,
     /// which is that of answers, the full length is reserved before the first read: otherwise partly read
@@ -36,7 +36,7 @@
         mut hold: Reservation,
         max_bytes: usize,
         wait_time: Option<&dyn Fn(u64) -> Duration>,
-    ) -> Result<Gathered, GatherError> {
+    ) -> Result<BufferedBody, GatherError> {
         let expected = body.size_hint().exact().map(|length| length as usize);
         if expected.is_some_and(|length| length > max_bytes) {
             return Err(GatherError::TooLarge);
@@ -78,9 +78,9 @@
         if expected.is_some_and(|expected| expected != bytes.len()) {
             return Err(GatherError::Broken);
         }
-        Ok(Gathered {
+        Ok(BufferedBody {
             bytes: Bytes::from(bytes),
-            hold,
+            reservation: hold,
         })
     }
 
--- a/components/gateway/src/handler.rs
+++ b/components/gateway/src/handler.rs
@@ -1,4 +1,4 @@
-//! From a caller's request to its final answer.
+//! Handles a caller's request up to its final answer.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -12,22 +12,22 @@
 use tokio::sync::mpsc;
 
 use crate::answer::{Answer, AnswerBody, Refusal};
-use crate::attempt::Reply;
+use crate::attempt::EndpointAnswer;
+use crate::buffers::HeldBytes;
 use crate::caller::Caller;
 use crate::decisions::Outcome;
-use crate::held::HeldBytes;
 use crate::job::{Job, Progress, SharedJob};
 use crate::placing::NoPlacement;
 use crate::ports::{CallerHead, Dialect};
 use crate::stream::Relay;
 use crate::traffic::Traffic;
 
-/// Longest time a request is held whose route is not known yet.
-pub(crate) const UNROUTED_TIME: Duration = Duration::from_secs(2);
-/// Longest time to come back when this gateway refused with its own part of a limit only: by then it is in touch with the
-/// others again, or others decide in their place (a gateway is silent after 1.5 s).
-const ALONE_RETRY: Duration = Duration::from_millis(1500);
-/// Time to come back, elsewhere, when this gateway stops.
+/// Deadline of a request whose route is not known yet, if the request names none.
+pub(crate) const UNROUTED_TIMEOUT: Duration = Duration::from_secs(2);
+/// Upper limit of the retry delay when this gateway refuses by its own part of a limit only. After it the gateway has
+/// contact with the coordinators again, or others have replaced them: a gateway counts as silent after 1.5 s.
+const MAX_ALONE_RETRY: Duration = Duration::from_millis(1500);
+/// Retry delay, at another gateway, when this one stops.
 const STOPPING_RETRY: Duration = Duration::from_millis(20);
 
 impl<D: Dialect + 'static> Traffic<D> {
@@ -40,13 +40,19 @@
             Ok(head) => head,
             Err(fault) => {
                 let refusal = Refusal::not_run(Kind::BadHeader, fault.0);
-                return self.refuse("", arrived, refusal.closing());
+                return self.refuse("", arrived, refusal.closing_connection());
             }
         };
         let id = head.id.clone();
         if self.freshness.is_closed(arrived) {
             let refusal = Refusal::not_run(Kind::Stopping, "the gateway stops");
-            return self.refuse(&id, arrived, refusal.after(STOPPING_RETRY).closing());
+            return self.refuse(
+                &id,
+                arrived,
+                refusal
+                    .with_retry_after(STOPPING_RETRY)
+                    .closing_connection(),
+            );
         }
         match self.serve(arrived, parts, head, body, caller).await {
             Ok(answer) => answer,
@@ -62,15 +68,15 @@
         body: Incoming,
         caller: Rc<Caller>,
     ) -> Result<Answer, Refusal> {
-        let read_by = arrived + head.deadline.unwrap_or(UNROUTED_TIME);
-        caller.asks(&head.id, read_by);
+        let read_by = arrived + head.deadline.unwrap_or(UNROUTED_TIMEOUT);
+        caller.set_request(&head.id, read_by);
         let body = self
             .read_body(&parts, &head, body, read_by, &caller)
             .await?;
         let job = self.admit(arrived, parts, head, body, caller)?;
         let job = Rc::new(job);
         let mut progress = Progress::default();
-        if let Some(refusal) = self.held_back(&job, &progress) {
+        if let Some(refusal) = self.quarantine_refusal(&job, &progress) {
             return Err(refusal);
         }
         let placed = self.charge(&job, &mut progress).await?;
@@ -78,12 +84,12 @@
         if served.is_err() && !progress.maybe_run {
             self.give_back(&job, &progress).await;
         }
-        let answer = self.reply(&job, progress, served?);
+        let answer = self.build_answer(&job, progress, served?);
         self.log_answer(&job, &answer);
         Ok(answer)
     }
 
-    // Takes the request's cost from its tenant's limit; a coordinator that does so places it as well.
+    // Charges the request to its tenant's limit. A coordinator that charges it also places it.
     async fn charge(
         &self,
         job: &Job,
@@ -97,8 +103,8 @@
                 match decided.outcome {
                     Outcome::Placed(placement) => placed = Some(placement),
                     Outcome::NoEndpoint | Outcome::LinkFull(_) => {}
-                    Outcome::OverLimit(wait) => return Err(over_limit(wait)),
-                    Outcome::Starting => return Err(starting()),
+                    Outcome::OverLimit(wait) => return Err(limit_refusal(wait)),
+                    Outcome::Starting => return Err(starting_refusal()),
                 }
             }
         }
@@ -113,8 +119,8 @@
         let now = self.clock.now();
         let mut state = self.state.borrow_mut();
         let tenant = job.tenant.as_deref().unwrap_or_default();
-        let longest = match state.fleet.is_alone() {
-            true => ALONE_RETRY,
+        let max_wait = match state.fleet.is_alone() {
+            true => MAX_ALONE_RETRY,
             false => Duration::MAX,
         };
         let Some(quota) = state.quotas.get_mut(tenant) else {
@@ -122,7 +128,7 @@
         };
         quota.take(now, job.cost, job.is_urgent()).map_err(|wait| {
             self.log_limit(now, &job.head.id, tenant, job.cost, &quota.state());
-            over_limit(wait.min(longest))
+            limit_refusal(wait.min(max_wait))
         })
     }
 
@@ -138,32 +144,37 @@
         state.give_back(now, tenant, job.cost);
     }
 
-    fn reply(self: &Rc<Self>, job: &SharedJob, progress: Progress, reply: Reply<D>) -> Answer {
-        match reply {
-            Reply::Whole { head, body } => {
-                let body = HeldBytes::counted(body.bytes, body.hold, &job.caller);
+    fn build_answer(
+        self: &Rc<Self>,
+        job: &SharedJob,
+        progress: Progress,
+        answer: EndpointAnswer<D>,
+    ) -> Answer {
+        match answer {
+            EndpointAnswer::Whole { head, body } => {
+                let body = HeldBytes::counted(body.bytes, body.reservation, &job.caller);
                 Response::from_parts(head, AnswerBody::whole(body))
             }
-            Reply::Events {
+            EndpointAnswer::Events {
                 head,
                 first,
                 events,
             } => {
-                // Bounded by what the pieces hold.
-                let (pieces, received) = mpsc::unbounded_channel();
-                let relay = Relay::new(self, job, progress, pieces);
+                // Bounded by the memory that its parts reserve.
+                let (parts_sender, parts_receiver) = mpsc::unbounded_channel();
+                let relay = Relay::new(self, job, progress, parts_sender);
                 tokio::task::spawn_local(relay.run(first, *events));
-                Response::from_parts(head, AnswerBody::stream(received))
+                Response::from_parts(head, AnswerBody::stream(parts_receiver))
             }
         }
     }
 
     fn log_answer(&self, job: &Job, answer: &Answer) {
-        let held = self.clock.now().saturating_sub(job.arrived);
-        self.metrics.time(Timer::FirstToken, held);
+        let elapsed = self.clock.now().saturating_sub(job.arrived);
+        self.metrics.time(Timer::FirstToken, elapsed);
         self.metrics.count(Counter::Done);
         info!(self.log, "answered"; "id" => &job.head.id, "route" => &job.route.name,
-            "status" => answer.status().as_u16(), "ms" => held.as_millis() as u64,
+            "status" => answer.status().as_u16(), "ms" => elapsed.as_millis() as u64,
             "tenant" => &job.tenant);
     }
 
@@ -181,12 +192,12 @@
     }
 }
 
-// Without a coordinator's decision nothing was charged, and there is no endpoint to go to.
-fn starting() -> Refusal {
+// The coordinators have just started, so nothing was charged and no endpoint chosen.
+fn starting_refusal() -> Refusal {
     let NoPlacement { cause, wait } = NoPlacement::STARTING;
-    Refusal::not_run(Kind::PlatformUnavailable, cause).after(wait)
+    Refusal::not_run(Kind::PlatformUnavailable, cause).with_retry_after(wait)
 }
 
-fn over_limit(wait: Duration) -> Refusal {
-    Refusal::not_run(Kind::TeamLimit, "the tenant's limit is used up").after(wait)
+fn limit_refusal(wait: Duration) -> Refusal {
+    Refusal::not_run(Kind::TeamLimit, "the tenant's limit is used up").with_retry_after(wait)
 }
--- /dev/null
+++ b/components/gateway/src/interrupted.rs
@@ -0,0 +1,161 @@
+//! Finds out whether an endpoint ended when it interrupted an answer.
+
+use std::collections::VecDeque;
+use std::rc::Rc;
+use std::time::Duration;
+
+use quarantine::Fingerprint;
+use routing::placement::Placement;
+use slog::info;
+use telemetry::Counter;
+use tokio::task::JoinHandle;
+use transport::Connection;
+
+use crate::job::SharedJob;
+use crate::ports::Dialect;
+use crate::traffic::Traffic;
+
+/// Connect timeout of the check. An endpoint that closed connections and accepts no new one counts as ended.
+const CHECK_CONNECT_TIMEOUT: Duration = Duration::from_millis(400);
+/// Time that the next attempt waits for the check. The VM of an ended endpoint refuses a connection within one round trip.
+const CHECK_WAIT: Duration = Duration::from_millis(100);
+/// Keep-alive time assumed for the connection of a check, on which nothing was sent: long enough for the next request,
+/// short enough that the endpoint doesn't close it during one.
+const CHECK_KEEP_ALIVE: Duration = Duration::from_secs(1);
+/// Time after an endpoint's end within which its record shows the restart: some seconds until it runs, and the delay of the
+/// store.
+const RESTART_RECORD_TIME: Duration = Duration::from_secs(10);
+/// Maximum number of interrupted runs kept; the oldest are dropped first.
+const MAX_RUNS: usize = 512;
+
+/// Runs that were interrupted by an endpoint that still accepted connections, for as long as its restart may be reported.
+#[derive(Debug, Default)]
+pub(crate) struct InterruptedRuns {
+    runs: VecDeque<InterruptedRun>,
+}
+
+#[derive(Debug)]
+struct InterruptedRun {
+    content: Fingerprint,
+    incarnation: u64,
+    at: Duration,
+}
+
+impl InterruptedRuns {
+    fn add(&mut self, now: Duration, content: Fingerprint, incarnation: u64) {
+        self.runs.retain(|run| now < run.at + RESTART_RECORD_TIME);
+        if self.runs.len() >= MAX_RUNS {
+            self.runs.pop_front();
+        }
+        self.runs.push_back(InterruptedRun {
+            content,
+            incarnation,
+            at: now,
+        });
+    }
+
+    // Removes the runs of an ended process and returns their contents.
+    fn remove(&mut self, now: Duration, incarnation: u64) -> Vec<Fingerprint> {
+        let is_of_process = |run: &InterruptedRun| {
+            run.incarnation == incarnation && now < run.at + RESTART_RECORD_TIME
+        };
+        let found = self.runs.iter().filter(|run| is_of_process(run));
+        let contents = found.map(|run| run.content).collect();
+        self.runs.retain(|run| run.incarnation != incarnation);
+        contents
+    }
+}
+
+impl<D> Traffic<D> {
+    /// Records that an endpoint's process with this incarnation has ended, as its record shows.
+    pub fn record_restart(&self, now: Duration, incarnation: u64) {
+        self.metrics.count(Counter::Restarts);
+        self.endpoint_restarted.notify_waiters();
+        let contents = self.state.borrow_mut().cuts.remove(now, incarnation);
+        for content in contents {
+            self.record_endpoint_end(content, incarnation);
+        }
+    }
+
+    /// Waits until the endpoint of a placement is known to have restarted. Its runs are lost then, even if the connection
+    /// reports nothing.
+    pub async fn wait_for_restart(&self, placement: &Placement) {
+        loop {
+            let changed = self.endpoint_restarted.notified();
+            if self.has_restarted(placement) {
+                return;
+            }
+            changed.await;
+        }
+    }
+
+    fn has_restarted(&self, placement: &Placement) -> bool {
+        self.state.borrow().balancer.has_restarted_since(placement)
+    }
+}
+
+impl<D: Dialect + 'static> Traffic<D> {
+    /// Checks whether an endpoint that interrupted an answer has ended. The check runs on if the caller disconnects; the
+    /// next attempt waits up to `CHECK_WAIT` for it.
+    pub async fn check_after_interruption(self: &Rc<Self>, job: &SharedJob, placement: &Placement) {
+        let check = self.spawn_check(job, placement);
+        // A slower check goes on in the background.
+        let _ = tokio::time::timeout(CHECK_WAIT, check).await;
+    }
+
+    fn spawn_check(self: &Rc<Self>, job: &SharedJob, placement: &Placement) -> JoinHandle<()> {
+        let (traffic, job, placement) = (Rc::clone(self), Rc::clone(job), placement.clone());
+        tokio::task::spawn_local(async move {
+            if traffic.was_leaving(&placement) {
+                return;
+            }
+            let has_ended = match traffic.has_restarted(&placement) {
+                true => Some(true),
+                false => traffic.refuses_connections(&job, &placement).await,
+            };
+            info!(traffic.log, "endpoint cut an answer off"; "id" => &job.head.id, "content" => %job.content,
+                "endpoint" => &placement.endpoint, "endpoint_ended" => has_ended);
+            if has_ended == Some(true) {
+                return traffic.record_endpoint_end(job.content, placement.incarnation);
+            }
+            // The endpoint may already have restarted.
+            let now = traffic.clock.now();
+            let mut state = traffic.state.borrow_mut();
+            state.cuts.add(now, job.content, placement.incarnation);
+        })
+    }
+
+    // Whether the endpoint accepts no new connection; `None` if the pool allows none.
+    async fn refuses_connections(&self, job: &SharedJob, placement: &Placement) -> Option<bool> {
+        let max = self.max_endpoint_connections(job);
+        let endpoint = &placement.endpoint;
+        let reserved = self.state.borrow_mut().pool.reserve(endpoint, max);
+        reserved.ok()?;
+        let opened = Connection::open(placement.address, CHECK_CONNECT_TIMEOUT).await;
+        let now = self.clock.now();
+        let mut state = self.state.borrow_mut();
+        match opened {
+            Ok(connection) => {
+                state
+                    .pool
+                    .put_idle(now, endpoint, connection, Some(CHECK_KEEP_ALIVE));
+                Some(false)
+            }
+            Err(_) => {
+                state.pool.record_closed(endpoint);
+                Some(true)
+            }
+        }
+    }
+
+    // Whether the endpoint announced that it leaves, in an answer or in its record, or its record is gone: then its end isn't
+    // caused by what it ran. A gateway that doesn't follow endpoints doesn't know the record.
+    fn was_leaving(&self, placement: &Placement) -> bool {
+        if self.has_announced_leaving(placement) {
+            return true;
+        }
+        let state = self.state.borrow();
+        let known = state.balancer.endpoint(&placement.endpoint);
+        state.endpoints_known && !known.is_some_and(|known| known.is_ready())
+    }
+}
--- a/components/gateway/src/sends.rs
+++ b/components/gateway/src/sends.rs
@@ -20,7 +20,7 @@
 use crate::decisions::{placed_of, OTHER_REGION_REPLY_TIMEOUT, REPLY_TIMEOUT};
 use crate::job::{Job, Progress};
 use crate::limit_reports::{received_limit, report_of_limit};
-use crate::replies::Replies;
+use crate::pending_replies::PendingReplies;
 use crate::state::State;
 use crate::traffic::Traffic;
 
@@ -35,7 +35,7 @@
 /// Send queries without a reply yet, and the keepers that coordinators reported.
 #[derive(Debug)]
 pub(crate) struct SendQueries {
-    pub replies: Replies<SendReply>,
+    pub replies: PendingReplies<SendReply>,
     // By the endpoint's incarnation hash. At most as many as there can be accounts.
     keepers: RefCell<LruCache<u64, SocketAddr>>,
 }
@@ -43,7 +43,7 @@
 impl Default for SendQueries {
     fn default() -> Self {
         SendQueries {
-            replies: Replies::default(),
+            replies: PendingReplies::default(),
             keepers: RefCell::new(LruCache::unbounded()),
         }
     }
@@ -238,13 +238,13 @@
             send_query: Some(query),
             ..Decision::default()
         };
-        let reply = replies.expect(number);
+        let reply = replies.register(number);
         self.send_decision(&message, keeper).await;
         let reply_timeout = match self.is_in_other_region(&placement.hall) {
             true => OTHER_REGION_REPLY_TIMEOUT,
             false => REPLY_TIMEOUT,
         };
-        let Some(reply) = replies.within(reply_timeout, number, reply).await else {
+        let Some(reply) = replies.wait(reply_timeout, number, reply).await else {
             return Err(KEEPER_RETRY_DELAY);
         };
         let now = self.clock.now();
--- a/components/gateway/src/state.rs
+++ b/components/gateway/src/state.rs
@@ -15,10 +15,10 @@
 use schema::settings::GatewaySettings;
 use topology::Topology;
 
-use crate::cut::Cuts;
+use crate::connection_pool::ConnectionPool;
+use crate::interrupted::InterruptedRuns;
 use crate::link_parts::link_parts;
 use crate::peers::Fleet;
-use crate::pool::Pool;
 use crate::tally::{SentRequest, ServiceLoad, Tally};
 use crate::versions::{RequestTraits, RolloutGates};
 
@@ -29,7 +29,7 @@
     // Whether the balancer has all endpoints.
     pub endpoints_known: bool,
     pub directory: Option<Rc<Directory>>,
-    pub pool: Pool,
+    pub pool: ConnectionPool,
     pub quotas: BTreeMap<String, SharedQuota>,
     pub retry_budgets: BTreeMap<String, RetryBudget>,
     pub tally: Tally,
@@ -40,7 +40,7 @@
     pub settings: Arc<GatewaySettings>,
     pub gates: RolloutGates,
     pub quarantine: Quarantine,
-    pub cuts: Cuts,
+    pub cuts: InterruptedRuns,
     /// Send accounts that this gateway keeps, of endpoints with a stated limit.
     pub accounts: SendAccounts,
 }
@@ -52,7 +52,7 @@
             balancer: balancer_of(&settings),
             endpoints_known: false,
             directory: None,
-            pool: Pool::new(ledger),
+            pool: ConnectionPool::new(ledger),
             quotas: BTreeMap::new(),
             retry_budgets: BTreeMap::new(),
             tally: Tally::default(),
@@ -62,7 +62,7 @@
             settings,
             gates: RolloutGates::default(),
             quarantine: Quarantine::default(),
-            cuts: Cuts::default(),
+            cuts: InterruptedRuns::default(),
             accounts: SendAccounts::default(),
         };
         state.set_link_parts(Duration::ZERO);
