--- a/components/gateway/src/control.rs
+++ b/components/gateway/src/control.rs
@@ -1,4 +1,4 @@
-//! The control thread: what it knows, and the tasks that work on it.
+//! The control thread of a gateway: its state and the tasks that share it.
 
 mod accounts;
 mod carrying;
@@ -52,22 +52,22 @@
 use crate::tally::Tally;
 use crate::update::Update;
 
-/// Pause between looks at signals, peers and the lease.
+/// Pause between checks of signals, peers and the lease.
 const TICK: Duration = Duration::from_millis(100);
-/// Pause between looks at the settings file when no signal says that it changed.
+/// Pause between reads of the settings file when no signal asks for one.
 const SETTINGS_LOOK: Duration = Duration::from_secs(1);
 
-/// Sockets over which gateways talk to each other.
+/// Sockets for the exchange with other gateways.
 pub(crate) struct PeerSockets {
-    /// For gossip.
+    /// Gossip datagrams.
     pub gossip: UdpSocket,
-    /// For rows.
+    /// Queries for rows.
     pub rows: TcpListener,
-    /// Address of both.
+    /// Address of both sockets.
     pub address: SocketAddr,
 }
 
-/// What a control thread is made of.
+/// Inputs of a control thread.
 pub(crate) struct ControlParts {
     pub sockets: PeerSockets,
     pub settings: Arc<GatewaySettings>,
@@ -80,18 +80,18 @@
     pub log: Logger,
     pub updates: flume::Sender<Update>,
     pub tallies: flume::Receiver<Tally>,
-    /// Port at which the traffic thread decides for others.
+    /// Port on which the traffic thread answers placement queries of other gateways.
     pub decisions_port: u16,
 }
 
-/// The control thread before it runs.
+/// A control thread that does not run yet.
 pub(crate) struct Control {
     parts: ControlParts,
     source: Source,
     known: Known,
 }
 
-/// What the tasks of the control thread share.
+/// State that the tasks of the control thread share.
 pub(crate) struct Shared<S, O> {
     pub clock: Clock,
     pub freshness: Arc<Freshness>,
@@ -102,13 +102,14 @@
     pub source: Source,
     pub peer_address: SocketAddr,
     pub decisions_port: u16,
-    /// Point of this gateway, 0 to 1, where all would do the same at once.
+    /// Fraction from 0 to 1, derived from this gateway's name, that staggers actions which all gateways would
+    /// otherwise take at the same time.
     pub spread: f64,
-    /// Something is to be reported to the other gateways at once.
+    /// Signals that the other gateways are to be told something at once.
     pub urgent: Notify,
-    /// An endpoint does not take work any more.
+    /// Signals that an endpoint no longer takes work.
     pub endpoint_lost: Notify,
-    /// The store answered with rows.
+    /// Signals that the store answered with rows.
     pub store_answers: Notify,
     pub started_wall: Duration,
     pub known: RefCell<Known>,
@@ -138,7 +139,7 @@
         }
     }
 
-    /// Runs until the process ends.
+    /// Runs the tasks until the process ends.
     pub fn run<S: Store + 'static, O: Orders + 'static>(
         self,
         store: impl FnOnce() -> S,
@@ -247,7 +248,8 @@
         }
     }
 
-    // Without this four windows of usage were missed on a day on which half of the clocks jumped (one run), with it none.
+    // Corrects jumps of the wall clock. In a run without this correction, with half of the clocks jumping
+    // within a day, four usage windows were missed; with it, none.
     fn look_at_day(&self, now: Duration) {
         let reading_us = self.clock.day_reading_us();
         let look = self.known.borrow_mut().day.look(now, reading_us);
@@ -260,7 +262,8 @@
         }
     }
 
-    // What is known here is older than the runtime's timers say.
+    // During a suspension the runtime's timers stand still, so all state is older than they show: every topic
+    // is polled and the peers are informed at once.
     fn note_suspension(&self, time: Duration) {
         self.metrics.count(Counter::Suspensions);
         warn!(self.log, "the VM was suspended"; "ms" => time.as_millis() as u64);
@@ -311,7 +314,7 @@
         let watches = known.watches_store(now);
         if watches != known.watches {
             known.watches = watches;
-            // A rest is as long as others are to bring changes; now this gateway is.
+            // The current wait is long because other gateways read the store; now this one does.
             let followed = known.followed.values();
             followed.for_each(|followed| followed.wake.notify_one());
         }
--- a/components/gateway/src/control/accounts.rs
+++ b/components/gateway/src/control/accounts.rs
@@ -1,4 +1,4 @@
-//! What was read from the store, as operators see it.
+//! Logs and counts reads of the store for operators.
 
 use std::time::Duration;
 
@@ -10,7 +10,7 @@
 use crate::ports::{Orders, Store, Topic};
 
 impl<S: Store + 'static, O: Orders + 'static> Shared<S, O> {
-    /// A whole topic, or its part for one data hall, was read from the store.
+    /// Logs and counts the read of a whole topic, or of its part for one data hall.
     pub fn note_list(&self, topic: Topic, sent: Duration, list: &ReadList) {
         let took = self.clock.now().saturating_sub(sent);
         self.metrics.add(Counter::StoreRepeats, list.repeats.into());
@@ -20,7 +20,7 @@
             "repeats" => list.repeats, "time_ms" => took.as_millis() as u64);
     }
 
-    /// Bytes of rows that came from the store.
+    /// Counts bytes of rows read from the store.
     pub fn count_bytes(&self, topic: Topic, bytes: usize) {
         let counter = match topic {
             Topic::Configuration => Counter::StoreConfigurationBytes,
--- a/components/gateway/src/control/carrying.rs
+++ b/components/gateway/src/control/carrying.rs
@@ -1,7 +1,7 @@
-//! Carrying roll-outs out, by whoever holds the lease.
+//! Execution of roll-outs by the holder of the lease.
 //!
-//! The decision is written into a row of the gateways' own under a condition before anything follows from it, so
-//! that whoever holds the lease next goes on with it and never decides twice; then the operator's row follows.
+//! The decision is written with compare-and-set to a row of the gateways before it takes effect, so a later
+//! holder continues with it and never decides twice. The operator's status row is written afterwards.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -18,23 +18,23 @@
 use crate::update::Update;
 use crate::versions::{is_lost_when_cut, route_hash};
 
-/// Pause between looks at the orders.
+/// Pause between checks of the orders.
 const ROLLOUT_LOOK: Duration = Duration::from_millis(100);
-/// Pause after a call of the store without a result.
+/// Pause after a failed call of the store.
 const FAILED_PAUSE: Duration = Duration::from_millis(500);
-/// Of the time of the slowest call of the store, so much is kept at each further call.
+/// Factor by which the recorded time of the slowest store call decays at each further call.
 const CALL_TIME_KEPT: f64 = 0.7;
 
 enum Work {
-    // The rows are to be read first.
+    // Read the rows.
     Load,
     Step(Step),
-    // The operator's row is to be written.
+    // Write the operator's status row.
     Status(Option<Decision>),
 }
 
 impl<S: Store + 'static, O: Orders + 'static> Shared<S, O> {
-    /// Carries orders out until the process ends, whenever this gateway holds the lease.
+    /// Carries out orders until the process ends, whenever this gateway holds the lease.
     pub async fn keep_rollouts(self: Rc<Self>) {
         loop {
             tokio::time::sleep(ROLLOUT_LOOK).await;
@@ -82,7 +82,7 @@
             return Some(Work::Status(carried.decision));
         }
         if let Some(decision) = carried.decision {
-            // A decision holds once it was reported.
+            // A decision takes effect only once it is reported.
             let is_reported = ordered.decision().is_some();
             let report = Work::Step(Step::Tell(Stage::Decided(decision)));
             return (!is_reported).then_some(report);
@@ -125,7 +125,7 @@
         }
     }
 
-    /// Takes what another gateway reported a roll-out.
+    /// Applies the roll-out stages that another gateway reported.
     pub fn receive_rollouts(&self, gossip: &Gossip) {
         let now = self.clock.now();
         for reported in gossip.rollouts.iter().flatten() {
@@ -168,7 +168,7 @@
         }
     }
 
-    // Reads what earlier holders wrote, and says that the order was seen.
+    // Reads what earlier holders wrote, and writes the first row of the order if there is none.
     async fn load(&self, service: &str) {
         let Some((order, stamp)) = self.order_of(service) else {
             return;
@@ -255,7 +255,7 @@
         }
     }
 
-    // Whether the decision is written.
+    // Records the result of a write. Returns whether the decision is written.
     fn note_decision(
         &self,
         service: &str,
@@ -273,7 +273,7 @@
                 true
             }
             (written, _) => {
-                // Whether it was written, and what another holder wrote, is read again.
+                // The rows are read again, as the write may have succeeded or another holder may have written.
                 warn!(self.log, "decision of a roll-out not written"; "service" => service,
                     "written" => ?written);
                 ordered.carried = None;
@@ -282,7 +282,7 @@
         }
     }
 
-    // The route that decided, as operators know it.
+    // Name of the route on which the decision is based.
     fn route_name(&self, hash: Option<u64>) -> Option<String> {
         let known = self.known.borrow();
         let mut routes = known.configuration.as_ref()?.routes.iter();
@@ -351,13 +351,13 @@
                 value: wanted.value,
             }),
             Err(StoreError::Conflict(row)) => Some(status_of(row)),
-            // Refused: it stands as it was.
+            // The store refused the write, so the row is unchanged.
             Err(StoreError::Refused) => carried.status.take(),
             Err(_) => None,
         };
     }
 
-    // Revision of the operator's row, while this gateway carries the order out and has read it.
+    // Revision of the operator's status row, if this gateway carries out the order and has read the row.
     fn status_revision(&self, service: &str) -> Option<Revision> {
         let known = self.known.borrow();
         let ordered = known.rollouts.orders.get(service)?;
@@ -376,7 +376,7 @@
         Some((ordered.order.clone(), ordered.stamp))
     }
 
-    // Notes how long a call of the store took.
+    // Awaits a call of the store and records how long it took.
     async fn timed<T>(&self, service: &str, call: impl std::future::Future<Output = T>) -> T {
         let began = self.clock.now();
         let result = call.await;
@@ -391,7 +391,7 @@
 }
 
 impl Known {
-    // Answers on routes whose runs are lost when their endpoint ends.
+    // Count of answers on routes whose requests are lost when their endpoint ends.
     fn answers_lost_when_cut(&self, evidence: &Evidence) -> u64 {
         let configuration = self.configuration.iter();
         let routes = configuration.flat_map(|configuration| &configuration.routes);
@@ -403,7 +403,7 @@
     }
 }
 
-// Expected revision for the next write of the row.
+// Revision that the next write of the row expects.
 fn expected_revision(read: &ReadRow) -> Revision {
     let row = read.row.as_ref();
     row.map_or(Revision::ABSENT, |row| row.revision)
--- a/components/gateway/src/control/deflated.rs
+++ b/components/gateway/src/control/deflated.rs
@@ -1,5 +1,5 @@
-//! Rows between gateways, deflated: a configuration names the same fields in each route and team, and shrinks to a third
-//! or less, so that it need not come from the store for each gateway of a hall.
+//! Compression of row replies between gateways. A configuration repeats the same field names in each route and
+//! team and shrinks to a third or less, so that not every gateway of a hall has to read it from the store.
 
 use std::io::{Read, Write};
 
@@ -10,20 +10,19 @@
 use schema::messages::RowsReply;
 use schema::MAX_ENCODED_BYTES;
 
-/// Shorter replies fit into a few packets as they are.
+/// Smaller replies fit into a few packets without compression.
 const LEAST_BYTES: usize = 4 << 10;
 
-/// A reply as it is sent.
+/// An encoded reply.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Encoded {
-    /// Its bytes.
     pub bytes: Bytes,
-    /// Whether they are deflated.
+    /// Whether the bytes are deflated.
     pub is_deflated: bool,
 }
 
 impl Encoded {
-    /// As it is.
+    /// A reply without compression.
     pub fn plain(bytes: Vec<u8>) -> Self {
         Encoded {
             bytes: bytes.into(),
@@ -31,7 +30,7 @@
         }
     }
 
-    // Deflated where that is worth its processor time.
+    // A reply that is deflated if it is long enough to be worth the CPU time, and if that makes it shorter.
     fn deflated(bytes: Vec<u8>) -> Self {
         if bytes.len() < LEAST_BYTES {
             return Encoded::plain(bytes);
@@ -48,15 +47,16 @@
     }
 }
 
-/// The reply that was deflated last: all gateways of a hall ask for the same change within a moment, and a small VM takes
-/// some ms to deflate it.
+/// Cache of the reply that was deflated last: all gateways of a hall request the same change at almost the same
+/// time, and deflating it takes a small VM some ms.
 #[derive(Debug, Default)]
 pub struct LastDeflated {
     last: Option<(RowsReply, Encoded)>,
 }
 
 impl LastDeflated {
-    /// A reply, encoded. One with the same rows as the last is sent as that was: it tells of no later revision than today's.
+    /// Encodes a reply. If it has the same rows as the cached one and no lower revision, the cached one is
+    /// returned: it claims no later revision than the current one. `None` if the reply cannot be encoded.
     pub fn reply(&mut self, reply: RowsReply) -> Option<Encoded> {
         if let Some((last, encoded)) = &self.last {
             if has_same_rows(last, &reply) && last.known_to <= reply.known_to {
@@ -78,7 +78,7 @@
         && one.era == other.era
 }
 
-/// The reply that was deflated; `None` if it was not, or is larger than any may be.
+/// Decompresses a reply; `None` if it is malformed or larger than `MAX_ENCODED_BYTES`.
 pub fn inflate(bytes: &[u8]) -> Option<Vec<u8>> {
     let mut inflated = Vec::new();
     let most = MAX_ENCODED_BYTES as u64 + 1;
--- a/components/gateway/src/control/echoes.rs
+++ b/components/gateway/src/control/echoes.rs
@@ -1,7 +1,7 @@
-//! How long messages between coordinators take, from echoes of the times at which they were sent.
+//! Round-trip times between coordinators, measured by echoing the send times of their messages.
 //!
-//! Each message says when one message of one other coordinator came, the next one when one of another did. So no message
-//! is sent for measuring, and clocks of two processes are never compared. Pure.
+//! Each message echoes the latest message of one other coordinator, in turn. So no message is sent only to
+//! measure, and the clocks of two processes are never compared. Does no I/O.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -9,23 +9,23 @@
 use routing::weight;
 use schema::messages::Echo;
 
-/// A message that came longer ago is not echoed: as long as its sender counts as alive.
+/// Age after which a message is no longer echoed: the time for which its sender counts as alive.
 const LONGEST_HELD: Duration = Duration::from_millis(1500);
-/// Longer ways count as this long: a message behind a full link, which must not be taken for a short way, or one to a
-/// process that stood still.
+/// Upper limit of a measured round-trip time. A message may be queued behind a full link or sent to a suspended
+/// process; such a measurement must not be taken for a short round trip, so it is capped and not dropped.
 const LONGEST_WAY: Duration = Duration::from_secs(2);
 
-/// Newest messages of other coordinators.
+/// Latest messages of the other coordinators.
 #[derive(Debug, Default)]
 pub struct Echoes {
-    // When it was sent on the sender's clock, and when it came.
+    // By gateway: the send time on the sender's clock in ms, and the time of receipt.
     received: BTreeMap<String, (i64, Duration)>,
-    // Whose message was echoed last.
+    // Gateway whose message was echoed last.
     last: String,
 }
 
 impl Echoes {
-    /// A message of a coordinator came, sent at `uptime_ms` on its clock.
+    /// Records a message of a coordinator, sent at `uptime_ms` on its clock.
     pub fn receive(&mut self, now: Duration, gateway: &str, uptime_ms: i64) {
         self.received.insert(gateway.to_string(), (uptime_ms, now));
     }
@@ -48,7 +48,7 @@
     }
 }
 
-/// Time that a message to another gateway and its echo took, if it was one of `own`.
+/// Round-trip time that an echo shows, if it is of a message of the gateway `own`.
 pub fn round_trip(now: Duration, own: &str, echo: &Echo) -> Option<Duration> {
     if echo.gateway != name_hash(own) {
         return None;
--- a/components/gateway/src/control/engines.rs
+++ b/components/gateway/src/control/engines.rs
@@ -1,6 +1,7 @@
-//! What coordinators tell each other of the engines that they saw.
+//! Exchange of engine statistics between coordinators.
 //!
-//! Whoever takes the lease has heard of all of them, and knows the law of the engines at once.
+//! The next holder of the lease already has the statistics of all coordinators and can estimate the engines'
+//! performance at once.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -10,12 +11,13 @@
 
 use crate::control::Known;
 
-/// Messages to coordinators of which one holds what was seen of engines: some 300 bytes for a service.
+/// One in this many messages to coordinators holds engine statistics, which take some 300 bytes per service.
 const REPORT_EVERY: u32 = 3;
-/// Services of one message at most, so that it fits into one datagram.
+/// Upper limit of services in one message, so that it fits into one datagram.
 const MOST_SERVICES: usize = 2;
 
-/// What other coordinators saw of engines, and when it is this one's turn to tell.
+/// Engine statistics of the other coordinators, and the count of messages that decides when this one's are
+/// sent.
 #[derive(Debug, Default)]
 pub(crate) struct Engines {
     reports: PeerReports,
@@ -23,7 +25,7 @@
 }
 
 impl Engines {
-    /// Takes what another gateway said.
+    /// Records the statistics in another gateway's message.
     pub fn receive(&mut self, now: Duration, gossip: &Gossip) {
         let Some(reports) = &gossip.engines else {
             return;
@@ -36,7 +38,7 @@
 }
 
 impl Known {
-    /// What all gateways together saw of a service's engines, as far as it is known here.
+    /// Statistics of a service's engines, merged over all gateways that reported any.
     pub fn learnt_of(&self, service: &str) -> EngineStats {
         let own = self.loads.get(service).map(|load| load.learnt);
         self.engines
@@ -44,7 +46,7 @@
             .merged_with(own.unwrap_or_default(), service)
     }
 
-    /// What was seen here, for a message to coordinators; nothing in most of them.
+    /// This gateway's statistics for a message to coordinators; `None` for most messages.
     pub fn engine_reports(&mut self) -> Option<Vec<EngineReport>> {
         self.engines.messages = self.engines.messages.wrapping_add(1);
         if self.engines.messages % REPORT_EVERY != 1 {
--- a/components/gateway/src/control/exchange.rs
+++ b/components/gateway/src/control/exchange.rs
@@ -1,4 +1,4 @@
-//! Messages between gateways, and how they find each other.
+//! Gossip with the other gateways, and the discovery of their addresses.
 
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -24,17 +24,17 @@
 use crate::traffic::LONG_PROMPT_TOKENS;
 use crate::update::Update;
 
-/// Largest datagram that is read, in bytes.
+/// Size limit of a received datagram, in bytes.
 const MAX_DATAGRAM: usize = 8192;
-/// Pause after a failed call of the store; it doubles twice.
+/// Pause after a failed store call; it doubles up to twice.
 const FAILED_PAUSE: Duration = Duration::from_millis(300);
 /// Rate at which all gateways together rewrite their rows after a restore: half of the store's write capacity.
 const ROW_REWRITES_PER_S: f64 = 200.0;
-/// Pause between looks at whether further parts of the list are needed.
+/// Pause between checks of whether further parts of the list are needed.
 const LIST_LOOK: Duration = Duration::from_millis(100);
 
 impl<S: Store + 'static, O: Orders + 'static> Shared<S, O> {
-    /// Writes this gateway's row and learns of the others'.
+    /// Writes this gateway's row and reads the list of the others.
     pub async fn announce(self: Rc<Self>) {
         self.write_own_row().await;
         let by_halls = self.known.borrow().topology.has_several_halls();
@@ -44,8 +44,8 @@
         }
     }
 
-    /// Rewrites this gateway's row, which a restored store may lack: gateways that start later would not find this one.
-    /// The rewrites of all gateways are spread over a period proportional to their number.
+    /// Rewrites this gateway's row, which a restored store may lack: gateways that start later would not find
+    /// this one. The rewrites of all gateways are spread over a period proportional to their number.
     pub async fn rewrite_own_row(self: Rc<Self>) {
         let gateways = self.known.borrow().fleet.gateways;
         let period = Duration::from_secs_f64(gateways as f64 / ROW_REWRITES_PER_S);
@@ -121,7 +121,8 @@
         let rows = list.rows.rows.iter();
         let listed = rows.filter_map(|row| gossip::listed_of(&row.key, row.value.as_deref()?));
         let mut known = self.known.borrow_mut();
-        // Whoever does not read the other topics itself needs the store's time, to take confirmations of others.
+        // A gateway that does not read the other topics from the store needs the store's time to apply
+        // confirmations of other gateways.
         let _ = known.store_clock.earliest(sent, now, list.rows.stamp);
         known.note_store_call(now.saturating_sub(sent));
         match hall {
@@ -129,7 +130,7 @@
             None => known.peers.listed(now, listed),
         }
         self.check_need(&mut known, now);
-        // Whoever finds the store near asks it now.
+        // If the store turns out to be near, the topics are read from it now.
         let followed = known.followed.values();
         followed.for_each(|followed| followed.wake.notify_one());
     }
@@ -144,7 +145,7 @@
         pause.mul_f64(0.75 + self.spread / 2.0)
     }
 
-    /// Takes tallies of the traffic thread and reports to the other gateways.
+    /// Processes tallies of the traffic thread and sends reports to the other gateways.
     pub async fn report(self: Rc<Self>, socket: Rc<UdpSocket>, tallies: flume::Receiver<Tally>) {
         loop {
             let mut changed = false;
@@ -168,7 +169,7 @@
         }
     }
 
-    /// Takes the messages of the other gateways.
+    /// Processes messages of the other gateways.
     pub async fn receive(self: Rc<Self>, socket: Rc<UdpSocket>) {
         let mut buffer = vec![0; MAX_DATAGRAM];
         loop {
@@ -191,7 +192,7 @@
         }
     }
 
-    /// Sends one datagram; what is lost is made good by the next one.
+    /// Sends one datagram. A lost datagram is compensated by later ones.
     pub async fn send(&self, socket: &UdpSocket, bytes: &[u8], target: SocketAddr) {
         match socket.send_to(bytes, target).await {
             Ok(_) => {
@@ -202,7 +203,7 @@
         }
     }
 
-    // Whether something in the tally is to be reported at once.
+    // Returns whether the tally holds a long prompt, which must be reported at once.
     fn take_tally(&self, tally: Tally) -> bool {
         let mut known = self.known.borrow_mut();
         let urgent = tally
@@ -323,7 +324,7 @@
         }
     }
 
-    /// Passes a change on to the traffic thread.
+    /// Sends an update to the traffic thread.
     pub fn update(&self, update: Update) {
         if self.updates.send(update).is_err() {
             warn!(self.log, "the traffic thread is gone");
@@ -332,7 +333,7 @@
 }
 
 impl Known {
-    // The sender's hall and the time to it and back, if its message echoes one of this gateway.
+    // The sender's hall and the round-trip time to it, if its message echoes one of this gateway.
     fn way_shown(
         &mut self,
         now: Duration,
--- a/components/gateway/src/control/follow.rs
+++ b/components/gateway/src/control/follow.rs
@@ -1,4 +1,4 @@
-//! Following the store: the configuration and the endpoints, from the store or from other gateways.
+//! Keeps the configuration and the endpoints up to date, from the store or from other gateways.
 
 use std::future::Future;
 use std::net::SocketAddr;
@@ -17,39 +17,38 @@
 use crate::ports::{Orders, Row, Rows, Store, StoreError, Topic};
 use crate::update::Update;
 
-/// Pause after changes of endpoints: those that follow soon come with one answer. It is well within
-/// the time that a leaving endpoint goes on serving.
+/// Pause after changes of endpoints, so that changes in quick succession arrive in one answer. It is well
+/// within the time for which a leaving endpoint continues to serve.
 const GATHER_PAUSE: Duration = Duration::from_millis(250);
-/// Pause between looks at whether the endpoints are needed.
+/// Pause between checks of whether the endpoints are needed.
 const NEED_PAUSE: Duration = Duration::from_millis(500);
-/// A call of the store is given up so long after another gateway reported a change.
+/// Time after which a pending store call is dropped once another gateway has reported a change.
 const OVERTAKEN_TIME: Duration = Duration::from_millis(300);
-/// Rows of many like entries are passed on in so much less than their length.
+/// Factor by which deflate is assumed to shrink rows of many similar entries.
 const SHRINKS_BY: usize = 3;
-/// Gateways that hold calls at the store: one may be cut off or die unnoticed.
+/// Gateways that keep long polls open at the store. There are two, as one may be cut off or fail unnoticed.
 pub(crate) const WATCHERS: usize = 2;
 
-/// One topic as it is known here.
+/// Local copy of one topic.
 #[derive(Debug)]
 pub(crate) struct Followed {
-    /// Its rows.
     pub table: Table,
-    /// How it is followed.
+    /// Schedules the reads of the topic.
     pub follower: Follower,
-    /// The store's steady time at which the rows were confirmed to be the newest.
+    /// Monotonic time of the store at which the rows were last confirmed to be current.
     pub confirmed: Duration,
-    /// The gateway that reported newer changes, and what it reported.
+    /// The gateway that reported newer changes, with its report.
     pub newer: Option<(SocketAddr, Digest)>,
-    /// Ends a rest.
+    /// Ends the current wait.
     pub wake: Arc<Notify>,
-    // Newest era for which the table was restarted, once each.
+    // Newest era for which a full list was required, so that it is required once for each era.
     listed_for_era: Option<u64>,
-    // Whether the store's last answer was logged as missing.
+    // Whether it was logged that the store does not answer.
     reported_missing: bool,
 }
 
 impl Followed {
-    /// Nothing known yet.
+    /// An empty copy.
     pub fn new(follower: Follower) -> Self {
         Followed {
             table: Table::default(),
@@ -73,7 +72,7 @@
         self.table.is_same_era(revision) && self.table.has_changes_up_to(revision)
     }
 
-    /// What is reported to other gateways, once anything is known.
+    /// State that is reported to other gateways, once the topic was read.
     pub fn reported(&self) -> Option<Digest> {
         Some(Digest {
             known_to: self.table.known_to()?,
@@ -138,7 +137,8 @@
         followed.follower.step(now, watches, can_poll_changes)
     }
 
-    // A store that says nothing must not keep a change from here that others know.
+    // Drops the call if another gateway reports a change meanwhile, so that a store that does not answer does
+    // not delay the change.
     async fn unless_overtaken<T>(
         &self,
         topic: Topic,
@@ -156,8 +156,8 @@
         answered.unwrap_or(Err(self.overtaken()))
     }
 
-    // Behind the link a call may just be slower than that of the region's other reader: whoever counted it as failed
-    // would be followed by a third one, and fill the link the more.
+    // Across the link between regions a call may just be slower than that of the region's other reader.
+    // Counting it as failed would make a third gateway a reader, which would load the link further.
     fn overtaken(&self) -> StoreError {
         match self.known.borrow().is_far_from_store() {
             true => StoreError::Overtaken,
@@ -219,7 +219,8 @@
         }
         let changes = rows.rows.into_iter().map(change_of).collect();
         let changed = self.take_changes(topic, changes, rows.revision, rows.stamp, whole);
-        // Changes have to be in force before they are confirmed. The answer may be of another era than the known rows.
+        // Changes must be in force before they are confirmed. The answer may be of another era than the known
+        // rows.
         let is_current = self.known.borrow().followed[&topic].is_current_at(rows.revision);
         if is_current {
             self.confirm(topic, rows.stamp, made);
@@ -230,8 +231,8 @@
         changed
     }
 
-    /// Takes rows of the store or of another gateway as they stood at `stamp` of the store, and returns whether
-    /// anything changed.
+    /// Applies rows of the store or of another gateway that were current at the store's monotonic time `stamp`.
+    /// Returns whether anything changed.
     pub fn take_changes(
         &self,
         topic: Topic,
@@ -246,7 +247,7 @@
             let is_first = followed.table.known_to().is_none();
             let is_restored = whole && followed.is_older_than_era(Some(known_to.era));
             if is_restored {
-                // The store's steady time may have been reset by the restore.
+                // The restore may have reset the monotonic time of the store.
                 followed.confirmed = Duration::ZERO;
             }
             let gossip = match whole {
@@ -282,7 +283,8 @@
         !gossip.is_empty()
     }
 
-    // The rows known here were the newest at `stamp` of the store, which is `at` here.
+    // Records that the rows known here were current at the store's time `stamp`, which is `at` on this
+    // gateway's clock.
     fn confirm(&self, topic: Topic, stamp: Duration, at: Duration) {
         let mut known = self.known.borrow_mut();
         let followed = known.followed_mut(topic);
@@ -290,13 +292,14 @@
         followed.follower.confirmed(at);
         let in_force = known.configuration.is_some() && known.is_configuration_current;
         if topic == Topic::Configuration && in_force {
-            // Behind the configuration that it confirms: until that is in force there, requests go by the one before, and
-            // its keys may not be taken for confirmed.
+            // Sent after the configuration that it confirms. Until the traffic thread has applied that one, it
+            // uses the previous configuration, whose keys must not count as confirmed.
             self.update(Update::Confirmed(at));
         }
     }
 
-    /// Another gateway reported how far it knows a topic. `is_far` says that it lies in another region.
+    /// Handles another gateway's report of its copy of a topic. `is_far` is set if that gateway is in another
+    /// region.
     pub fn receive_digest(&self, topic: Topic, reported: Digest, from: SocketAddr, is_far: bool) {
         let now = self.clock.now();
         let mut known = self.known.borrow_mut();
@@ -315,7 +318,7 @@
         self.confirm_digest(topic, reported);
     }
 
-    /// What another gateway reported confirms the rows known here, unless a change is missing.
+    /// Confirms the rows known here by another gateway's report, unless a change is missing here.
     pub fn confirm_digest(&self, topic: Topic, reported: Digest) {
         let now = self.clock.now();
         let mut known = self.known.borrow_mut();
@@ -339,7 +342,7 @@
         if *error == StoreError::Overtaken {
             return;
         }
-        // That is an answer: whoever reads for others goes on, with all rows.
+        // The store answered, so this gateway continues to read it for others, starting with a full list.
         if *error == StoreError::HistoryGone {
             info!(self.log, "history of the store is gone"; "topic" => ?topic,
                 "known_to" => followed.table.known_to().map(|known_to| known_to.number),
@@ -361,8 +364,9 @@
     values.map(Vec::len).max()
 }
 
-// Large rows would fill the links between gateways; the next change is taken to be as large as the last one, and to shrink as
-// rows do that name the same fields over and over. Where it doesn't, the gateway that is asked refuses, and the store is.
+// Large rows would fill the links between gateways. The next change is assumed to be as large as the last one,
+// and to compress like rows that repeat the same field names. If it does not, the peer refuses to send it and
+// it is read from the store.
 fn first_asked(bytes: usize) -> PreferredSource {
     match bytes <= MOST_PASSED_ON * SHRINKS_BY {
         true => PreferredSource::Peer,
--- a/components/gateway/src/control/forwarding.rs
+++ b/components/gateway/src/control/forwarding.rs
@@ -1,4 +1,4 @@
-//! Passing on the usage of gateways for which this one decides.
+//! Forwarding of usage and roll-out evidence to the holder of the lease.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -13,7 +13,8 @@
 use crate::ports::{Orders, Store};
 
 impl<S: Store + 'static, O: Orders + 'static> Shared<S, O> {
-    /// Passes usage of ended windows of those that ask this gateway on to the holder of the lease.
+    /// Forwards the usage of ended windows to the holder of the lease, for the gateways whose first coordinator
+    /// is this one.
     pub async fn forward_usage(&self, socket: &UdpSocket, now: Duration) {
         let Some((holder, messages)) = self.forwarded(now) else {
             return;
@@ -23,7 +24,7 @@
         }
     }
 
-    /// Sends what this gateway saw endpoints answer to whoever carries a roll-out out.
+    /// Sends the answers that this gateway saw to the gateway that carries out their roll-out.
     pub async fn send_evidence(&self, socket: &UdpSocket, now: Duration) {
         let messages: Vec<_> = {
             let mut known = self.known.borrow_mut();
--- a/components/gateway/src/control/kept.rs
+++ b/components/gateway/src/control/kept.rs
@@ -1,4 +1,5 @@
-//! The store's row of what is held back, for gateways that start when no other is left or hear no other.
+//! The row of the store that holds the quarantine, for gateways that start when no other gateway is left or
+//! reachable.
 
 use std::collections::BTreeMap;
 use std::rc::Rc;
@@ -14,29 +15,31 @@
 use crate::control::Shared;
 use crate::ports::{Orders, PageQuery, Row, Store, StoreError, Topic};
 
-/// Key of the row that keeps them.
+/// Key of the row.
 const ROW_KEY: &str = "held";
-/// Pause between looks at whether the row is to be read or written.
+/// Pause between checks of whether the row must be read or written.
 const LOOK: Duration = Duration::from_millis(100);
-/// While gateways are silent the row is read again this often: those behind a cut write there what they hold back. Well
-/// within the shortest time after which a gateway in touch is to know (3 s).
+/// Interval of reads of the row while gateways are silent: gateways behind a network partition write what they
+/// quarantine to it. It is well within the shortest time (3 s) after which a connected gateway must know of a
+/// quarantined content.
 const READ_AGAIN: Duration = Duration::from_secs(1);
-/// Longest time without anything of the row.
+/// Timeout of a read without any data.
 const READ_TIME: Duration = Duration::from_millis(1500);
-/// Pause after a call of the store without a result.
+/// Pause after a failed store call.
 const FAILED_PAUSE: Duration = Duration::from_millis(500);
 
-/// The row as it is known here.
+/// The row as last read or written by this gateway.
 #[derive(Debug)]
 pub(crate) struct KeptRow {
     revision: Revision,
     read_at: Duration,
-    // How often each content was held back, and whether it is now.
+    // How often each content was quarantined, and whether it is now.
     kept: BTreeMap<Fingerprint, (u32, bool)>,
 }
 
 impl<S: Store + 'static, O: Orders + 'static> Shared<S, O> {
-    /// Keeps the row until the process ends, while this gateway is among the first that reach the store.
+    /// Keeps the row up to date until the process ends, while this gateway is among the first coordinators that
+    /// reach the store.
     pub async fn keep_quarantine(self: Rc<Self>) {
         let mut row = Some(self.read_first().await);
         loop {
@@ -57,9 +60,9 @@
         }
     }
 
-    // Whoever starts may be asked for what is held back before it hears of it from another: after a start of all, two to
-    // five more endpoints ended until the row was read late (five runs of the soak). Where the store doesn't answer yet,
-    // the row comes when the configuration does.
+    // A gateway that starts may receive a quarantined content before another gateway reports it: after all
+    // gateways had started at once, two to five more endpoints ended until the row was read late (five runs of
+    // the soak test). If the store does not answer yet, the row is read when the configuration is.
     async fn read_first(&self) -> KeptRow {
         loop {
             let answers = self.store_answers.notified();
@@ -70,7 +73,7 @@
         }
     }
 
-    // Whether others may have written the row that can't tell this gateway.
+    // Whether other gateways that cannot reach this one may have written the row.
     fn is_stale(&self, row: &KeptRow, now: Duration) -> bool {
         let known = self.known.borrow();
         let others = known.peers.count(now);
@@ -103,7 +106,7 @@
         }
     }
 
-    // Takes what earlier gateways kept, as of a revision and a time of the store.
+    // Merges what earlier gateways wrote, as of a revision and a time of the store.
     fn take_row(&self, row: Option<Row>, store_revision: Revision, store_now: Duration) -> KeptRow {
         let now = self.clock.now();
         let number = row.as_ref().map_or(0, |row| row.revision.number);
@@ -141,7 +144,7 @@
         }
     }
 
-    // Writes what the row lacks.
+    // Writes the quarantine if the row differs from it.
     async fn write_kept(&self, row: KeptRow) -> Option<KeptRow> {
         let now = self.clock.now();
         let (held, store_now) = {
--- a/components/gateway/src/control/known.rs
+++ b/components/gateway/src/control/known.rs
@@ -1,4 +1,4 @@
-//! What the control thread knows, and what it begins with.
+//! State of the control thread, and its initial values.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -32,13 +32,13 @@
 
 /// Key of the lease's row.
 const LEASE_KEY: &str = "duties";
-/// A renewal holds this much longer than the bound on its holders.
+/// Margin for which a lease outlasts the configured bound on its holders.
 const LEASE_MARGIN: Duration = Duration::from_millis(500);
 /// Pause between renewals of the lease.
 const LEASE_PAUSE: Duration = Duration::from_secs(1);
-/// Part of the time within which usage is due after which a window is settled.
+/// Fraction of the deadline for usage reports after which a window is settled.
 const SETTLE_PART: f64 = 0.45;
-/// Everything the control thread knows.
+/// State of the control thread.
 pub(crate) struct Known {
     pub settings: Arc<GatewaySettings>,
     pub configuration: Option<Arc<Configuration>>,
@@ -69,41 +69,41 @@
     pub loads: BTreeMap<String, ServiceLoad>,
     pub taken: BTreeMap<String, u64>,
     pub unsent: Vec<Sent>,
-    /// What answers showed that the other coordinators were not told yet.
+    /// Observations from answers that are not yet reported to the other coordinators.
     pub sights: Vec<Sight>,
-    /// Limits of endpoints that the other coordinators were not told yet.
+    /// Limits of endpoints that are not yet reported to the other coordinators.
     pub limits: UntoldLimits,
     pub sending: SendState,
-    // Only kept where there are several regions.
+    // `None` if there is only one region.
     pub echoes: Option<Echoes>,
     pub forwarding: Forwarding,
     pub fleet: Fleet,
-    // Whether this gateway holds calls at the store.
+    // Whether this gateway keeps long polls open at the store.
     pub watches: bool,
-    // Shortest time of a call of the store.
+    // Shortest time that a store call took.
     pub store_time: Option<Duration>,
-    // Whether the store turned this gateway away when it asked for the list of gateways last.
+    // Whether the store refused the last request for the list of gateways.
     pub list_refused: bool,
-    // When the endpoints were needed last, while they are followed.
+    // Time of the last need for the endpoints; `None` while they are not followed.
     pub endpoints_needed_at: Option<Duration>,
     pub rollouts: Rollouts,
     pub quarantine: Quarantine,
     pub observations: ObservationQueue,
-    /// What is believed of the time of day.
+    /// Estimate of the time of day.
     pub day: Day,
 }
 
-/// Where other gateways reach this one.
+/// Addresses at which other gateways reach this one.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct PeerAddresses {
-    /// For gossip.
+    /// Gossip and rows.
     pub peers: SocketAddr,
-    /// For decisions.
+    /// Placement queries.
     pub decisions: SocketAddr,
 }
 
 impl Known {
-    /// Nothing known but the settings.
+    /// The initial state, which contains only the settings.
     pub fn new(settings: Arc<GatewaySettings>, listening: PeerAddresses, day_us: i64) -> Self {
         let topology = Topology::new(&settings.zone, &settings.region, &settings.halls);
         let peers = first_peers(&settings, &topology, listening);
@@ -149,31 +149,31 @@
         }
     }
 
-    /// How a topic that is passed on is followed.
+    /// The copy of a topic; it is created if it does not exist.
     pub fn followed_mut(&mut self, topic: Topic) -> &mut Followed {
         let settings = &self.settings;
         let followed = self.followed.entry(topic);
         followed.or_insert_with(|| follow(topic, settings))
     }
 
-    /// Forgets what is known of a topic, as at the start.
+    /// Discards the copy of a topic.
     pub fn forget_rows(&mut self, topic: Topic) {
         let followed = follow(topic, &self.settings);
         let old = self.followed.insert(topic, followed);
-        // Whoever waits for changes of the topic goes on waiting.
+        // The task that waits for changes of the topic must still be woken.
         if let (Some(old), Some(new)) = (old, self.followed.get_mut(&topic)) {
             new.wake = old.wake;
         }
     }
 
-    /// Whether the store answered the last call.
+    /// Whether the store answered the last call for every topic.
     pub fn reaches_store(&self) -> bool {
         let mut followed = self.followed.values();
         followed.all(|followed| followed.follower.reaches_store())
     }
 }
 
-// The gateways that the settings name.
+// Peers with the addresses that the settings name.
 fn first_peers(settings: &GatewaySettings, topology: &Topology, listening: PeerAddresses) -> Peers {
     let mut peers = Peers::new(Listed {
         name: settings.name.clone(),
@@ -199,7 +199,7 @@
         .collect()
 }
 
-// Until its size is known, a configuration is taken to be large.
+// A configuration is assumed to be large until its size is known.
 fn follow(topic: Topic, settings: &GatewaySettings) -> Followed {
     let first = match topic {
         Topic::Configuration => PreferredSource::Store,
@@ -208,7 +208,7 @@
     Followed::new(Follower::new(first, change_due(settings)))
 }
 
-/// Time within which a change is to be in force.
+/// Time within which a change must be in force.
 pub(super) fn change_due(settings: &GatewaySettings) -> Duration {
     Duration::from_millis(settings.change_due_ms.max(0) as u64)
 }
--- a/components/gateway/src/control/lease.rs
+++ b/components/gateway/src/control/lease.rs
@@ -1,4 +1,5 @@
-//! Who carries out the duties: the lease, and how it is given up and followed.
+//! The lease of the duties (usage reports, endpoint orders, roll-outs): how it is acquired, renewed and
+//! released.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -12,17 +13,19 @@
 use crate::listing::may_decide_unlisted;
 use crate::ports::{DutyHolder, OrderReply, Orders, ReadRow, Store, StoreError, Topic};
 
-/// Others look at the lease only if its holder was not heard for this long.
+/// Time without a message of the holder after which other gateways try to acquire the lease.
 const HOLDER_SILENCE: Duration = Duration::from_millis(2500);
-/// A holder whose last renewal is older than this gives the lease up if the store answers others: one
-/// renewal and one more try, by the pause between renewals (1 s) and the time of a call.
+/// Age of the last renewal after which the holder releases the lease if the store answers other gateways: the
+/// pause between renewals (1 s), one retry and the time of a call.
 const UNRENEWED: Duration = Duration::from_millis(1700);
-/// An order without an answer may be carried out for this long: the pages say "seconds" and give no figure.
+/// Time for which an unanswered order may still be carried out. The platform documentation says "seconds" and
+/// gives no figure.
 const LATE_ORDER: Duration = Duration::from_secs(5);
-/// For how long only those that read the store look at a lease that was given up, or whose holder is silent.
+/// Time after a release, or after the holder falls silent, in which only the gateways that read the store try
+/// to acquire the lease.
 const FIRST_FOLLOWERS_TIME: Duration = Duration::from_secs(1);
 
-/// Orders of this gateway that may not have ended yet.
+/// Orders of this gateway that may still take effect.
 #[derive(Debug, Default)]
 pub(crate) struct OrdersUnderWay {
     count: u32,
@@ -41,7 +44,7 @@
         }
     }
 
-    // Whether none is under way, nor one without an answer that may yet be carried out.
+    // Whether no order is in flight and no unanswered order can still be carried out.
     fn are_settled(&self, now: Duration) -> bool {
         let late = self.unanswered_at;
         self.count == 0 && late.is_none_or(|at| now >= at + LATE_ORDER)
@@ -49,7 +52,7 @@
 }
 
 impl<S: Store + 'static, O: Orders + 'static> Shared<S, O> {
-    /// One step of the lease.
+    /// Renews, acquires or releases the lease as needed.
     pub fn tick_lease(self: &Rc<Self>, now: Duration) {
         let mut known = self.known.borrow_mut();
         let settings = &known.settings;
@@ -80,8 +83,8 @@
         self.act(actions);
     }
 
-    // Whether another gateway should hold the lease: this one stops, or the store answers others and not
-    // this one. Never while an order may still be on its way.
+    // Whether another gateway should hold the lease: this one stops, or the store answers others but not this
+    // one. Never while an order may still take effect.
     fn is_to_give_up(&self, now: Duration, known: &Known) -> bool {
         let Some(unrenewed) = known.lease.time_since_renewal(now) else {
             return false;
@@ -90,12 +93,13 @@
         (self.freshness.is_stopping() || turned_away) && known.orders.are_settled(now)
     }
 
-    // Those that read the store look at the lease once its holder is silent, the other coordinators a little later, so that
-    // not all write at once; gateways that do not coordinate only if there is no coordinator.
+    // The gateways that read the store try to acquire the lease once its holder is silent. The other
+    // coordinators wait longer, so that not all write at once. Gateways that are not coordinators try only if
+    // no coordinator is alive.
     fn is_candidate(&self, now: Duration, known: &Known) -> bool {
         let peers = &known.peers;
         let may_lead = match peers.coordinates(now) {
-            // Until it has read who else runs, each of a fleet that starts at once takes itself for a coordinator.
+            // When all gateways start at once, each regards itself as a coordinator until it has read the list.
             true => peers.knows_own_hall() || may_decide_unlisted(now, known.list_refused, true),
             false => !peers.has_live_coordinator(now),
         };
@@ -144,7 +148,8 @@
                 let Some(write) = writes.first() else {
                     return (None, Reply::Refused);
                 };
-                // The store compares only numbers; `Lease` expects only versions of the era that it knows.
+                // The store compares only the numbers of revisions. `Lease` expects only versions of the era
+                // that it knows.
                 let expected = Revision::new(0, write.expect);
                 let written = self
                     .store
@@ -165,7 +170,7 @@
         }
     }
 
-    // The holder as it is named on an order sent now, if this gateway may give one.
+    // The holder with the fencing token for an order sent now, if this gateway may send one.
     pub fn holder(&self) -> Option<DutyHolder> {
         let known = self.known.borrow();
         let fence = known.lease.order_epoch(self.clock.now())?;
--- a/components/gateway/src/control/messages.rs
+++ b/components/gateway/src/control/messages.rs
@@ -1,7 +1,7 @@
-//! What is said to other gateways, when, and to whom.
+//! Contents, timing and recipients of gossip messages.
 //!
-//! A coordinator reports to the coordinators of all halls what it decided, and the gateways of its own hall what
-//! stands in the store. Any other gateway reports to the coordinators of its hall what it counted.
+//! A coordinator reports its decisions to the coordinators of all halls, and the state of the store to the
+//! gateways of its own hall. Any other gateway reports its counts to the coordinators of its hall.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
@@ -15,32 +15,32 @@
 use crate::ports::{Orders, Store};
 use crate::sights::{sight_of, MOST_TOLD};
 
-/// Datagrams a second that a coordinator sends to others at most, when nothing is urgent.
+/// Upper limit of datagrams per second that a coordinator sends when nothing is urgent.
 const DATAGRAMS_PER_S: f64 = 100.0;
-/// The same for requests that are reported at once.
+/// Upper limit of datagrams per second with requests that are reported at once.
 const URGENT_DATAGRAMS_PER_S: f64 = 500.0;
 /// Shortest pause between messages to coordinators.
 const SHORTEST_PAUSE: Duration = Duration::from_millis(100);
-/// Longest pause between messages to coordinators, and the pause between all other messages: a third of the time
-/// after which a gateway counts as silent.
+/// Longest pause between messages to coordinators, and the pause between all other messages: a third of the
+/// time after which a gateway counts as silent.
 const LONGEST_PAUSE: Duration = Duration::from_millis(500);
-/// Messages to coordinators of which one holds usage.
+/// One in this many messages to coordinators holds usage.
 const USAGE_EVERY: i64 = 3;
-/// Addresses passed on in one message.
+/// Upper limit of peer addresses in one message.
 const MOST_ADDRESSES: usize = 3;
-/// Newest usage windows that are reported.
+/// Count of the newest usage windows that are reported.
 const REPORTED_WINDOWS: i64 = 3;
-/// Messages in which all totals are reported at least once, so that a lost one is made good.
+/// Count of messages in which every total is sent at least once, so that lost messages are compensated.
 const TOTALS_ROUNDS: usize = 5;
 
-/// What was sent when.
+/// Times and counters of the messages that were sent.
 #[derive(Debug, Default)]
 pub(crate) struct SendState {
     sequence: i64,
-    // To coordinators: everything, and requests only.
+    // Last full message and last message with requests to coordinators.
     full_at: Duration,
     requests_at: Duration,
-    // To gateways for which this one decides, or to the coordinators of its hall.
+    // Last message to the gateways for which this one decides, or to the coordinators of its hall.
     digest_at: Duration,
     totals: BTreeMap<String, u64>,
     totals_turn: usize,
@@ -48,24 +48,24 @@
 }
 
 impl SendState {
-    /// Counts up with each message.
+    /// Increases with each message.
     pub fn turn(&self) -> usize {
         self.sequence.max(0) as usize
     }
 }
 
-/// What a message holds beside who sent it.
+/// Kind of a message, which selects its contents.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Content {
-    /// Requests and what they took, for coordinators.
+    /// Requests and totals, for coordinators.
     Requests,
     /// Everything, for coordinators.
     Full,
-    /// The store's state, for gateways that this one decides for.
+    /// The state of the store, for gateways that this one decides for.
     Digest,
-    /// What was counted and decided alone, for the coordinators of the own hall.
+    /// This gateway's counts and its own decisions, for the coordinators of its hall.
     Report,
-    /// Usage that is passed on, for the holder of the lease.
+    /// Forwarded usage, for the holder of the lease.
     Usage,
 }
 
@@ -75,20 +75,20 @@
         matches!(self, Content::Requests | Content::Full | Content::Report)
     }
 
-    // Whether it holds the store's state and addresses.
+    // Whether it holds the state of the store and addresses.
     fn has_state(self) -> bool {
         matches!(self, Content::Full | Content::Digest | Content::Report)
     }
 }
 
-/// Messages that are due, and to whom.
+/// Messages that are due, with their recipients.
 pub(crate) type Due = Vec<(Content, BTreeSet<SocketAddr>)>;
 
 impl<S: Store + 'static, O: Orders + 'static> Shared<S, O> {
-    /// What is to be sent now. `changed` says that what stands in the store or the lease changed.
+    /// Messages to send now. `changed` is set if the state of the store or the lease changed.
     pub fn due(&self, now: Duration, changed: bool, long_prompt: bool) -> Due {
         let mut known = self.known.borrow_mut();
-        // Whoever stops says so, and what it counted last, as often as it can.
+        // A stopping gateway sends its last counts as often as it can.
         let changed = changed || self.freshness.is_stopping();
         let has_observations = known.observations.take_new();
         match known.speaks_for_others(now) {
@@ -97,14 +97,14 @@
         }
     }
 
-    /// A message, encoded.
+    /// Builds and encodes a message.
     pub fn message(&self, now: Duration, content: Content) -> Vec<u8> {
         let mut known = self.known.borrow_mut();
         let message = self.message_of(&mut known, now, content);
         schema::encode(&message).unwrap_or_default()
     }
 
-    /// A message.
+    /// Builds a message.
     pub fn message_of(&self, known: &mut Known, now: Duration, content: Content) -> Gossip {
         known.sending.sequence += 1;
         let has_state = content.has_state();
@@ -172,7 +172,7 @@
         }
     }
 
-    // Own usage of the newest windows.
+    // This gateway's usage in the newest windows.
     fn usage_to_send(&self, known: &mut Known, content: Content) -> Vec<WindowUsage> {
         let is_turn = match content {
             Content::Report => true,
@@ -195,13 +195,13 @@
 }
 
 impl Known {
-    /// Whether the coordinators of all halls are to know what this gateway does.
+    /// Whether the coordinators of all halls must know what this gateway does.
     pub fn speaks_for_others(&self, now: Duration) -> bool {
         self.peers.coordinates(now) || self.lease.order_epoch(now).is_some()
     }
 
-    /// Whether addresses that others name are tried. Where the list is read by halls, a gateway that hears a
-    /// coordinator of its hall needs no more.
+    /// Whether addresses that other gateways report are contacted. Where the list is read by halls, a gateway
+    /// that hears a coordinator of its hall needs no others.
     pub fn looks_for_others(&self, now: Duration) -> bool {
         let is_led = || self.peers.is_led(now) && !self.speaks_for_others(now);
         !self.topology.has_several_halls() || !is_led()
@@ -253,14 +253,14 @@
         dispatches.map(|s| gossip::dispatch_of(now, &s)).collect()
     }
 
-    /// Keeps what is to be told, the newest of it where nobody is told for long.
+    /// Queues observations for the next message. Only the newest are kept if none is sent for long.
     pub fn keep_sights(&mut self, sights: Vec<Sight>) {
         self.sights.extend(sights);
         let older = self.sights.len().saturating_sub(MOST_TOLD);
         self.sights.drain(..older);
     }
 
-    // What waits longer than until the next message is told by nobody.
+    // All queued observations, newest first. Each is sent in one message only.
     fn sights_to_send(&mut self, now: Duration, content: Content) -> Option<Vec<messages::Sight>> {
         if !content.has_requests() || self.sights.is_empty() {
             return None;
@@ -270,7 +270,7 @@
         Some(newest.map(|s| sight_of(now, s)).collect())
     }
 
-    // Totals that changed, and some of the others in turn.
+    // Totals that changed, and a part of the others in turn.
     fn totals_to_send(&mut self, content: Content) -> BTreeMap<String, i64> {
         if !content.has_requests() {
             return BTreeMap::new();
@@ -290,7 +290,7 @@
         reported
     }
 
-    // Coordinators' messages to each other show how far halls are.
+    // Messages between coordinators carry echoes, from which the round-trip time between halls is measured.
     fn echo_to_send(&mut self, now: Duration, content: Content) -> Option<Box<Echo>> {
         let echoes = self.echoes.as_mut()?;
         match content {
@@ -306,7 +306,7 @@
     }
 }
 
-// With many targets the pause grows, so that the datagrams a second do not.
+// The pause grows with the number of targets, so that the rate of datagrams stays constant.
 fn pause(targets: usize, per_s: f64) -> Duration {
     let pause = Duration::from_secs_f64(targets as f64 / per_s);
     pause.clamp(SHORTEST_PAUSE, LONGEST_PAUSE)
@@ -324,7 +324,7 @@
         .collect()
 }
 
-// As the schema holds them.
+// Boxes the elements, as the schema requires.
 fn boxed<T>(list: Option<Vec<T>>) -> Option<Vec<Box<T>>> {
     Some(list?.into_iter().map(Box::new).collect())
 }
--- a/components/gateway/src/control/need.rs
+++ b/components/gateway/src/control/need.rs
@@ -1,4 +1,4 @@
-//! Whether this gateway keeps the endpoints.
+//! Decides whether this gateway keeps a copy of the endpoints.
 
 use std::time::Duration;
 
@@ -9,20 +9,23 @@
 use crate::ports::{Orders, Store, Topic};
 use crate::update::Update;
 
-/// A gateway that needs the endpoints no more follows them for so long: whoever decides may change to and fro.
+/// Time for which a gateway follows the endpoints after it last needed them, as the decider may change back and
+/// forth.
 const KEPT_FOR: Duration = Duration::from_secs(10);
 
-/// Coordinators that are heard may leave requests undecided for so long, and up to twice as long at some gateways, before
-/// these decide themselves: their links may be full, which passes, or carry nothing one way, which does not.
+/// Time without decisions of live coordinators after which a gateway starts to decide itself; staggered up to
+/// twice as long. The coordinators' links may be full, which passes, or carry nothing in one direction, which
+/// does not.
 const SLOW_COORDINATORS_TIME: Duration = Duration::from_secs(2);
 
 impl<S: Store + 'static, O: Orders + 'static> Shared<S, O> {
-    /// Whether the endpoints are followed here.
+    /// Whether this gateway follows the endpoints.
     pub fn needs_endpoints(&self) -> bool {
         self.known.borrow().endpoints_needed_at.is_some()
     }
 
-    /// Follows the endpoints where requests are placed or endpoints ordered, and forgets them elsewhere.
+    /// Starts to follow the endpoints when requests must be placed or endpoints ordered here, and stops some
+    /// time after that.
     pub fn check_need(&self, known: &mut Known, now: Duration) {
         let may_decide = known.peers.knows_own_hall()
             || may_decide_unlisted(now, known.list_refused, known.peers.hears_any(now));
@@ -40,8 +43,8 @@
         }
     }
 
-    // Where a hall's coordinators are heard and only slow, a gateway behind the link that took the endpoints through their
-    // links would slow them down further.
+    // If the coordinators of a hall are alive but slow, a gateway far from the store that fetched the endpoints
+    // over their links would slow them down further.
     fn has_lost_coordinators(&self, known: &Known, now: Duration) -> bool {
         let may_be_slow = known.is_far_from_store() && known.peers.is_led(now);
         let waits = match may_be_slow {
@@ -51,13 +54,13 @@
         self.alone.is_alone(now) && self.alone.undecided_for(now) >= waits
     }
 
-    /// Forgets the endpoints. Between two steps of following them only, so that no answer that is on its way is taken
-    /// for the whole table.
+    /// Discards the endpoints. Must be called only between two steps of following them, so that a pending
+    /// answer is not taken for the whole table.
     pub fn forget_endpoints(&self) {
         let mut known = self.known.borrow_mut();
         let followed = known.followed_mut(Topic::Endpoints);
         if followed.table.known_to().is_none() {
-            // Whoever needs them later waits for others from then on.
+            // A later need starts a new wait for other gateways' reads.
             followed.follower.read_store_directly();
             return;
         }
--- a/components/gateway/src/control/passing.rs
+++ b/components/gateway/src/control/passing.rs
@@ -1,4 +1,4 @@
-//! Passing rows of the store on between gateways.
+//! Transfer of store rows between gateways.
 
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -24,24 +24,25 @@
 use crate::plain;
 use crate::ports::{Orders, Store, Topic};
 
-/// Longest time that a new connection may take.
+/// Timeout of a new connection.
 const CONNECT_TIME: Duration = Duration::from_millis(300);
-/// Longest time until the rows have come.
+/// Timeout of a query until all rows have arrived.
 const PULL_TIME: Duration = Duration::from_millis(900);
-/// The same for a page that is asked for again, over a link that is fuller than was thought.
+/// Timeout of the second attempt to get a page, for a link with more load than expected.
 const SECOND_PULL_TIME: Duration = Duration::from_millis(1800);
-/// Rows that are passed on at once, in bytes; whoever needs more asks the store, whose link is wider. A third of the
-/// gateways of a hall of 60 take that much from one coordinator within half a second on a link of 10 Mbit/s.
+/// Upper limit of the rows in one reply, in bytes. A gateway that needs more reads the store, whose link is
+/// wider. At this size, a third of the gateways of a hall of 60 can read from one coordinator within half a
+/// second over a link of 10 Mbit/s.
 pub(crate) const MOST_PASSED_ON: usize = 32 << 10;
-/// Marks a reply that is deflated.
+/// Content encoding of a deflated reply.
 const DEFLATED: HeaderValue = HeaderValue::from_static("deflate");
-/// Largest query, in bytes.
+/// Size limit of a query, in bytes.
 const MAX_QUERY: usize = 512;
 
-/// Topics that gateways pass on.
+/// Topics whose rows gateways exchange.
 pub(crate) const PASSED_ON: [Topic; 2] = [Topic::Configuration, Topic::Endpoints];
 
-/// A topic's name between gateways, if it is passed on.
+/// A topic's name in messages between gateways, if its rows are exchanged.
 pub(crate) fn name_of(topic: Topic) -> Option<TopicName> {
     match topic {
         Topic::Configuration => Some(TopicName::CONFIGURATION),
@@ -55,21 +56,21 @@
     }
 }
 
-/// The topic that another gateway names.
+/// The topic that a message names.
 pub(crate) fn topic_of(name: TopicName) -> Option<Topic> {
     let mut passed_on = PASSED_ON.into_iter();
     passed_on.find(|topic| name_of(*topic) == Some(name))
 }
 
 impl<S: Store + 'static, O: Orders + 'static> Shared<S, O> {
-    /// Takes the changes of a topic from the gateway that reported them.
+    /// Pulls the changes of a topic from the gateway that reported them.
     pub async fn pull(&self, topic: Topic) {
         let (newer, after, by_pages) = {
             let known = self.known.borrow();
             let followed = &known.followed[&topic];
             let after = followed.table.known_to().unwrap_or_default();
-            // Near the store its link is wider than a gateway's: much at once comes from there, unless it turns this gateway
-            // away.
+            // Near the store, its link is wider than a gateway's, so large reads go to the store unless it
+            // refuses this gateway.
             let by_pages = known.is_far_from_store() || !followed.follower.reaches_store();
             (followed.newer, after, by_pages)
         };
@@ -89,7 +90,8 @@
             let changes = rows.map(|row| change_of(row, era)).collect();
             let stamp = reported.confirmed;
             let changed = self.take_changes(topic, changes, pulled.known_to, stamp, pulled.whole);
-            // Behind the link, or turned away, a coordinator hears of a change from a reader, and its hall from it.
+            // If this gateway is far from the store or refused by it, coordinators learn of a change from a
+            // reader and pass it on to their halls.
             if changed && by_pages && topic == Topic::Configuration {
                 self.urgent.notify_one();
             }
@@ -183,7 +185,7 @@
     }
 }
 
-/// Rows that another gateway passed on.
+/// Rows received from another gateway.
 struct Pulled {
     rows: Vec<RowChange>,
     whole: bool,
@@ -219,7 +221,8 @@
     }
 }
 
-// Pages are as they stood one after the other: what changed meanwhile has a higher revision, and comes again.
+// Pages are consecutive, not a snapshot. Changes made meanwhile have a higher revision and arrive with the next
+// pull.
 async fn pull_pages(from: SocketAddr, topic: TopicName, after: Revision) -> Option<Pulled> {
     let mut pulled: Option<Pulled> = None;
     loop {
@@ -248,7 +251,7 @@
     }
 }
 
-// A page that did not come is asked for once more; those that came are kept.
+// Requests a page a second time if it does not arrive; the earlier pages are kept.
 async fn ask_patiently(from: SocketAddr, query: &RowsQuery) -> Option<(RowsReply, usize)> {
     for time in [PULL_TIME, SECOND_PULL_TIME] {
         let asked = tokio::time::timeout(time, ask(from, query)).await;
--- a/components/gateway/src/control/quarantine.rs
+++ b/components/gateway/src/control/quarantine.rs
@@ -1,6 +1,6 @@
-//! Observations of contents that end their endpoints: heard and passed on.
+//! Exchange of the quarantine and of observations of contents that end their endpoints.
 //!
-//! Gateways that coordinate tell each other each end; all others hear what is held back.
+//! Coordinators report each observation to each other; all other gateways receive only what is quarantined.
 
 use std::collections::VecDeque;
 use std::time::Duration;
@@ -13,16 +13,17 @@
 use crate::ports::{Orders, Store};
 use crate::update::Update;
 
-/// Messages in which each observation is sent, so that a lost one is made good.
+/// Count of messages in which each observation is sent, to compensate for lost ones.
 const SENDS: u8 = 3;
-/// Observations in one message, so that it fits into one datagram: some 20 bytes each.
+/// Upper limit of observations in one message, so that it fits into one datagram; each takes some 20 bytes.
 const MOST_OBSERVATIONS: usize = 60;
-/// Observations that wait to be sent; those that were sent before give way. 100 endpoints that end at once leave some 2,000.
+/// Upper limit of queued observations; those that were already sent are dropped first. 100 endpoints that end
+/// at once leave some 2,000 observations.
 const MOST_WAITING: usize = 2048;
-/// Contents held back that one message names: some 30 bytes each.
+/// Upper limit of quarantined contents in one message; each takes some 30 bytes.
 const MOST_HELD: usize = 16;
 
-/// Observations on their way to the other gateways.
+/// Observations that are to be sent to the other gateways.
 #[derive(Debug, Default)]
 pub(crate) struct ObservationQueue {
     waiting: VecDeque<(Observation, u8)>,
@@ -30,22 +31,22 @@
 }
 
 impl ObservationQueue {
-    /// Adds an observation that is to be sent.
+    /// Adds an observation.
     pub fn add(&mut self, observation: Observation) {
         if self.waiting.len() >= MOST_WAITING {
             self.waiting.pop_back();
         }
-        // New ones go first: behind thousands of old ones they would come after the time within which all are to know.
+        // New observations go first: behind thousands of old ones they would arrive too late.
         self.waiting.push_front((observation, SENDS));
         self.has_new = true;
     }
 
-    /// Whether some were added since the last look.
+    /// Whether observations were added since the last call.
     pub fn take_new(&mut self) -> bool {
         std::mem::take(&mut self.has_new)
     }
 
-    /// The observations of the next message.
+    /// The observations for the next message; `None` if there are none.
     pub fn next(&mut self) -> Option<Vec<ContentReport>> {
         let count = self.waiting.len().min(MOST_OBSERVATIONS);
         let sent: Vec<_> = self.waiting.drain(..count).collect();
@@ -60,7 +61,7 @@
 }
 
 impl<S: Store + 'static, O: Orders + 'static> Shared<S, O> {
-    /// Takes what the traffic thread saw.
+    /// Records observations of the traffic thread.
     pub fn take_own_observations(&self, known: &mut Known, observations: Vec<Observation>) {
         let now = self.clock.now();
         for observation in observations {
@@ -71,11 +72,11 @@
         }
     }
 
-    /// Takes what another gateway saw and holds back.
+    /// Records another gateway's observations and quarantine.
     pub fn receive_contents(&self, gossip: &Gossip) {
         let now = self.clock.now();
         let mut known = self.known.borrow_mut();
-        // Those that coordinate tell all others themselves.
+        // Coordinators report to all others themselves, so only observations of other gateways are passed on.
         let passes_on = gossip.coordinates == Some(false);
         let mut news = Vec::new();
         let mut is_urgent = false;
@@ -114,10 +115,10 @@
     }
 }
 
-// What an observation changed.
+// Effect of an observation.
 struct Taken {
     is_news: bool,
-    // Whether its content is held back since then, or let go.
+    // Whether its content became quarantined, or is no longer.
     changes_hold: bool,
 }
 
@@ -133,7 +134,7 @@
         }
     }
 
-    /// What is held back, as it is reported.
+    /// Report of the quarantined contents; `None` if there are none.
     pub fn held_to_send(&self, now: Duration) -> Option<Vec<HeldContent>> {
         let turn = self.sending.turn();
         let held = self.quarantine.held_to_report(now, turn, MOST_HELD);
@@ -175,7 +176,7 @@
     }
 }
 
-/// How often a content was held back, as it is reported.
+/// How often a content was quarantined, for a report.
 pub(super) fn times_of(held: &Held) -> i32 {
     held.hold_count.min(i32::MAX as u32) as i32
 }
--- a/components/gateway/src/control/reporting.rs
+++ b/components/gateway/src/control/reporting.rs
@@ -1,4 +1,4 @@
-//! Usage reports of the lease's holder.
+//! Usage reports by the holder of the lease.
 
 use std::time::Duration;
 
@@ -10,7 +10,7 @@
 use crate::control::{Known, Shared};
 use crate::ports::{OrderReply, Orders, Row, Store, StoreError, Topic};
 
-/// Pause between looks at what is due.
+/// Pause between checks of what is due.
 const DUTY_PAUSE: Duration = Duration::from_millis(250);
 
 impl<S: Store + 'static, O: Orders + 'static> Shared<S, O> {
@@ -52,19 +52,19 @@
         }
     }
 
-    // Nothing is known here of a window before this process, unless others reported it.
+    // Whether the window is older than this process and no other gateway reported counts for it.
     fn predates_process(&self, report: &Report) -> bool {
         let first = self.known.borrow().reporter.window_at(self.started_wall);
         report.counts.is_empty() && report.window < first
     }
 
-    // Whether another gateway may have reported the window before a restore that lost its row. Settling the window
-    // again could report it twice with different counts.
+    // Whether another gateway may have reported the window before a restore that lost its row. Settling the
+    // window again could report it twice with different counts.
     fn may_have_been_reported(&self, report: &Report) -> bool {
         let known = self.known.borrow();
         let was_restored = known.newest_era.unwrap_or_default() > 0;
         let settles_at = known.reporter.settles_at(report.window);
-        // Nobody else settles windows while this gateway holds the lease.
+        // No other gateway settles windows while this one holds the lease.
         let only_here = known
             .lease_held_since
             .is_some_and(|since| since < settles_at);
--- a/components/gateway/src/control/rollouts.rs
+++ b/components/gateway/src/control/rollouts.rs
@@ -1,4 +1,4 @@
-//! What is known of the roll-outs that were ordered.
+//! State of the roll-outs that were ordered.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -14,19 +14,20 @@
 use crate::gossip;
 use crate::versions::Digest;
 
-/// Evidence is sent this often while it grows: a bad version is to be found within seconds.
+/// Shortest pause between reports of growing evidence: a bad version must be detected within seconds.
 const EVIDENCE_PAUSE: Duration = Duration::from_millis(300);
-/// Who carries an order out says so every half second; after this time another may.
+/// The gateway that carries out an order reports this every half second. After this time without a report
+/// another gateway may have taken over.
 const HOLDER_KNOWN_FOR: Duration = Duration::from_secs(3);
 
-/// What the holder of the lease said of an order.
+/// Stage of an order as the holder of the lease reported it.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Heard {
-    /// How far it is.
+    /// The stage.
     pub stage: Stage,
-    /// When that was said, on the own clock.
+    /// Time of the report, on this gateway's clock.
     pub at: Duration,
-    /// Where evidence is taken.
+    /// Address to which evidence is sent.
     pub holder: SocketAddr,
 }
 
@@ -35,56 +36,54 @@
 pub(crate) enum OrderChange {
     /// The order is the known one, or older.
     Unchanged,
-    /// The order is a new one.
+    /// The order is new.
     New,
     /// The order is the known one, rewritten in a restored store under another revision.
     Renumbered,
 }
 
-/// One order.
+/// An order and its state.
 #[derive(Debug)]
 pub(crate) struct Ordered {
-    /// The order.
     pub order: Order,
     /// Era of the store that its revision belongs to.
     pub era: u64,
-    /// The store's steady time at which it was seen first.
+    /// Monotonic time of the store at which the order was first seen.
     pub stamp: Duration,
-    /// What was said of it.
+    /// The latest reported stage.
     pub heard: Option<Heard>,
-    /// What this gateway saw endpoints answer.
+    /// Answers of endpoints that this gateway saw.
     own: Evidence,
     own_changed: bool,
     sent_at: Duration,
-    // What others saw.
+    // Answers that other gateways saw.
     others: BTreeMap<Source, Evidence>,
-    /// What this gateway knows as the one that carries it out.
+    /// State of the execution, if this gateway carries out the order.
     pub carried: Option<Carried>,
 }
 
-/// What is known by whoever carries an order out.
+/// State of an order's execution at the gateway that carries it out.
 #[derive(Debug)]
 pub(crate) struct Carried {
-    /// What is to be done next.
+    /// Decides the next step.
     pub plan: Plan,
-    /// The store's steady time of the order, as the first holder wrote it.
+    /// Monotonic time of the store at the order, as the first holder wrote it.
     pub ordered_stamp: Duration,
-    /// Revision of the row that keeps the decision.
+    /// Revision of the row that holds the decision.
     pub revision: Revision,
     /// The decision in that row.
     pub decision: Option<Decision>,
-    /// Revision of the operator's row, and what stands there; `None` until it was read.
+    /// The operator's status row; `None` until it is read.
     pub status: Option<Status>,
-    /// Time of the slowest of the last calls of the store.
+    /// Decaying maximum of the time of store calls.
     pub call_time: Duration,
 }
 
-/// The operator's row as it stands.
+/// The operator's status row.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(crate) struct Status {
-    /// Its revision, [`Revision::ABSENT`] if there is none.
+    /// Its revision, [`Revision::ABSENT`] if the row does not exist.
     pub revision: Revision,
-    /// Its value.
     pub value: Vec<u8>,
 }
 
@@ -100,14 +99,14 @@
         self.heard.and_then(|heard| heard.stage.decision())
     }
 
-    /// All answers since the order.
+    /// Sum of the answers that all gateways saw since the order.
     pub fn evidence(&self) -> Evidence {
         let mut sum = self.own.clone();
         self.others.values().for_each(|other| sum.add(other));
         sum
     }
 
-    /// The plan for this order.
+    /// Creates the plan for this order.
     pub fn plan(&self, settings: &GatewaySettings) -> Plan {
         let terms = Terms {
             fraction: f64::from(settings.exposure_milli) / 1000.0,
@@ -116,7 +115,8 @@
         Plan::new(self.order.clone(), terms)
     }
 
-    // Moves the order to the revision under which it was rewritten in a restored store. Evidence and stage are kept.
+    // Moves the order to the revision under which it was rewritten in a restored store. Evidence and stage are
+    // kept.
     fn renumber(&mut self, order: Order, era: u64) -> OrderChange {
         let is_renumbered = self.order.revision != order.revision;
         self.era = era;
@@ -128,7 +128,8 @@
         }
     }
 
-    // What was said later holds; a decision stays.
+    // Applies the report if it is newer than the known one; a decision is final. Returns whether the stage
+    // changed.
     fn receive(&mut self, heard: Heard) -> bool {
         let is_known = self.heard.is_some_and(|known| known.at >= heard.at);
         if is_known || self.decision().is_some() {
@@ -141,7 +142,7 @@
 }
 
 impl Rollouts {
-    /// Takes an order that the store reported in an era and at a steady time of its own.
+    /// Applies an order that the store reported in `era` at its monotonic time `stamp`.
     pub fn order(&mut self, order: Order, era: u64, stamp: Duration) -> OrderChange {
         if let Some(known) = self.orders.get_mut(&order.service) {
             let is_older = known.era == era && known.order.revision >= order.revision;
@@ -167,21 +168,22 @@
         OrderChange::New
     }
 
-    /// Discards what was read of roll-out rows, so that the rows are read again: a restored store may lack them.
+    /// Discards what was read from roll-out rows, so that the rows are read again: a restored store may lack
+    /// them.
     pub fn invalidate_carried(&mut self) {
         for ordered in self.orders.values_mut() {
             ordered.carried = None;
         }
     }
 
-    /// Takes what the holder said; `true` if the stage is another than before.
+    /// Applies a report of the holder. Returns whether the stage changed.
     pub fn receive(&mut self, service: &str, revision: u64, heard: Heard) -> bool {
         let ordered = self.orders.get_mut(service);
         let ordered = ordered.filter(|ordered| ordered.order.revision == revision);
         ordered.is_some_and(|ordered| ordered.receive(heard))
     }
 
-    /// Notes an answer that this gateway saw.
+    /// Records an answer that this gateway saw.
     pub fn note(&mut self, reported: &Digest) {
         let ordered = self.orders.get_mut(&reported.service);
         if let Some(ordered) = ordered.filter(|o| o.order.revision == reported.revision) {
@@ -191,7 +193,7 @@
         }
     }
 
-    /// Takes what another gateway saw: sums since the order, so the newest replaces what came before.
+    /// Replaces another gateway's evidence: reports are cumulative since the order.
     pub fn receive_evidence(&mut self, source: &Source, reported: &EvidenceReport) {
         let ordered = self.orders.get_mut(&reported.service_name);
         let ordered = ordered.filter(|o| o.order.revision == reported.revision.max(0) as u64);
@@ -201,7 +203,7 @@
         }
     }
 
-    /// Own evidence that is due, and where it is taken.
+    /// This gateway's evidence that is due, with the addresses to send it to.
     pub fn evidence_due(
         &mut self,
         now: Duration,
@@ -224,7 +226,7 @@
         due
     }
 
-    /// What is known of all orders, as it is reported.
+    /// Reports of all orders for the other gateways.
     pub fn reported(&self, now: Duration) -> Vec<RolloutReport> {
         let heard = self.orders.iter().filter_map(|(service, ordered)| {
             let heard = ordered.heard?;
@@ -240,15 +242,15 @@
         heard.collect()
     }
 
-    /// Whether a service's endpoints are to be left as they are: both versions stand, and are counted together
-    /// by nobody.
+    /// Whether autoscaling must leave a service's endpoints unchanged: during a roll-out both versions run, and no
+    /// gateway counts them together.
     pub fn is_under_way(&self, service: &str) -> bool {
         let ordered = self.orders.get(service);
         ordered.is_some_and(|ordered| ordered.decision().is_none())
     }
 
-    /// Whether an endpoint counts among those that serve: not one of an ordered version that is not completed. The
-    /// old ones are gone soon after that.
+    /// Whether an endpoint counts as serving. Endpoints of an ordered version count only once the roll-out is
+    /// completed; the old ones are removed soon after that.
     pub fn counts(&self, endpoint: &Endpoint) -> bool {
         let Some(ordered) = self.orders.get(&endpoint.service) else {
             return true;
--- a/components/gateway/src/control/rows.rs
+++ b/components/gateway/src/control/rows.rs
@@ -1,4 +1,4 @@
-//! Rows of the store, taken into force.
+//! Applies rows of the store.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -15,7 +15,7 @@
 use crate::update::Update;
 
 impl<S: Store + 'static, O: Orders + 'static> Shared<S, O> {
-    /// Takes a row that the operator wrote.
+    /// Applies a row that the operator wrote.
     pub fn take_operator_row(&self, change: &Change, stamp: Duration) {
         if change.key == self.store.configuration_key() {
             self.take_configuration(change);
@@ -24,8 +24,8 @@
         }
     }
 
-    /// Takes a row that the operator wrote, from the first list of a restored store. A row that lacks the known order of
-    /// its service, or holds another one, is deferred, as the operator may rewrite the order.
+    /// Applies a row that the operator wrote, from the first list of a restored store. A row that lacks the
+    /// known order of its service, or holds another one, is deferred, as the operator may rewrite the order.
     pub fn take_restored_operator_row(&self, change: &Change, stamp: Duration) {
         let now = self.clock.now();
         let service = self.store.rollout_service(&change.key);
@@ -118,13 +118,13 @@
         let _ = self.updates.send(Update::Configuration(configuration));
     }
 
-    /// Takes the row of an endpoint.
+    /// Applies the row of an endpoint.
     pub fn take_endpoint(&self, change: &Change) {
         self.take_endpoint_row(change, false);
     }
 
-    /// Takes the row of an endpoint from the first list of a restored store. The row may be outdated, or missing while
-    /// the endpoint is running.
+    /// Applies the row of an endpoint from the first list of a restored store. The row may be outdated, or
+    /// missing while the endpoint is running.
     pub fn take_restored_endpoint(&self, change: &Change) {
         let now = self.clock.now();
         let mut known = self.known.borrow_mut();
@@ -151,7 +151,8 @@
         let endpoint = match self.store.endpoint(&change.key, value) {
             Ok(endpoint) => endpoint,
             Err(fault) => {
-                // It may be another writer's: it names no endpoint, not even the one that it named before.
+                // Another writer may have written the row. It describes no endpoint, so the one that it
+                // described before is dropped too.
                 self.metrics.count(Counter::EntriesPassedOver);
                 warn!(self.log, "entry passed over"; "endpoint" => &change.key,
                     "revision" => change.revision.number, "cause" => fault.0);
--- a/components/gateway/src/control/scaling.rs
+++ b/components/gateway/src/control/scaling.rs
@@ -1,4 +1,4 @@
-//! Orders of endpoints: what is asked for, and what is planned and ordered for it.
+//! Autoscaling of endpoints: measures the demand, plans the endpoints and orders them.
 
 use std::collections::{BTreeSet, HashMap, VecDeque};
 use std::time::Duration;
@@ -15,29 +15,29 @@
 use crate::ports::{OrderReply, Orders, Store, Topic};
 use crate::tally::ServiceLoad;
 
-/// Pause between plans of endpoints.
+/// Pause between plans.
 const PLAN_PAUSE: Duration = Duration::from_millis(500);
-/// Plans in a row that are carried out at most: one for each hall that turns out to be closed, and some.
+/// Upper limit of consecutive plans: one for each hall that turns out to have no capacity, and a few more.
 const MOST_PLANS: usize = 6;
-/// Span over which prompts are counted.
+/// Time window over which prompt tokens are counted.
 const DEMAND_SPAN: Duration = Duration::from_secs(5);
-/// Shortest span over which they are averaged.
+/// Shortest time window over which they are averaged.
 const SHORTEST_SPAN: Duration = Duration::from_secs(1);
-/// Part of streams whose pauses and time-outs are to hold at the load that is planned for.
+/// Share of streams whose limits on pauses and duration must hold under the planned load.
 const IN_TIME_SHARE: f64 = 0.95;
-/// Requests of one second that are kept at most for the count.
+/// Upper limit of samples that are kept for the count, about the requests of one second.
 const MOST_SAMPLES: usize = 20_000;
 
-/// Prompt tokens sent to endpoints by all gateways, of the last seconds.
+/// Prompt tokens that all gateways sent to endpoints within the demand window.
 #[derive(Debug, Default)]
 pub(crate) struct Demand {
     samples: VecDeque<(Duration, u64, u32)>,
-    // First sample after a time without any.
+    // Time of the first sample after a time without any.
     since: Option<Duration>,
 }
 
 impl Demand {
-    /// Notes a request.
+    /// Records a request.
     pub fn add(&mut self, at: Duration, endpoint: u64, unread_tokens: u32) {
         if self.samples.is_empty() {
             self.since = Some(at);
@@ -48,7 +48,7 @@
         }
     }
 
-    /// Tokens a second, by endpoint hash.
+    /// Prompt tokens per second, by endpoint hash.
     fn tokens_per_s(&mut self, now: Duration) -> HashMap<u64, f64> {
         let from = now.saturating_sub(DEMAND_SPAN);
         self.samples.retain(|(at, ..)| *at >= from);
@@ -56,7 +56,7 @@
         for (_, endpoint, tokens) in &self.samples {
             *sums.entry(*endpoint).or_default() += f64::from(*tokens);
         }
-        // A load that has just begun was not there for the whole span.
+        // A load that has just begun does not cover the whole window.
         let lasted = now.saturating_sub(self.since.unwrap_or(from));
         let span = lasted.clamp(SHORTEST_SPAN, DEMAND_SPAN).as_secs_f64();
         sums.values_mut().for_each(|sum| *sum /= span);
@@ -79,7 +79,7 @@
             return;
         }
         let asked = self.observe_load();
-        // A hall that turns out to be closed changes the plan for the others.
+        // A hall that turns out to have no capacity changes the plan for the others.
         for _ in 0..MOST_PLANS {
             if self.holder().is_none() || !self.carry_out_plan(&asked).await {
                 return;
@@ -87,7 +87,7 @@
         }
     }
 
-    // Returns whether a hall that was open refused an order.
+    // Returns whether a hall refused an order that was thought to have capacity.
     async fn carry_out_plan(&self, asked: &[RegionLoad]) -> bool {
         let mut hall_closed = false;
         for (service, orders) in self.plan(asked) {
@@ -187,7 +187,8 @@
 }
 
 impl Known {
-    /// Requests that run at a service's serving endpoints, and slots of the ready ones of an ordered version.
+    /// Requests that run at a service's endpoints, and the slots of its ready endpoints that run the ordered
+    /// version.
     pub fn running_and_new_slots(&self, order: &Order) -> (u32, u32) {
         let of_service = self
             .endpoints
@@ -199,8 +200,8 @@
         (requests, new.map(|endpoint| endpoint.slots).sum())
     }
 
-    // What is asked of each service whose endpoints are ordered, in each region. Requests stay in their region, so
-    // each one is planned by itself over its own halls.
+    // Load of each autoscaled service by region. Requests stay in their region, so each region is planned
+    // separately over its own halls.
     fn region_loads(&mut self, now: Duration) -> Vec<RegionLoad> {
         let Some(configuration) = self.configuration.clone() else {
             return Vec::new();
@@ -229,7 +230,7 @@
         asked
     }
 
-    // What the endpoints of a service can bear, by all that gateways saw of them.
+    // What an endpoint of the service can sustain, from the engine statistics of all gateways.
     fn bearing_of(&self, service: &str) -> Bearing {
         if !self.loads.get(service).is_some_and(|load| load.has_engines) {
             return Bearing::Slots;
@@ -243,11 +244,11 @@
     }
 }
 
-// What is asked of a service in one region, and what is held and offered there.
+// Load of a service in one region, and the endpoints that are held and can be ordered there.
 struct RegionLoad {
     // Service and region.
     key: (String, String),
-    // Regions in which the service has endpoints.
+    // Count of regions in which the service has endpoints.
     regions: usize,
     load: Load,
     held: Fleet,
--- a/components/gateway/src/peers.rs
+++ b/components/gateway/src/peers.rs
@@ -1,4 +1,4 @@
-//! The other gateways: who is heard, who is silent, and where they are. Pure.
+//! The other gateways: which are alive, which are silent, and their addresses. Does no I/O.
 
 mod halls;
 mod peer;
@@ -17,49 +17,50 @@
 use crate::peers::peer::{Peer, TRY_ADDRESS_FOR};
 use crate::peers::regions::HallLists;
 
-/// A silent gateway is forgotten after this long.
+/// Time without a message after which a gateway is forgotten.
 const FORGET_AFTER: Duration = Duration::from_secs(20);
-/// Key of the order in which gateways hold calls at the store.
+/// Hash key of the order in which coordinators keep long polls open at the store.
 const WATCH_KEY: u64 = 0x7761_7463;
 
-/// Others that may be running while nothing is known of them.
+/// Count of other gateways that is assumed while none is known.
 const ASSUMED: usize = 100;
-/// A process that started at most this long before this one is recent: whatever it did since its start
-/// still counts.
+/// A process that started at most this long before this one counts as recently started: everything it did since
+/// its start still counts.
 const RECENT: Duration = Duration::from_secs(3);
 
-/// How many gateways there are.
+/// Counts of the other gateways.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct PeerCount {
-    /// Others that are heard.
+    /// Gateways from which a recent message was received.
     pub heard: usize,
-    /// Others that were heard and are silent now, or were never heard and may be running.
+    /// Gateways that fell silent, or that were never heard and may be running.
     pub silent: usize,
 }
 
 impl PeerCount {
-    /// Gateways that may be running, this one included.
+    /// Count of the gateways that may be running, this one included.
     pub fn gateways(self) -> usize {
         1 + self.heard + self.silent
     }
 
-    /// Part of all gateways that hear each other, this one included.
+    /// Share of all gateways that are alive, this one included.
     pub fn live_part(self) -> f64 {
         (1 + self.heard) as f64 / self.gateways() as f64
     }
 }
 
-/// Whether what another process reported first is all of recent time, by how long each has run.
+/// Whether a process started so recently that the first totals it reports lie within recent time; both
+/// arguments are times since the start of a process.
 pub fn is_recent(own_uptime: Duration, uptime: Duration) -> bool {
     uptime <= own_uptime + RECENT
 }
 
-/// What a message of another gateway means.
+/// Effect of a received message.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Receipt {
-    /// It is gossip.
+    /// The message is newer than the known state.
     Gossip,
-    /// It is older than what is known, or comes twice.
+    /// The message is older than the known state, or a duplicate.
     Stale,
 }
 
@@ -69,13 +70,13 @@
     own: Listed,
     topology: Topology,
     peers: BTreeMap<String, Peer>,
-    // Addresses learnt from the settings or others, and since when they are tried.
+    // Addresses from the settings or other gateways with no known gateway, and when they were added.
     addresses: BTreeMap<SocketAddr, Duration>,
-    // Whether the store's list of gateways was read, and what of it where it is read by halls.
+    // Whether the store's list of gateways is read; where it is read by halls, `lists` holds the progress.
     listed: bool,
     lists: HallLists,
     lease: Option<HeldLease>,
-    // Newest epoch that its holder gave up, and when that was heard first.
+    // Highest epoch that its holder released, and when the release was first reported.
     given_up: Option<(i64, Duration)>,
 }
 
@@ -87,7 +88,7 @@
 }
 
 impl Peers {
-    /// Nobody known yet but the gateway itself.
+    /// Creates a set that contains no other gateway.
     pub fn new(own: Listed) -> Self {
         Peers {
             topology: Topology::new(&own.hall, "", &BTreeMap::new()),
@@ -101,12 +102,12 @@
         }
     }
 
-    /// Takes the regions of all halls.
+    /// Sets the regions of all halls.
     pub fn set_topology(&mut self, topology: Topology) {
         self.topology = topology;
     }
 
-    /// An address at which a gateway may be.
+    /// Adds an address at which a gateway may run.
     pub fn learn(&mut self, now: Duration, address: SocketAddr) {
         let is_known = self.peers.values().any(|peer| peer.address == address);
         if address != self.own.address && !is_known {
@@ -114,7 +115,7 @@
         }
     }
 
-    /// The store's list of gateways was read.
+    /// Applies the store's list of gateways.
     pub fn listed(&mut self, now: Duration, gateways: impl Iterator<Item = Listed>) {
         self.listed = true;
         self.take_listed(now, gateways);
@@ -133,12 +134,12 @@
         }
     }
 
-    /// Whether the store's list of gateways was read.
+    /// Whether the store's list of gateways is read.
     pub fn is_listed(&self) -> bool {
         self.listed
     }
 
-    /// A message came from a gateway.
+    /// Records a message of a gateway.
     pub fn receive(&mut self, now: Duration, greeting: Greeting) -> Receipt {
         let name = greeting.name.clone();
         let known = self.peers.get(&name);
@@ -168,8 +169,8 @@
         Receipt::Gossip
     }
 
-    /// Whether this gateway is among the first `count` of the coordinators that are heard and reach the
-    /// store, in an order that all of them agree on.
+    /// Whether this gateway is among the first `count` of the live coordinators that reach the store, in an
+    /// order that all of them agree on.
     pub fn is_among_first(&self, now: Duration, count: usize) -> bool {
         if !self.coordinates(now) {
             return false;
@@ -183,12 +184,12 @@
         rank(WATCH_KEY, names.chain([own]), count).contains(&own)
     }
 
-    /// Whether a gateway is heard.
+    /// Whether a gateway is alive.
     pub fn is_alive(&self, now: Duration, name: &str) -> bool {
         self.peers.get(name).is_some_and(|peer| peer.is_alive(now))
     }
 
-    /// Whether any coordinator is heard.
+    /// Whether any other coordinator is alive.
     pub fn has_live_coordinator(&self, now: Duration) -> bool {
         self.peers.values().any(|peer| peer.coordinates(now))
     }
@@ -200,17 +201,17 @@
         peer.map(|peer| peer.hall.as_str())
     }
 
-    /// Whether a gateway was heard and has not stopped or been forgotten since.
+    /// Whether a gateway is listed or was heard, and has neither stopped nor been forgotten since.
     pub fn knows(&self, name: &str) -> bool {
         self.peers.contains_key(name)
     }
 
-    /// A gateway says that it stops.
+    /// Removes a gateway that stops.
     pub fn leave(&mut self, name: &str) {
         self.peers.remove(name);
     }
 
-    /// Another gateway holds the lease under this epoch.
+    /// Records that another gateway holds the lease under this epoch.
     pub fn receive_lease(&mut self, now: Duration, epoch: i64, holder: SocketAddr) {
         if self.lease.is_none_or(|known| epoch >= known.epoch) {
             self.lease = Some(HeldLease {
@@ -221,37 +222,37 @@
         }
     }
 
-    /// Epoch of the lease that was heard last, and where its holder is reached.
+    /// Latest known epoch of the lease, and its holder's address.
     pub fn lease_holder(&self) -> Option<(i64, SocketAddr)> {
         self.lease.map(|lease| (lease.epoch, lease.holder))
     }
 
-    /// The holder of the lease under this epoch gave it up.
+    /// Records that the holder of the lease under this epoch released it.
     pub fn receive_given_up(&mut self, now: Duration, epoch: i64) {
         if self.given_up.is_none_or(|(known, _)| epoch > known) {
             self.given_up = Some((epoch, now));
         }
     }
 
-    /// Whether a holder of the lease was heard within `time` and has not given it up since.
+    /// Whether a holder of the lease was heard within `time` and has not released it since.
     pub fn holder_alive(&self, now: Duration, time: Duration) -> bool {
         let given_up = self.given_up.map_or(i64::MIN, |(epoch, _)| epoch);
         self.lease
             .is_some_and(|lease| now < lease.heard_at + time && lease.epoch > given_up)
     }
 
-    /// Whether the lease was given up within `time`.
+    /// Whether a release of the lease was reported within `time`.
     pub fn given_up_within(&self, now: Duration, time: Duration) -> bool {
         self.given_up.is_some_and(|(_, at)| now < at + time)
     }
 
-    /// Whether another gateway that is heard reaches the store.
+    /// Whether another live gateway reaches the store.
     pub fn others_reach_store(&self, now: Duration) -> bool {
         let mut heard = self.peers.values().filter_map(|peer| peer.recent(now));
         heard.any(|greeting| greeting.reaches_store)
     }
 
-    /// Drops who was silent for too long and addresses that never answered.
+    /// Forgets gateways that were silent for too long and addresses from which no message came.
     pub fn tick(&mut self, now: Duration) {
         self.peers.retain(|_, peer| {
             let heard = peer.heard.as_ref();
@@ -261,13 +262,13 @@
             .retain(|_, since| now < *since + TRY_ADDRESS_FOR);
     }
 
-    /// Addresses that are tried and of which nothing else is known.
+    /// Addresses at which no gateway is known yet; messages are sent to them.
     pub fn tried_addresses(&self) -> BTreeSet<SocketAddr> {
         self.addresses.keys().copied().collect()
     }
 
-    /// Addresses of coordinators that are heard, at most `most`, beginning at one by `turn`: whoever starts
-    /// finds all others through them.
+    /// At most `most` addresses of live coordinators, starting at a position that advances with `turn`. Through
+    /// them a starting gateway finds all others.
     pub fn addresses(&self, now: Duration, turn: usize, most: usize) -> Vec<SocketAddr> {
         let heard = self.peers.values().filter(|peer| peer.coordinates(now));
         let all: Vec<SocketAddr> = heard.map(|peer| peer.address).collect();
--- a/components/gateway/src/peers/halls.rs
+++ b/components/gateway/src/peers/halls.rs
@@ -1,8 +1,8 @@
-//! Who decides for the gateways of a data hall, and how many gateways there are.
+//! Selection of the coordinators of each data hall, and the count of gateways.
 //!
-//! In each hall a few gateways coordinate: they decide for all others of the hall and exchange with the
-//! coordinators of all halls what they decided. So what gateways say to each other grows with the requests
-//! and with the halls, not with pairs of gateways. Where a hall has no more gateways than coordinators, each
+//! A few gateways of each hall are coordinators: they decide for all others of the hall and report their
+//! decisions to the coordinators of all halls. So the traffic between gateways grows with the requests and with
+//! the halls, not with pairs of gateways. In a hall with no more gateways than coordinators, each gateway
 //! decides for itself.
 
 use std::collections::{BTreeMap, BTreeSet};
@@ -14,56 +14,55 @@
 use routing::{rank, weight};
 use topology::Distance;
 
-/// Gateways of a hall that coordinate: two may be gone before the hall looks for others.
+/// Count of coordinators in a hall: two may fail before the hall has to look for others.
 pub(crate) const COORDINATORS: usize = 3;
-/// Gateways of its own hall to which one without any coordinator reports.
+/// Count of gateways of its own hall to which a gateway without a live coordinator reports.
 const WIDER_SEARCH: usize = 8;
-/// Gateways that decide, while nothing is known of them.
+/// Count of deciding gateways that is assumed while none is known.
 const ASSUMED_PLACING: usize = 100;
-/// Key of the order in which gateways of the same size coordinate.
+/// Hash key of the order in which gateways with the same CPU capacity become coordinators.
 const COORDINATION_KEY: u64 = 0x636f_6f72;
 
-/// Gateways of one hall.
+/// Counts of the gateways of one hall.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct HallCount {
-    /// Those that are heard.
+    /// Gateways from which a recent message was received.
     pub heard: usize,
-    /// Those that were heard and are silent now, or were never heard and may be running.
+    /// Gateways that fell silent, or that were never heard and may be running.
     pub silent: usize,
 }
 
-/// How this gateway decides about requests.
+/// The gateways that take decisions about requests, as this gateway sees them.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Fleet {
-    /// Gateways that may be running, this one included.
+    /// Count of the gateways that may be running, this one included.
     pub gateways: usize,
-    /// Part of what all gateways share that is used by what is decided here.
+    /// This gateway's part of what all gateways share, which its own decisions may use; from 0 to 1.
     pub part: f64,
     /// Whether this gateway decides, for itself and others.
     pub decides: bool,
-    /// Coordinators of the own hall that are heard, the one that is asked first before the others; empty if this
-    /// gateway decides itself.
+    /// Live coordinators of this gateway's hall in the order in which they are asked; empty if this gateway
+    /// decides itself.
     pub coordinators: Vec<SocketAddr>,
-    /// Gateways that decide, this one included, as far as it is known.
+    /// Count of the gateways that decide, this one included, as far as known.
     pub placing: usize,
-    /// Gateways that are asked when none of those decides, by what the store's list says: the own hall's coordinators
-    /// that were never heard, as after a start of all, then one coordinator of each other hall.
+    /// Gateways that are asked when none of `coordinators` decides, taken from the store's list: the
+    /// coordinators of this gateway's hall that were never heard, as after a start of all gateways, then one
+    /// coordinator of each other hall.
     pub others: Vec<SocketAddr>,
-    /// Those of `others` that lie in another region.
+    /// The gateways of `fallback_deciders` that are in another region.
     pub far: Vec<SocketAddr>,
-    /// Coordinators of all halls that keep accounts of endpoints that name limits, this one included; empty if this
-    /// gateway does not decide.
+    /// Coordinators of all halls that keep accounts of endpoints with a named limit, this gateway included;
+    /// empty if this gateway does not decide.
     pub keepers: Vec<AccountKeeper>,
 }
 
-/// A coordinator that keeps accounts of endpoints that name limits.
+/// A coordinator that keeps accounts of endpoints with a named limit.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct AccountKeeper {
-    /// Its name.
     pub name: String,
-    /// Its data hall.
     pub hall: String,
-    /// Where it is asked.
+    /// Address to which queries are sent.
     pub address: SocketAddr,
 }
 
@@ -83,14 +82,14 @@
 }
 
 impl Fleet {
-    /// Whether this gateway decides with no more than its own part though there are others.
+    /// Whether this gateway decides with no more than its equal part although there are other gateways.
     pub fn is_alone(&self) -> bool {
         self.gateways > 1 && self.part <= 1.0 / self.gateways as f64
     }
 }
 
 impl Peers {
-    /// Whether this gateway decides for others of its hall.
+    /// Whether this gateway is a coordinator of its hall.
     pub fn coordinates(&self, now: Duration) -> bool {
         let own = (self.own.cores_milli, self.own_weight());
         let before = |(name, peer): &(&String, &Peer)| {
@@ -99,10 +98,12 @@
         self.peers.iter().filter(before).count() < COORDINATORS
     }
 
-    /// Coordinators of all halls but this gateway, and those that may be coordinators.
+    /// Addresses of the coordinators of all halls except this gateway, and of gateways that may be
+    /// coordinators.
     pub fn coordinators(&self, now: Duration) -> BTreeSet<SocketAddr> {
         let halls: BTreeSet<&str> = self.peers.values().map(|p| p.hall.as_str()).collect();
-        // Also those not heard: a coordinator that waited to be addressed first might never be.
+        // Also those from which nothing was received: a coordinator that waited for the first message of the
+        // other side might never get one.
         let first = halls
             .into_iter()
             .flat_map(|hall| self.first_of(hall, now, COORDINATORS));
@@ -114,7 +115,8 @@
         meant.map(|(_, peer)| peer.address).collect()
     }
 
-    /// Coordinators of the own hall; more gateways of it if none of them is heard.
+    /// Addresses of the coordinators of this gateway's hall, or of more gateways of the hall if none of them is
+    /// alive.
     pub fn own_coordinators(&self, now: Duration) -> BTreeSet<SocketAddr> {
         let hall = self.own.hall.as_str();
         let mut first = self.first_of(hall, now, COORDINATORS);
@@ -125,7 +127,7 @@
         addresses.collect()
     }
 
-    /// Gateways of the own hall that do not coordinate.
+    /// Addresses of the gateways of this gateway's hall that are not coordinators.
     pub fn members(&self, now: Duration) -> BTreeSet<SocketAddr> {
         let coordinators = self.coordinators(now);
         let own_hall = self.peers.values().filter(|p| p.hall == self.own.hall);
@@ -134,14 +136,14 @@
         addresses.filter(|a| !coordinators.contains(a)).collect()
     }
 
-    /// Messages of these gateways are due from now on.
+    /// Records that messages of these gateways are due from now on.
     pub fn expect(&mut self, now: Duration, addresses: &BTreeSet<SocketAddr>) {
         let peers = self.peers.values_mut();
         let due = peers.filter(|peer| addresses.contains(&peer.address));
         due.for_each(|peer| peer.expect(now));
     }
 
-    /// How this gateway decides now.
+    /// The gateways and their deciders as of now.
     pub fn fleet(&self, now: Duration) -> Fleet {
         let count = self.count(now);
         if self.coordinates(now) {
@@ -170,7 +172,7 @@
         }
     }
 
-    /// Name of the coordinator that is asked first.
+    /// Name of the coordinator that this gateway asks first.
     pub fn asks(&self, now: Duration) -> Option<&str> {
         match self.coordinates(now) {
             true => None,
@@ -178,8 +180,8 @@
         }
     }
 
-    /// Gateways of the own hall, as far as this one hears them itself. Only that is reported to others: a count
-    /// taken from another coordinator would come back from it and never fall.
+    /// Counts of the gateways of this hall from which this gateway itself receives messages. Only these are
+    /// reported to others: counts taken from another coordinator would come back from it and never fall.
     pub fn hall_count(&self, now: Duration) -> HallCount {
         let own_hall = || self.peers.values().filter(|p| p.hall == self.own.hall);
         HallCount {
@@ -188,7 +190,7 @@
         }
     }
 
-    /// Gateways of all halls.
+    /// Counts of the gateways of all halls.
     pub fn count(&self, now: Duration) -> PeerCount {
         let own = self.hall_count(now);
         let reported = self.reported_count(&self.own.hall, now);
@@ -207,8 +209,8 @@
             silent += count.silent;
         }
         silent += self.assumed_unread(&own);
-        // Once the store's list is read, an address that is tried is one of a gateway counted already, or of one
-        // that was gone before.
+        // Once the store's list is read, an address without a known gateway belongs to a gateway that is
+        // already counted, or to one that was already gone.
         if !self.listed {
             silent += self.addresses.len();
         }
@@ -218,7 +220,7 @@
         PeerCount { heard, silent }
     }
 
-    /// Whether usage of a process is to be passed on by this gateway.
+    /// Whether this gateway must forward the usage of a process.
     pub fn passes_on_for(&self, now: Duration, gateway: &str) -> bool {
         let own = self.own.name.as_str();
         let peer = self.peers.get(gateway);
@@ -226,7 +228,8 @@
         gateway != own && asks.is_none_or(|asks| asks == own)
     }
 
-    // Gateways of halls of which nothing was read or heard yet: as many as in the own one.
+    // Assumed count of gateways in halls from which nothing was read or received yet: as many as in this
+    // gateway's hall.
     fn assumed_unread(&self, own: &HallCount) -> usize {
         let known = self.other_halls();
         let unread = self.lists.unread().filter(|hall| *hall != self.own.hall);
@@ -243,7 +246,7 @@
         halls
     }
 
-    // What the coordinator of a hall says that hears most.
+    // Counts from the coordinator of a hall that hears the most gateways.
     fn reported_count(&self, hall: &str, now: Duration) -> Option<HallCount> {
         let peers = self.peers.values().filter(|peer| peer.hall == hall);
         let reported = peers.filter_map(|peer| peer.recent(now)?.hall_count);
@@ -255,7 +258,7 @@
         peers.filter_map(|peer| peer.recent(now)?.gateways).max()
     }
 
-    // Coordinators of the own hall that are heard, in an order that differs from gateway to gateway.
+    // Live coordinators of this gateway's hall, in an order that differs between gateways.
     fn decider_names(&self, now: Duration) -> Vec<&str> {
         let first = self.first_of(&self.own.hall, now, COORDINATORS);
         let heard = first.into_iter().filter(|name| {
@@ -296,8 +299,8 @@
         unheard.filter_map(|peer| peer.decisions).collect()
     }
 
-    // One coordinator of each other hall, of the own region and of others, in an order that differs from gateway to
-    // gateway. They are not heard here, so these are the ones that the store's list makes coordinators.
+    // One coordinator of each other hall, in this region and in other regions, in an order that differs between
+    // gateways. This gateway receives no messages from them, so they are selected from the store's list.
     fn deciders_elsewhere(&self, now: Duration) -> (Vec<SocketAddr>, Vec<SocketAddr>) {
         let own = weight(COORDINATION_KEY, &self.own.name);
         let mut halls: Vec<&str> = self.other_halls().into_keys().collect();
@@ -313,7 +316,8 @@
         (deciders(near), deciders(far))
     }
 
-    // The gateways of a hall that come first, but this one: the largest, then by an order that all agree on.
+    // The first gateways of a hall, except this one: by CPU capacity, then by a hash order that all gateways
+    // agree on.
     pub(super) fn first_of(&self, hall: &str, now: Duration, count: usize) -> Vec<&str> {
         let of_hall = self.peers.iter().filter(|(_, peer)| peer.hall == hall);
         let up = of_hall.filter(|(_, peer)| !peer.is_down(now));
--- a/components/gateway/src/peers/peer.rs
+++ b/components/gateway/src/peers/peer.rs
@@ -1,60 +1,59 @@
-//! One other gateway.
+//! State of one other gateway.
 
 use std::net::SocketAddr;
 use std::time::Duration;
 
 use crate::peers::HallCount;
 
-/// A gateway not heard for this long is silent.
+/// Time without a message after which a gateway counts as silent.
 pub(super) const SILENT_AFTER: Duration = Duration::from_millis(1500);
-/// A gateway that was listed and never heard may be running for this long; its address is tried as long.
+/// Time for which a listed gateway that was never heard may be running, and for which messages are sent to its
+/// address.
 pub(super) const TRY_ADDRESS_FOR: Duration = Duration::from_secs(20);
-/// A gateway that gave no sign of life when one was due is passed over for this long.
+/// Time for which a gateway whose due message did not arrive counts as down.
 const PASSED_OVER_FOR: Duration = Duration::from_secs(5);
 
-/// A gateway as the store's list names it.
+/// A gateway in the store's list.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Listed {
-    /// Its name.
     pub name: String,
-    /// Where it is reached.
+    /// Address for gossip and rows.
     pub address: SocketAddr,
     /// Its data hall.
     pub hall: String,
-    /// Processor of its VM, in thousandths of a core.
+    /// CPU capacity of its VM, in thousandths of a core.
     pub cores_milli: i32,
-    /// Where it decides for others, if it coordinates.
+    /// Address for placement queries, used if it is a coordinator.
     pub decisions: Option<SocketAddr>,
 }
 
-/// What a message says of the gateway that sent it.
+/// Status of a gateway, as its messages contain it.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Greeting {
-    /// Its name.
     pub name: String,
-    /// Where the message came from.
+    /// Source address of the message.
     pub address: SocketAddr,
     /// Its data hall.
     pub hall: String,
-    /// Processor of its VM, in thousandths of a core.
+    /// CPU capacity of its VM, in thousandths of a core.
     pub cores_milli: i32,
-    /// Start of its process.
+    /// Start of its process; a restarted process has a higher value unless the wall clock was set back.
     pub incarnation: i64,
-    /// Counter of its messages.
+    /// Sequence number of the message.
     pub sequence: i64,
     /// Whether the store answered its last call.
     pub reaches_store: bool,
-    /// Whether it decides for others of its hall.
+    /// Whether it is a coordinator of its hall.
     pub coordinates: bool,
-    /// Where it does so.
+    /// Address for placement queries.
     pub decisions: Option<SocketAddr>,
-    /// Gateways of its hall, as it knows them.
+    /// Counts of the gateways of its hall, as it knows them.
     pub hall_count: Option<HallCount>,
-    /// Gateways of all halls, as it knows them.
+    /// Count of the gateways of all halls, as it knows them.
     pub gateways: Option<usize>,
     /// Coordinator that it asks first.
     pub asks: Option<String>,
-    /// Whether it keeps accounts of endpoints that name limits, if it coordinates.
+    /// Whether it keeps accounts of endpoints with a named limit, if it is a coordinator.
     pub keeps_accounts: bool,
 }
 
@@ -63,12 +62,12 @@
     pub address: SocketAddr,
     pub hall: String,
     pub cores_milli: i32,
-    /// Where it decides for others, if it coordinates.
+    /// Address for placement queries, used if it is a coordinator.
     pub decisions: Option<SocketAddr>,
     pub listed_at: Duration,
-    // The newest message, and when it came.
+    // Status in the newest message, and when that arrived.
     pub heard: Option<(Greeting, Duration)>,
-    // Since when a message of it is due and none came.
+    // Since when a message of this gateway is due, if none has arrived.
     due_since: Option<Duration>,
 }
 
@@ -94,7 +93,7 @@
         self.due_since = None;
     }
 
-    /// The newest message, if it is recent.
+    /// The newest status, if it is recent.
     pub fn recent(&self, now: Duration) -> Option<&Greeting> {
         let (greeting, at) = self.heard.as_ref()?;
         (now < *at + SILENT_AFTER).then_some(greeting)
@@ -104,13 +103,13 @@
         self.recent(now).is_some()
     }
 
-    /// Whether it is heard and decides for others.
+    /// Whether it is alive and a coordinator.
     pub fn coordinates(&self, now: Duration) -> bool {
         self.recent(now)
             .is_some_and(|greeting| greeting.coordinates)
     }
 
-    /// Whether it may be running without being heard.
+    /// Whether it may be running although no recent message came from it.
     pub fn is_silent(&self, now: Duration) -> bool {
         match self.heard {
             Some(_) => !self.is_alive(now),
@@ -118,7 +117,7 @@
         }
     }
 
-    /// A message of it is due from now on.
+    /// Records that a message is due from now on.
     pub fn expect(&mut self, now: Duration) {
         let overdue = |since: Duration| now >= since + SILENT_AFTER + PASSED_OVER_FOR;
         if !self.is_alive(now) && self.due_since.is_none_or(overdue) {
@@ -126,7 +125,7 @@
         }
     }
 
-    /// Whether it gave no sign of life when one was due.
+    /// Whether it is considered down: it fell silent, or it was never heard although a message was due.
     pub fn is_down(&self, now: Duration) -> bool {
         if self.heard.is_some() {
             return !self.is_alive(now);
@@ -135,8 +134,8 @@
         self.due_since.is_some_and(overdue)
     }
 
-    /// Whether a message is older than what is known. The time of day may have been set back, so a
-    /// silent process may be followed by one that seems to have started earlier.
+    /// Whether a message is older than the known state. The wall clock may have been set back, so the successor
+    /// of a silent process may seem to have started earlier.
     pub fn is_past(&self, now: Duration, greeting: &Greeting) -> bool {
         let Some((known, _)) = &self.heard else {
             return false;
--- a/components/gateway/src/peers/regions.rs
+++ b/components/gateway/src/peers/regions.rs
@@ -1,9 +1,10 @@
-//! Gateways of a deployment of several data halls: which halls' parts of the store's list are read here, and who reads
-//! the store for a region.
+//! Gateways of a deployment with several data halls: which halls' parts of the store's list this gateway reads,
+//! and which gateways read the store for a region.
 //!
-//! A gateway reads the part of its own hall; only those that coordinate, and those that hear none of their hall who does,
-//! read the others. So what a start of all costs a gateway and the store grows with a hall, not with the fleet; and where
-//! the store stands in another region, its thin link carries little.
+//! Each gateway reads the part of its own hall. Only coordinators, and gateways that hear no coordinator of
+//! their hall, read the others. So the cost of a start of all gateways grows with the size of a hall, not of
+//! the fleet, both for a gateway and for the store; and if the store is in another region, the narrow link to
+//! it carries little.
 
 use std::collections::BTreeSet;
 use std::time::Duration;
@@ -15,49 +16,50 @@
 use crate::peers::peer::Peer;
 use crate::peers::{Listed, Peers, WATCH_KEY};
 
-/// After it read its hall's part a gateway hears for so long who else runs, before it takes itself for one that
-/// coordinates or reads: when all start at once, each finds few others in the list. Three round trips over 60 ms
-/// and the next message, which is due at once.
+/// Time after reading its hall's part in which a gateway waits for messages of others, before it regards itself
+/// as a coordinator or reader: when all gateways start at once, each finds few others in the list. Three round
+/// trips of 60 ms and the next message, which is due at once.
 const SETTLE_TIME: Duration = Duration::from_millis(300);
-/// A gateway that was listed and not heard yet is taken to read the store for so long: its answer to the first message,
-/// which is due within 0.5 s.
+/// Time for which a listed gateway that was never heard is assumed to read the store: its answer to the first
+/// message is due within 0.5 s.
 const AWAITED_FOR: Duration = Duration::from_millis(600);
-/// A gateway that reads the store for its region and is not heard for so long is followed by another: two messages
-/// are due in that time.
+/// Time without a message after which another gateway replaces the reader of the region; two messages are due
+/// in that time.
 const READER_SILENCE: Duration = Duration::from_millis(1000);
-/// A gateway that hears no coordinator of its hall for so long after its start looks for others.
+/// Time after the start without a live coordinator of its hall after which a gateway looks for others.
 const LONELY_AFTER: Duration = Duration::from_millis(1500);
-/// Pause between the halls' lists that it reads then: one that answers is enough, and each list is a call.
+/// Pause between the halls' lists that it reads while looking: one answering gateway is enough, and each list
+/// takes a store call.
 const LONELY_PAUSE: Duration = Duration::from_millis(1000);
 
-/// What was read of the store's list, hall by hall.
+/// Progress of reading the store's list by halls.
 #[derive(Debug, Default)]
 pub(super) struct HallLists {
     unread: BTreeSet<String>,
     own_at: Option<Duration>,
-    // When the part of another hall was read last.
+    // When the part of another hall was last read.
     other_at: Option<Duration>,
 }
 
 impl HallLists {
-    /// Whether there are parts that were not read.
+    /// Whether there are unread parts.
     pub fn lacks_any(&self) -> bool {
         !self.unread.is_empty()
     }
 
-    /// Parts that were not read.
+    /// Halls whose parts are unread.
     pub fn unread(&self) -> impl Iterator<Item = &str> {
         self.unread.iter().map(String::as_str)
     }
 }
 
 impl Peers {
-    /// The store's list is read by halls, and these are all of them.
+    /// Sets the halls by which the store's list is read.
     pub fn expect_halls(&mut self, halls: BTreeSet<&str>) {
         self.lists.unread = halls.into_iter().map(str::to_string).collect();
     }
 
-    /// The part of the store's list for one hall was read.
+    /// Applies the part of the store's list for one hall.
     pub fn listed_hall(
         &mut self,
         now: Duration,
@@ -73,19 +75,19 @@
         self.listed = !self.lists.lacks_any();
     }
 
-    /// Whether the gateways of the own hall were read from the store's list.
+    /// Whether the gateways of this gateway's hall were read from the store's list.
     pub fn knows_own_hall(&self) -> bool {
         self.listed || self.lists.own_at.is_some()
     }
 
-    /// When the gateways of the own hall were read from the store's list.
+    /// When the gateways of this gateway's hall were read from the store's list.
     pub fn own_hall_read_at(&self) -> Option<Duration> {
         self.lists.own_at
     }
 
-    /// The hall whose part is to be read next, if any: the own one; then, where this gateway coordinates or hears
-    /// no coordinator of its hall, those of its region and after them the others, one after the other where it only
-    /// looks for somebody.
+    /// The hall whose part must be read next, if any: first this gateway's own. If this gateway is a
+    /// coordinator or hears no coordinator of its hall, then those of its region, then the others; with a pause
+    /// between them in the latter case.
     pub fn next_hall(&self, now: Duration, topology: &Topology) -> Option<String> {
         let own = &self.own.hall;
         if self.lists.unread.contains(own) {
@@ -99,9 +101,9 @@
         next.filter(|_| is_wanted).map(str::to_string)
     }
 
-    /// Whether this gateway reads the store for its region: it is among the first `count` of the coordinators of the
-    /// region that are heard, or awaited, and reach the store. The largest come first, since they pass everything on,
-    /// then by an order that all of them agree on.
+    /// Whether this gateway reads the store for its region: it is among the first `count` of the region's
+    /// coordinators that reach the store and are alive or may yet report. Those with the most CPU capacity come
+    /// first, as they also pass the rows on, then by a hash order that all of them agree on.
     pub fn reads_for_region(&self, now: Duration, topology: &Topology, count: usize) -> bool {
         let is_near = |hall: &str| topology.distance(hall) != Distance::OtherRegion;
         let knows_region = !self.lists.unread().any(is_near);
@@ -115,18 +117,18 @@
         places.filter(|place| *place > own).count() < count
     }
 
-    /// Whether a coordinator of the own hall is heard.
+    /// Whether another coordinator of this gateway's hall is alive.
     pub fn is_led(&self, now: Duration) -> bool {
         let mut own = self.peers.values().filter(|p| p.hall == self.own.hall);
         own.any(|peer| peer.coordinates(now))
     }
 
-    /// Whether any gateway is heard.
+    /// Whether any other gateway is alive.
     pub fn hears_any(&self, now: Duration) -> bool {
         self.peers.values().any(|peer| peer.is_alive(now))
     }
 
-    /// Whether coordinators had the time to be heard since the own hall's list was read.
+    /// Whether coordinators have had time to send a message since the list of this gateway's hall was read.
     pub fn has_waited_for_coordinators(&self, now: Duration) -> bool {
         let since = self.lists.own_at;
         since.is_none_or(|at| now >= at + LONELY_AFTER)
