--- a/components/gateway/src/control.rs
+++ b/components/gateway/src/control.rs
@@ -40,11 +40,11 @@
 
 use crate::alone::Alone;
 use crate::clock::{Clock, Suspensions};
-pub use crate::control::deflated::{inflate, Encoded, LastDeflated};
+pub use crate::control::deflated::{inflate, DeflatedReplyCache, EncodedReply};
 pub use crate::control::echoes::{round_trip, Echoes};
 pub(crate) use crate::control::known::Known;
 use crate::control::known::{change_due, PeerAddresses};
-pub(crate) use crate::control::passing::{name_of, topic_of, PASSED_ON};
+pub(crate) use crate::control::passing::{topic_by_name, topic_name, SHARED_TOPICS};
 use crate::control::region::spread_of;
 use crate::freshness::Freshness;
 use crate::ports::{Orders, Store};
@@ -113,7 +113,7 @@
     pub store_answers: Notify,
     pub started_wall: Duration,
     pub known: RefCell<Known>,
-    pub last_deflated: RefCell<LastDeflated>,
+    pub reply_cache: RefCell<DeflatedReplyCache>,
     pub store: S,
     pub orders: O,
 }
@@ -171,7 +171,7 @@
             store_answers: Notify::new(),
             started_wall: parts.clock.wall(),
             known: RefCell::new(self.known),
-            last_deflated: RefCell::default(),
+            reply_cache: RefCell::default(),
             store: store(),
             orders: orders(),
         });
@@ -193,7 +193,7 @@
     signals: Signals,
     read_settings: ReadSettings,
 ) {
-    for topic in PASSED_ON {
+    for topic in SHARED_TOPICS {
         tokio::task::spawn_local(Rc::clone(&shared).follow(topic));
     }
     let (reporting, ordering) = (Rc::clone(&shared), Rc::clone(&shared));
@@ -304,9 +304,9 @@
         let fleet = known.peers.fleet(now);
         if fleet != known.fleet {
             let count = known.peers.count(now);
-            info!(self.log, "gateways changed"; "heard" => count.heard, "silent" => count.silent,
+            info!(self.log, "gateways changed"; "heard" => count.alive, "silent" => count.silent,
                 "gateways" => fleet.gateways, "part_milli" => (fleet.part * 1000.0) as u64,
-                "coordinators" => fleet.coordinators.len(), "coordinates" => known.peers.coordinates(now));
+                "coordinators" => fleet.coordinators.len(), "coordinates" => known.peers.is_coordinator(now));
             known.fleet = fleet.clone();
             let _ = self.updates.send(Update::Fleet(fleet));
         }
--- a/components/gateway/src/control/deflated.rs
+++ b/components/gateway/src/control/deflated.rs
@@ -15,16 +15,16 @@
 
 /// An encoded reply.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Encoded {
+pub struct EncodedReply {
     pub bytes: Bytes,
     /// Whether the bytes are deflated.
     pub is_deflated: bool,
 }
 
-impl Encoded {
+impl EncodedReply {
     /// A reply without compression.
     pub fn plain(bytes: Vec<u8>) -> Self {
-        Encoded {
+        EncodedReply {
             bytes: bytes.into(),
             is_deflated: false,
         }
@@ -33,16 +33,16 @@
     // A reply that is deflated if it is long enough to be worth the CPU time, and if that makes it shorter.
     fn deflated(bytes: Vec<u8>) -> Self {
         if bytes.len() < LEAST_BYTES {
-            return Encoded::plain(bytes);
+            return EncodedReply::plain(bytes);
         }
         let mut encoder = ZlibEncoder::new(Vec::new(), Compression::fast());
         let written = encoder.write_all(&bytes).and_then(|()| encoder.finish());
         match written {
-            Ok(deflated) if deflated.len() < bytes.len() => Encoded {
+            Ok(deflated) if deflated.len() < bytes.len() => EncodedReply {
                 bytes: deflated.into(),
                 is_deflated: true,
             },
-            _ => Encoded::plain(bytes),
+            _ => EncodedReply::plain(bytes),
         }
     }
 }
@@ -50,20 +50,20 @@
 /// Cache of the reply that was deflated last: all gateways of a hall request the same change at almost the same
 /// time, and deflating it takes a small VM some ms.
 #[derive(Debug, Default)]
-pub struct LastDeflated {
-    last: Option<(RowsReply, Encoded)>,
+pub struct DeflatedReplyCache {
+    last: Option<(RowsReply, EncodedReply)>,
 }
 
-impl LastDeflated {
+impl DeflatedReplyCache {
     /// Encodes a reply. If it has the same rows as the cached one and no lower revision, the cached one is
     /// returned: it claims no later revision than the current one. `None` if the reply cannot be encoded.
-    pub fn reply(&mut self, reply: RowsReply) -> Option<Encoded> {
+    pub fn reply(&mut self, reply: RowsReply) -> Option<EncodedReply> {
         if let Some((last, encoded)) = &self.last {
             if has_same_rows(last, &reply) && last.known_to <= reply.known_to {
                 return Some(encoded.clone());
             }
         }
-        let encoded = Encoded::deflated(schema::encode(&reply).ok()?);
+        let encoded = EncodedReply::deflated(schema::encode(&reply).ok()?);
         if encoded.is_deflated {
             self.last = Some((reply, encoded.clone()));
         }
--- a/components/gateway/src/control/exchange.rs
+++ b/components/gateway/src/control/exchange.rs
@@ -17,7 +17,7 @@
 use crate::gossip;
 use crate::limit_reports::received_limits;
 use crate::listing::read_all;
-use crate::peers::{is_recent, Receipt};
+use crate::peers::{has_started_recently, Receipt};
 use crate::ports::{Orders, Store, StoreError, Topic};
 use crate::sights::received_sight;
 use crate::tally::Tally;
@@ -85,11 +85,11 @@
 
     // Reads the halls' parts of the list as they are needed.
     async fn list_halls(&self) {
-        while !self.known.borrow().peers.is_listed() {
+        while !self.known.borrow().peers.has_complete_list() {
             let now = self.clock.now();
             let next = {
                 let known = self.known.borrow();
-                known.peers.next_hall(now, &known.topology)
+                known.peers.next_hall_to_list(now, &known.topology)
             };
             match next {
                 Some(hall) => self.list_gateways(Some(&hall)).await,
@@ -126,8 +126,8 @@
         let _ = known.store_clock.earliest(sent, now, list.rows.stamp);
         known.note_store_call(now.saturating_sub(sent));
         match hall {
-            Some(hall) => known.peers.listed_hall(now, hall, listed),
-            None => known.peers.listed(now, listed),
+            Some(hall) => known.peers.apply_hall_list(now, hall, listed),
+            None => known.peers.apply_list(now, listed),
         }
         self.check_need(&mut known, now);
         // If the store turns out to be near, the topics are read from it now.
@@ -262,7 +262,7 @@
         }
         if known.looks_for_others(now) {
             for address in gossip::received_addresses(gossip) {
-                known.peers.learn(now, address);
+                known.peers.add_address(now, address);
             }
         }
         if gossip.lease_epoch > 0 {
@@ -273,11 +273,11 @@
             actions.extend(known.lease.step(now, LeaseEvent::HeadReported(head)));
         }
         if let Some(epoch) = gossip.lease_given_up {
-            known.peers.receive_given_up(now, epoch);
+            known.peers.receive_give_up(now, epoch);
             actions.extend(known.lease.step(now, LeaseEvent::GiveUpReported(epoch)));
         }
         if gossip.stopping {
-            known.peers.leave(&gossip.gateway);
+            known.peers.remove(&gossip.gateway);
             if was_alive {
                 info!(self.log, "gateway stops"; "gateway" => &gossip.gateway);
             }
@@ -319,7 +319,7 @@
                 gateway: gossip.gateway.clone(),
                 incarnation: gossip.incarnation,
                 taken: gossip::received_totals(gossip),
-                recent: is_recent(now, gossip::uptime(gossip)),
+                recent: has_started_recently(now, gossip::uptime(gossip)),
             });
         }
     }
--- a/components/gateway/src/control/forwarding.rs
+++ b/components/gateway/src/control/forwarding.rs
@@ -44,7 +44,7 @@
     fn forwarded(&self, now: Duration) -> Option<(SocketAddr, Vec<Vec<u8>>)> {
         let mut known = self.known.borrow_mut();
         let (epoch, holder) = known.peers.lease_holder()?;
-        if !known.peers.coordinates(now) || known.lease.order_epoch(now).is_some() {
+        if !known.peers.is_coordinator(now) || known.lease.order_epoch(now).is_some() {
             return None;
         }
         let windows = known.forwarding.due(self.clock.wall(), epoch);
@@ -67,8 +67,8 @@
         let mut reported = Vec::new();
         for window in windows.iter().copied() {
             let sources = known.ledger.sources(window);
-            let passed_on =
-                sources.filter(|(source, _)| known.peers.passes_on_for(now, &source.gateway));
+            let passed_on = sources
+                .filter(|(source, _)| known.peers.should_forward_usage_of(now, &source.gateway));
             reported.extend(passed_on.map(|(s, counts)| gossip::forwarded_of(window, s, counts)));
         }
         reported
--- a/components/gateway/src/control/kept.rs
+++ b/components/gateway/src/control/kept.rs
@@ -47,7 +47,8 @@
             let now = self.clock.now();
             let is_first = {
                 let known = self.known.borrow();
-                known.peers.is_listed() && known.peers.is_among_first(now, WATCHERS)
+                known.peers.has_complete_list()
+                    && known.peers.is_among_first_coordinators(now, WATCHERS)
             };
             row = match row {
                 _ if !is_first => None,
@@ -77,7 +78,7 @@
     fn is_stale(&self, row: &KeptRow, now: Duration) -> bool {
         let known = self.known.borrow();
         let others = known.peers.count(now);
-        let is_cut_off = others.silent > 0 || others.heard == 0;
+        let is_cut_off = others.silent > 0 || others.alive == 0;
         // A store restored from an older copy may lack the latest write.
         let is_restored = Some(row.revision.era) < known.newest_era;
         (is_restored || is_cut_off) && now >= row.read_at + READ_AGAIN
--- a/components/gateway/src/control/known.rs
+++ b/components/gateway/src/control/known.rs
@@ -23,10 +23,10 @@
 use crate::control::quarantine::ObservationQueue;
 use crate::control::rollouts::Rollouts;
 use crate::control::scaling::Demand;
-use crate::control::{Echoes, PASSED_ON};
+use crate::control::{Echoes, SHARED_TOPICS};
 use crate::day::Day;
 use crate::limit_reports::UntoldLimits;
-use crate::peers::{Fleet, Listed, Peers};
+use crate::peers::{GatewayFleet, ListedGateway, Peers};
 use crate::ports::{StoreEra, Topic};
 use crate::tally::{Sent, ServiceLoad};
 
@@ -77,7 +77,7 @@
     // `None` if there is only one region.
     pub echoes: Option<Echoes>,
     pub forwarding: Forwarding,
-    pub fleet: Fleet,
+    pub fleet: GatewayFleet,
     // Whether this gateway keeps long polls open at the store.
     pub watches: bool,
     // Shortest time that a store call took.
@@ -137,7 +137,7 @@
             limits: UntoldLimits::default(),
             sending: SendState::default(),
             echoes,
-            fleet: Fleet::default(),
+            fleet: GatewayFleet::default(),
             watches: false,
             store_time: None,
             list_refused: false,
@@ -175,7 +175,7 @@
 
 // Peers with the addresses that the settings name.
 fn first_peers(settings: &GatewaySettings, topology: &Topology, listening: PeerAddresses) -> Peers {
-    let mut peers = Peers::new(Listed {
+    let mut peers = Peers::new(ListedGateway {
         name: settings.name.clone(),
         address: listening.peers,
         hall: settings.zone.clone(),
@@ -184,16 +184,16 @@
     });
     peers.set_topology(topology.clone());
     if topology.has_several_halls() {
-        peers.expect_halls(topology.halls());
+        peers.set_halls(topology.halls());
     }
     for seed in settings.seeds.iter().filter_map(|seed| seed.parse().ok()) {
-        peers.learn(Duration::ZERO, seed);
+        peers.add_address(Duration::ZERO, seed);
     }
     peers
 }
 
 fn followed_topics(settings: &GatewaySettings) -> BTreeMap<Topic, Followed> {
-    let topics = PASSED_ON.into_iter();
+    let topics = SHARED_TOPICS.into_iter();
     topics
         .map(|topic| (topic, follow(topic, settings)))
         .collect()
--- a/components/gateway/src/control/lease.rs
+++ b/components/gateway/src/control/lease.rs
@@ -89,7 +89,7 @@
         let Some(unrenewed) = known.lease.time_since_renewal(now) else {
             return false;
         };
-        let turned_away = unrenewed >= UNRENEWED && known.peers.others_reach_store(now);
+        let turned_away = unrenewed >= UNRENEWED && known.peers.can_others_reach_store(now);
         (self.freshness.is_stopping() || turned_away) && known.orders.are_settled(now)
     }
 
@@ -98,16 +98,16 @@
     // no coordinator is alive.
     fn is_candidate(&self, now: Duration, known: &Known) -> bool {
         let peers = &known.peers;
-        let may_lead = match peers.coordinates(now) {
+        let may_lead = match peers.is_coordinator(now) {
             // When all gateways start at once, each regards itself as a coordinator until it has read the list.
-            true => peers.knows_own_hall() || may_decide_unlisted(now, known.list_refused, true),
+            true => peers.has_own_hall_list() || may_decide_unlisted(now, known.list_refused, true),
             false => !peers.has_live_coordinator(now),
         };
         let is_first = known.watches_store(now);
-        let waits = peers.given_up_within(now, FIRST_FOLLOWERS_TIME)
-            || peers.holder_alive(now, HOLDER_SILENCE + FIRST_FOLLOWERS_TIME)
+        let waits = peers.was_given_up_within(now, FIRST_FOLLOWERS_TIME)
+            || peers.is_holder_alive(now, HOLDER_SILENCE + FIRST_FOLLOWERS_TIME)
             || !peers.has_waited_for_coordinators(now);
-        may_lead && (is_first || !waits) && !peers.holder_alive(now, HOLDER_SILENCE)
+        may_lead && (is_first || !waits) && !peers.is_holder_alive(now, HOLDER_SILENCE)
     }
 
     pub fn act(self: &Rc<Self>, actions: Vec<LeaseAction>) {
--- a/components/gateway/src/control/messages.rs
+++ b/components/gateway/src/control/messages.rs
@@ -111,7 +111,7 @@
         let coordinates = known.speaks_for_others(now);
         let count = known.peers.hall_count(now);
         let reported_count = HallCount {
-            alive: count.heard as i32,
+            alive: count.alive as i32,
             silent: count.silent as i32,
         };
         Gossip {
@@ -138,7 +138,7 @@
             decisions_port: Some(i32::from(self.decisions_port)),
             hall_count: coordinates.then(|| Box::new(reported_count)),
             gateways: coordinates.then(|| known.peers.count(now).gateways() as i32),
-            asks: known.peers.asks(now).map(str::to_string),
+            asks: known.peers.preferred_coordinator(now).map(str::to_string),
             forwarded: None,
             rollouts: has_state.then(|| {
                 known
@@ -197,13 +197,13 @@
 impl Known {
     /// Whether the coordinators of all halls must know what this gateway does.
     pub fn speaks_for_others(&self, now: Duration) -> bool {
-        self.peers.coordinates(now) || self.lease.order_epoch(now).is_some()
+        self.peers.is_coordinator(now) || self.lease.order_epoch(now).is_some()
     }
 
     /// Whether addresses that other gateways report are contacted. Where the list is read by halls, a gateway
     /// that hears a coordinator of its hall needs no others.
     pub fn looks_for_others(&self, now: Duration) -> bool {
-        let is_led = || self.peers.is_led(now) && !self.speaks_for_others(now);
+        let is_led = || self.peers.has_live_own_coordinator(now) && !self.speaks_for_others(now);
         !self.topology.has_several_halls() || !is_led()
     }
 
@@ -213,9 +213,9 @@
         }
         self.sending.digest_at = now;
         let coordinators = self.peers.own_coordinators(now);
-        self.peers.expect(now, &coordinators);
+        self.peers.expect_messages(now, &coordinators);
         let mut due = vec![(Content::Report, coordinators)];
-        let tried = self.peers.tried_addresses();
+        let tried = self.peers.unconfirmed_addresses();
         if !tried.is_empty() {
             due.push((Content::Digest, tried));
         }
@@ -225,12 +225,12 @@
     fn due_of_coordinator(&mut self, now: Duration, changed: bool, long_prompt: bool) -> Due {
         let mut due = Due::new();
         let coordinators = self.peers.coordinators(now);
-        let tried = self.peers.tried_addresses();
+        let tried = self.peers.unconfirmed_addresses();
         let targets = coordinators.len() + tried.len();
         if changed || now >= self.sending.full_at + pause(targets, DATAGRAMS_PER_S) {
             self.sending.full_at = now;
             self.sending.requests_at = now;
-            self.peers.expect(now, &coordinators);
+            self.peers.expect_messages(now, &coordinators);
             due.push((Content::Full, coordinators));
         } else if long_prompt && now >= self.sending.requests_at + gap(targets) {
             self.sending.requests_at = now;
@@ -301,7 +301,7 @@
 
     fn addresses_to_send(&self, now: Duration) -> Vec<String> {
         let turn = self.sending.sequence as usize;
-        let addresses = self.peers.addresses(now, turn, MOST_ADDRESSES);
+        let addresses = self.peers.coordinator_addresses(now, turn, MOST_ADDRESSES);
         addresses.iter().map(SocketAddr::to_string).collect()
     }
 }
--- a/components/gateway/src/control/need.rs
+++ b/components/gateway/src/control/need.rs
@@ -27,8 +27,8 @@
     /// Starts to follow the endpoints when requests must be placed or endpoints ordered here, and stops some
     /// time after that.
     pub fn check_need(&self, known: &mut Known, now: Duration) {
-        let may_decide = known.peers.knows_own_hall()
-            || may_decide_unlisted(now, known.list_refused, known.peers.hears_any(now));
+        let may_decide = known.peers.has_own_hall_list()
+            || may_decide_unlisted(now, known.list_refused, known.peers.has_live_peer(now));
         let decides = may_decide && known.speaks_for_others(now);
         if decides || self.has_lost_coordinators(known, now) {
             if known.endpoints_needed_at.replace(now).is_none() {
@@ -46,7 +46,7 @@
     // If the coordinators of a hall are alive but slow, a gateway far from the store that fetched the endpoints
     // over their links would slow them down further.
     fn has_lost_coordinators(&self, known: &Known, now: Duration) -> bool {
-        let may_be_slow = known.is_far_from_store() && known.peers.is_led(now);
+        let may_be_slow = known.is_far_from_store() && known.peers.has_live_own_coordinator(now);
         let waits = match may_be_slow {
             true => SLOW_COORDINATORS_TIME.mul_f64(1.0 + self.spread),
             false => Duration::ZERO,
--- a/components/gateway/src/control/passing.rs
+++ b/components/gateway/src/control/passing.rs
@@ -18,7 +18,7 @@
 use topology::Distance;
 use transport::{Connection, FullBody};
 
-use crate::control::deflated::{inflate, Encoded};
+use crate::control::deflated::{inflate, EncodedReply};
 use crate::control::Shared;
 use crate::gossip::{received_revision, reported_era};
 use crate::plain;
@@ -40,10 +40,10 @@
 const MAX_QUERY: usize = 512;
 
 /// Topics whose rows gateways exchange.
-pub(crate) const PASSED_ON: [Topic; 2] = [Topic::Configuration, Topic::Endpoints];
+pub(crate) const SHARED_TOPICS: [Topic; 2] = [Topic::Configuration, Topic::Endpoints];
 
 /// A topic's name in messages between gateways, if its rows are exchanged.
-pub(crate) fn name_of(topic: Topic) -> Option<TopicName> {
+pub(crate) fn topic_name(topic: Topic) -> Option<TopicName> {
     match topic {
         Topic::Configuration => Some(TopicName::CONFIGURATION),
         Topic::Endpoints => Some(TopicName::ENDPOINTS),
@@ -57,9 +57,9 @@
 }
 
 /// The topic that a message names.
-pub(crate) fn topic_of(name: TopicName) -> Option<Topic> {
-    let mut passed_on = PASSED_ON.into_iter();
-    passed_on.find(|topic| name_of(*topic) == Some(name))
+pub(crate) fn topic_by_name(name: TopicName) -> Option<Topic> {
+    let mut passed_on = SHARED_TOPICS.into_iter();
+    passed_on.find(|topic| topic_name(*topic) == Some(name))
 }
 
 impl<S: Store + 'static, O: Orders + 'static> Shared<S, O> {
@@ -78,7 +78,7 @@
             self.note_pull_failure(topic, None);
             return;
         };
-        let pulled = match name_of(topic) {
+        let pulled = match topic_name(topic) {
             Some(name) if by_pages => pull_pages(from, name, after).await,
             Some(name) => pull_at_once(from, name, after).await,
             None => None,
@@ -148,11 +148,11 @@
         let Ok(query) = schema::decode::<RowsQuery>(&bytes) else {
             return plain::answer(StatusCode::BAD_REQUEST, Bytes::new());
         };
-        let topic = topic_of(query.topic);
+        let topic = topic_by_name(query.topic);
         let reply = topic.and_then(|topic| self.reply_to(topic, &query));
         let sent = reply.and_then(|reply| match query.takes_deflated {
-            Some(true) => self.last_deflated.borrow_mut().reply(reply),
-            _ => Some(Encoded::plain(schema::encode(&reply).ok()?)),
+            Some(true) => self.reply_cache.borrow_mut().reply(reply),
+            _ => Some(EncodedReply::plain(schema::encode(&reply).ok()?)),
         });
         let is_paged = query.most_bytes.is_some();
         let sent = sent.filter(|sent| is_paged || sent.bytes.len() <= MOST_PASSED_ON);
--- a/components/gateway/src/control/region.rs
+++ b/components/gateway/src/control/region.rs
@@ -20,8 +20,8 @@
     /// Whether this gateway keeps long polls open at the store, for all gateways or for those of its region.
     pub fn watches_store(&self, now: Duration) -> bool {
         match self.topology.has_several_halls() {
-            true => self.peers.reads_for_region(now, &self.topology, WATCHERS),
-            false => self.peers.is_among_first(now, WATCHERS),
+            true => self.peers.is_region_reader(now, &self.topology, WATCHERS),
+            false => self.peers.is_among_first_coordinators(now, WATCHERS),
         }
     }
 
--- a/components/gateway/src/decisions.rs
+++ b/components/gateway/src/decisions.rs
@@ -17,7 +17,7 @@
 
 use crate::job::Job;
 use crate::limit_reports::received_limits;
-use crate::peers::Fleet;
+use crate::peers::GatewayFleet;
 use crate::replies::Replies;
 use crate::sights::slowdown_of;
 use crate::traffic::Traffic;
@@ -75,10 +75,10 @@
 
 impl Asking {
     // The coordinators in the order in which they are asked: those that did not reply come last.
-    fn order(&self, now: Duration, fleet: &Fleet) -> Vec<SocketAddr> {
+    fn order(&self, now: Duration, fleet: &GatewayFleet) -> Vec<SocketAddr> {
         let mut passed_over = self.passed_over.borrow_mut();
         passed_over.retain(|_, until| now < *until);
-        let mut order = [fleet.coordinators.as_slice(), &fleet.others].concat();
+        let mut order = [fleet.coordinators.as_slice(), &fleet.fallback_deciders].concat();
         order.sort_by_key(|address| passed_over.contains_key(address));
         order.truncate(MOST_ASKED);
         order
@@ -249,7 +249,7 @@
     }
 
     async fn send_query(&self, by: SocketAddr, query: DecisionQuery) -> Option<DecisionReply> {
-        let is_far = self.state.borrow().fleet.far.contains(&by);
+        let is_far = self.state.borrow().fleet.far_deciders.contains(&by);
         let reply_time = match is_far {
             true => FAR_REPLY_TIME,
             false => REPLY_TIME,
--- a/components/gateway/src/gossip.rs
+++ b/components/gateway/src/gossip.rs
@@ -14,8 +14,8 @@
 use state::LeaseHead;
 use usage::Source;
 
-use crate::control::{name_of, topic_of};
-use crate::peers::{Greeting, HallCount, Listed};
+use crate::control::{topic_by_name, topic_name};
+use crate::peers::{HallCount, ListedGateway, PeerStatus};
 use crate::ports::Topic;
 use crate::tally::Sent;
 
@@ -63,8 +63,8 @@
 }
 
 /// The sender of gossip that came from an address.
-pub(crate) fn greeting(gossip: &Gossip, from: SocketAddr) -> Greeting {
-    Greeting {
+pub(crate) fn greeting(gossip: &Gossip, from: SocketAddr) -> PeerStatus {
+    PeerStatus {
         name: gossip.gateway.clone(),
         address: from,
         incarnation: gossip.incarnation,
@@ -72,14 +72,14 @@
         reaches_store: gossip.reaches_store.unwrap_or(true),
         hall: gossip.hall.clone().unwrap_or_default(),
         cores_milli: gossip.cores_milli.unwrap_or_default(),
-        coordinates: gossip.coordinates.unwrap_or_default(),
+        is_coordinator: gossip.coordinates.unwrap_or_default(),
         decisions: decisions_address(gossip.decisions_port, from),
         hall_count: gossip.hall_count.as_ref().map(|count| HallCount {
-            heard: count.alive.max(0) as usize,
+            alive: count.alive.max(0) as usize,
             silent: count.silent.max(0) as usize,
         }),
         gateways: gossip.gateways.map(|gateways| gateways.max(0) as usize),
-        asks: gossip.asks.clone(),
+        preferred_coordinator: gossip.asks.clone(),
         keeps_accounts: gossip.keeps_accounts.unwrap_or_default(),
     }
 }
@@ -90,10 +90,10 @@
 }
 
 /// A gateway as its row in the store names it.
-pub(crate) fn listed_of(name: &str, row: &[u8]) -> Option<Listed> {
+pub(crate) fn listed_of(name: &str, row: &[u8]) -> Option<ListedGateway> {
     let row = schema::decode::<GatewayRow>(row).ok()?;
     let address: SocketAddr = row.address.parse().ok()?;
-    Some(Listed {
+    Some(ListedGateway {
         name: name.to_string(),
         address,
         decisions: decisions_address(row.decisions_port, address),
@@ -153,7 +153,7 @@
 /// How far a topic is known, as it is reported; `None` for topics that are not passed on.
 pub(crate) fn head_of(topic: Topic, reported: Digest) -> Option<TopicHead> {
     Some(TopicHead {
-        topic: name_of(topic)?,
+        topic: topic_name(topic)?,
         changed_at: reported.changed_at.number as i64,
         confirmed_us: reported.confirmed.as_micros() as i64,
         known_to: reported.known_to.number as i64,
@@ -186,7 +186,7 @@
                 known_to: revision(head.known_to),
                 confirmed: Duration::from_micros(head.confirmed_us.max(0) as u64),
             };
-            Some((topic_of(head.topic)?, reported))
+            Some((topic_by_name(head.topic)?, reported))
         })
         .collect()
 }
--- a/components/gateway/src/handler.rs
+++ b/components/gateway/src/handler.rs
@@ -113,7 +113,7 @@
         let now = self.clock.now();
         let mut state = self.state.borrow_mut();
         let tenant = job.tenant.as_deref().unwrap_or_default();
-        let longest = match state.fleet.is_alone() {
+        let longest = match state.fleet.is_isolated() {
             true => ALONE_RETRY,
             false => Duration::MAX,
         };
--- a/components/gateway/src/lib.rs
+++ b/components/gateway/src/lib.rs
@@ -51,12 +51,13 @@
 
 pub use alone::Alone;
 pub use clock::Clock;
-pub use control::{inflate, round_trip, Echoes, Encoded, LastDeflated};
+pub use control::{inflate, round_trip, DeflatedReplyCache, Echoes, EncodedReply};
 pub use day::{Day, DayLook};
 pub use events::{Event, EventSplitter, SplitError};
 pub use freshness::Freshness;
 pub use link_parts::link_parts;
 pub use peers::{
-    is_recent, AccountKeeper, Fleet, Greeting, HallCount, Listed, PeerCount, Peers, Receipt,
+    has_started_recently, AccountKeeper, GatewayFleet, HallCount, ListedGateway, PeerCount,
+    PeerStatus, Peers, Receipt,
 };
 pub use run::{run, Gateway, GatewayError, Listening, Parts, ReadSettings, Signals};
--- a/components/gateway/src/link_parts.rs
+++ b/components/gateway/src/link_parts.rs
@@ -5,7 +5,7 @@
 use limits::{link_part_bytes_per_s, Decider};
 use topology::Topology;
 
-use crate::peers::COORDINATORS;
+use crate::peers::COORDINATORS_PER_HALL;
 
 /// Bytes a second by other region, of links that carry `kbit` kilobits a second each way; none where that is not known:
 /// then only the way itself is weighed. `gateways` are the most that were ever known: those that fell silent may be
@@ -37,5 +37,5 @@
 // regions do not hear each other.
 fn most_coordinators(topology: &Topology, region: &str) -> usize {
     let halls = topology.halls_of(topology.region()).len() + topology.halls_of(region).len();
-    halls * COORDINATORS
+    halls * COORDINATORS_PER_HALL
 }
--- a/components/gateway/src/peers.rs
+++ b/components/gateway/src/peers.rs
@@ -11,28 +11,28 @@
 use routing::rank;
 use topology::Topology;
 
-pub(crate) use crate::peers::halls::COORDINATORS;
-pub use crate::peers::halls::{AccountKeeper, Fleet, HallCount};
-pub use crate::peers::peer::{Greeting, Listed};
+pub(crate) use crate::peers::halls::COORDINATORS_PER_HALL;
+pub use crate::peers::halls::{AccountKeeper, GatewayFleet, HallCount};
+pub use crate::peers::peer::{ListedGateway, PeerStatus};
 use crate::peers::peer::{Peer, TRY_ADDRESS_FOR};
 use crate::peers::regions::HallLists;
 
 /// Time without a message after which a gateway is forgotten.
 const FORGET_AFTER: Duration = Duration::from_secs(20);
 /// Hash key of the order in which coordinators keep long polls open at the store.
-const WATCH_KEY: u64 = 0x7761_7463;
+const READER_RANK_KEY: u64 = 0x7761_7463;
 
 /// Count of other gateways that is assumed while none is known.
-const ASSUMED: usize = 100;
+const ASSUMED_GATEWAYS: usize = 100;
 /// A process that started at most this long before this one counts as recently started: everything it did since
 /// its start still counts.
-const RECENT: Duration = Duration::from_secs(3);
+const RECENT_START_TOLERANCE: Duration = Duration::from_secs(3);
 
 /// Counts of the other gateways.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct PeerCount {
     /// Gateways from which a recent message was received.
-    pub heard: usize,
+    pub alive: usize,
     /// Gateways that fell silent, or that were never heard and may be running.
     pub silent: usize,
 }
@@ -40,26 +40,26 @@
 impl PeerCount {
     /// Count of the gateways that may be running, this one included.
     pub fn gateways(self) -> usize {
-        1 + self.heard + self.silent
+        1 + self.alive + self.silent
     }
 
     /// Share of all gateways that are alive, this one included.
     pub fn live_part(self) -> f64 {
-        (1 + self.heard) as f64 / self.gateways() as f64
+        (1 + self.alive) as f64 / self.gateways() as f64
     }
 }
 
 /// Whether a process started so recently that the first totals it reports lie within recent time; both
 /// arguments are times since the start of a process.
-pub fn is_recent(own_uptime: Duration, uptime: Duration) -> bool {
-    uptime <= own_uptime + RECENT
+pub fn has_started_recently(own_uptime: Duration, uptime: Duration) -> bool {
+    uptime <= own_uptime + RECENT_START_TOLERANCE
 }
 
 /// Effect of a received message.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Receipt {
     /// The message is newer than the known state.
-    Gossip,
+    Accepted,
     /// The message is older than the known state, or a duplicate.
     Stale,
 }
@@ -67,7 +67,7 @@
 /// All other gateways.
 #[derive(Debug)]
 pub struct Peers {
-    own: Listed,
+    own: ListedGateway,
     topology: Topology,
     peers: BTreeMap<String, Peer>,
     // Addresses from the settings or other gateways with no known gateway, and when they were added.
@@ -89,7 +89,7 @@
 
 impl Peers {
     /// Creates a set that contains no other gateway.
-    pub fn new(own: Listed) -> Self {
+    pub fn new(own: ListedGateway) -> Self {
         Peers {
             topology: Topology::new(&own.hall, "", &BTreeMap::new()),
             own,
@@ -108,7 +108,7 @@
     }
 
     /// Adds an address at which a gateway may run.
-    pub fn learn(&mut self, now: Duration, address: SocketAddr) {
+    pub fn add_address(&mut self, now: Duration, address: SocketAddr) {
         let is_known = self.peers.values().any(|peer| peer.address == address);
         if address != self.own.address && !is_known {
             self.addresses.entry(address).or_insert(now);
@@ -116,12 +116,12 @@
     }
 
     /// Applies the store's list of gateways.
-    pub fn listed(&mut self, now: Duration, gateways: impl Iterator<Item = Listed>) {
+    pub fn apply_list(&mut self, now: Duration, gateways: impl Iterator<Item = ListedGateway>) {
         self.listed = true;
-        self.take_listed(now, gateways);
+        self.add_listed(now, gateways);
     }
 
-    fn take_listed(&mut self, now: Duration, gateways: impl Iterator<Item = Listed>) {
+    fn add_listed(&mut self, now: Duration, gateways: impl Iterator<Item = ListedGateway>) {
         for listed in gateways {
             let is_own = listed.name == self.own.name || listed.address == self.own.address;
             let is_known = self.peers.values().any(|p| p.address == listed.address);
@@ -135,12 +135,12 @@
     }
 
     /// Whether the store's list of gateways is read.
-    pub fn is_listed(&self) -> bool {
+    pub fn has_complete_list(&self) -> bool {
         self.listed
     }
 
     /// Records a message of a gateway.
-    pub fn receive(&mut self, now: Duration, greeting: Greeting) -> Receipt {
+    pub fn receive(&mut self, now: Duration, greeting: PeerStatus) -> Receipt {
         let name = greeting.name.clone();
         let known = self.peers.get(&name);
         if known.is_some_and(|known| known.is_past(now, &greeting)) {
@@ -156,7 +156,7 @@
             let (cores_milli, decisions) = (greeting.cores_milli, greeting.decisions);
             Peer::listed(
                 now,
-                Listed {
+                ListedGateway {
                     name,
                     address,
                     hall,
@@ -166,22 +166,22 @@
             )
         });
         peer.receive(now, greeting);
-        Receipt::Gossip
+        Receipt::Accepted
     }
 
     /// Whether this gateway is among the first `count` of the live coordinators that reach the store, in an
     /// order that all of them agree on.
-    pub fn is_among_first(&self, now: Duration, count: usize) -> bool {
-        if !self.coordinates(now) {
+    pub fn is_among_first_coordinators(&self, now: Duration, count: usize) -> bool {
+        if !self.is_coordinator(now) {
             return false;
         }
         let heard = self.peers.iter().filter(|(_, peer)| {
             let greeting = peer.recent(now);
-            greeting.is_some_and(|g| g.coordinates && g.reaches_store)
+            greeting.is_some_and(|g| g.is_coordinator && g.reaches_store)
         });
         let own = self.own.name.as_str();
         let names = heard.map(|(name, _)| name.as_str());
-        rank(WATCH_KEY, names.chain([own]), count).contains(&own)
+        rank(READER_RANK_KEY, names.chain([own]), count).contains(&own)
     }
 
     /// Whether a gateway is alive.
@@ -191,7 +191,7 @@
 
     /// Whether any other coordinator is alive.
     pub fn has_live_coordinator(&self, now: Duration) -> bool {
-        self.peers.values().any(|peer| peer.coordinates(now))
+        self.peers.values().any(|peer| peer.is_coordinator(now))
     }
 
     /// Data hall of the gateway at an address.
@@ -202,12 +202,12 @@
     }
 
     /// Whether a gateway is listed or was heard, and has neither stopped nor been forgotten since.
-    pub fn knows(&self, name: &str) -> bool {
+    pub fn is_known(&self, name: &str) -> bool {
         self.peers.contains_key(name)
     }
 
     /// Removes a gateway that stops.
-    pub fn leave(&mut self, name: &str) {
+    pub fn remove(&mut self, name: &str) {
         self.peers.remove(name);
     }
 
@@ -228,26 +228,26 @@
     }
 
     /// Records that the holder of the lease under this epoch released it.
-    pub fn receive_given_up(&mut self, now: Duration, epoch: i64) {
+    pub fn receive_give_up(&mut self, now: Duration, epoch: i64) {
         if self.given_up.is_none_or(|(known, _)| epoch > known) {
             self.given_up = Some((epoch, now));
         }
     }
 
     /// Whether a holder of the lease was heard within `time` and has not released it since.
-    pub fn holder_alive(&self, now: Duration, time: Duration) -> bool {
+    pub fn is_holder_alive(&self, now: Duration, time: Duration) -> bool {
         let given_up = self.given_up.map_or(i64::MIN, |(epoch, _)| epoch);
         self.lease
             .is_some_and(|lease| now < lease.heard_at + time && lease.epoch > given_up)
     }
 
     /// Whether a release of the lease was reported within `time`.
-    pub fn given_up_within(&self, now: Duration, time: Duration) -> bool {
+    pub fn was_given_up_within(&self, now: Duration, time: Duration) -> bool {
         self.given_up.is_some_and(|(_, at)| now < at + time)
     }
 
     /// Whether another live gateway reaches the store.
-    pub fn others_reach_store(&self, now: Duration) -> bool {
+    pub fn can_others_reach_store(&self, now: Duration) -> bool {
         let mut heard = self.peers.values().filter_map(|peer| peer.recent(now));
         heard.any(|greeting| greeting.reaches_store)
     }
@@ -263,14 +263,19 @@
     }
 
     /// Addresses at which no gateway is known yet; messages are sent to them.
-    pub fn tried_addresses(&self) -> BTreeSet<SocketAddr> {
+    pub fn unconfirmed_addresses(&self) -> BTreeSet<SocketAddr> {
         self.addresses.keys().copied().collect()
     }
 
     /// At most `most` addresses of live coordinators, starting at a position that advances with `turn`. Through
     /// them a starting gateway finds all others.
-    pub fn addresses(&self, now: Duration, turn: usize, most: usize) -> Vec<SocketAddr> {
-        let heard = self.peers.values().filter(|peer| peer.coordinates(now));
+    pub fn coordinator_addresses(
+        &self,
+        now: Duration,
+        turn: usize,
+        most: usize,
+    ) -> Vec<SocketAddr> {
+        let heard = self.peers.values().filter(|peer| peer.is_coordinator(now));
         let all: Vec<SocketAddr> = heard.map(|peer| peer.address).collect();
         let count = all.len().min(most);
         let at = |i: usize| all[(turn * most + i) % all.len()];
--- a/components/gateway/src/peers/halls.rs
+++ b/components/gateway/src/peers/halls.rs
@@ -10,16 +10,16 @@
 use std::time::Duration;
 
 use crate::peers::peer::Peer;
-use crate::peers::{PeerCount, Peers, ASSUMED};
+use crate::peers::{PeerCount, Peers, ASSUMED_GATEWAYS};
 use routing::{rank, weight};
 use topology::Distance;
 
 /// Count of coordinators in a hall: two may fail before the hall has to look for others.
-pub(crate) const COORDINATORS: usize = 3;
+pub(crate) const COORDINATORS_PER_HALL: usize = 3;
 /// Count of gateways of its own hall to which a gateway without a live coordinator reports.
 const WIDER_SEARCH: usize = 8;
 /// Count of deciding gateways that is assumed while none is known.
-const ASSUMED_PLACING: usize = 100;
+const ASSUMED_DECIDERS: usize = 100;
 /// Hash key of the order in which gateways with the same CPU capacity become coordinators.
 const COORDINATION_KEY: u64 = 0x636f_6f72;
 
@@ -27,14 +27,14 @@
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct HallCount {
     /// Gateways from which a recent message was received.
-    pub heard: usize,
+    pub alive: usize,
     /// Gateways that fell silent, or that were never heard and may be running.
     pub silent: usize,
 }
 
 /// The gateways that take decisions about requests, as this gateway sees them.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Fleet {
+pub struct GatewayFleet {
     /// Count of the gateways that may be running, this one included.
     pub gateways: usize,
     /// This gateway's part of what all gateways share, which its own decisions may use; from 0 to 1.
@@ -45,13 +45,13 @@
     /// decides itself.
     pub coordinators: Vec<SocketAddr>,
     /// Count of the gateways that decide, this one included, as far as known.
-    pub placing: usize,
+    pub decider_count: usize,
     /// Gateways that are asked when none of `coordinators` decides, taken from the store's list: the
     /// coordinators of this gateway's hall that were never heard, as after a start of all gateways, then one
     /// coordinator of each other hall.
-    pub others: Vec<SocketAddr>,
+    pub fallback_deciders: Vec<SocketAddr>,
     /// The gateways of `fallback_deciders` that are in another region.
-    pub far: Vec<SocketAddr>,
+    pub far_deciders: Vec<SocketAddr>,
     /// Coordinators of all halls that keep accounts of endpoints with a named limit, this gateway included;
     /// empty if this gateway does not decide.
     pub keepers: Vec<AccountKeeper>,
@@ -66,36 +66,36 @@
     pub address: SocketAddr,
 }
 
-impl Default for Fleet {
+impl Default for GatewayFleet {
     fn default() -> Self {
-        Fleet {
+        GatewayFleet {
             gateways: 1,
             part: PeerCount::default().live_part(),
             decides: true,
             coordinators: Vec::new(),
-            placing: ASSUMED_PLACING,
-            others: Vec::new(),
-            far: Vec::new(),
+            decider_count: ASSUMED_DECIDERS,
+            fallback_deciders: Vec::new(),
+            far_deciders: Vec::new(),
             keepers: Vec::new(),
         }
     }
 }
 
-impl Fleet {
+impl GatewayFleet {
     /// Whether this gateway decides with no more than its equal part although there are other gateways.
-    pub fn is_alone(&self) -> bool {
+    pub fn is_isolated(&self) -> bool {
         self.gateways > 1 && self.part <= 1.0 / self.gateways as f64
     }
 }
 
 impl Peers {
     /// Whether this gateway is a coordinator of its hall.
-    pub fn coordinates(&self, now: Duration) -> bool {
+    pub fn is_coordinator(&self, now: Duration) -> bool {
         let own = (self.own.cores_milli, self.own_weight());
         let before = |(name, peer): &(&String, &Peer)| {
             peer.hall == self.own.hall && !peer.is_down(now) && place(name, peer) > own
         };
-        self.peers.iter().filter(before).count() < COORDINATORS
+        self.peers.iter().filter(before).count() < COORDINATORS_PER_HALL
     }
 
     /// Addresses of the coordinators of all halls except this gateway, and of gateways that may be
@@ -106,10 +106,10 @@
         // other side might never get one.
         let first = halls
             .into_iter()
-            .flat_map(|hall| self.first_of(hall, now, COORDINATORS));
+            .flat_map(|hall| self.first_of(hall, now, COORDINATORS_PER_HALL));
         let first: BTreeSet<&str> = first.collect();
         let is_meant = |(name, peer): &(&String, &Peer)| {
-            peer.coordinates(now) || first.contains(name.as_str())
+            peer.is_coordinator(now) || first.contains(name.as_str())
         };
         let meant = self.peers.iter().filter(is_meant);
         meant.map(|(_, peer)| peer.address).collect()
@@ -119,7 +119,7 @@
     /// alive.
     pub fn own_coordinators(&self, now: Duration) -> BTreeSet<SocketAddr> {
         let hall = self.own.hall.as_str();
-        let mut first = self.first_of(hall, now, COORDINATORS);
+        let mut first = self.first_of(hall, now, COORDINATORS_PER_HALL);
         if !first.iter().any(|name| self.peers[*name].is_alive(now)) {
             first = self.first_of(hall, now, WIDER_SEARCH);
         }
@@ -137,44 +137,44 @@
     }
 
     /// Records that messages of these gateways are due from now on.
-    pub fn expect(&mut self, now: Duration, addresses: &BTreeSet<SocketAddr>) {
+    pub fn expect_messages(&mut self, now: Duration, addresses: &BTreeSet<SocketAddr>) {
         let peers = self.peers.values_mut();
         let due = peers.filter(|peer| addresses.contains(&peer.address));
         due.for_each(|peer| peer.expect(now));
     }
 
     /// The gateways and their deciders as of now.
-    pub fn fleet(&self, now: Duration) -> Fleet {
+    pub fn fleet(&self, now: Duration) -> GatewayFleet {
         let count = self.count(now);
-        if self.coordinates(now) {
-            return Fleet {
+        if self.is_coordinator(now) {
+            return GatewayFleet {
                 gateways: count.gateways(),
                 part: count.live_part(),
                 decides: true,
                 coordinators: Vec::new(),
-                placing: self.coordinators(now).len() + 1,
-                others: Vec::new(),
-                far: Vec::new(),
+                decider_count: self.coordinators(now).len() + 1,
+                fallback_deciders: Vec::new(),
+                far_deciders: Vec::new(),
                 keepers: self.keepers(now),
             };
         }
         let gateways = self.reported_gateways(now).unwrap_or(count.gateways());
         let (near, far) = self.deciders_elsewhere(now);
-        Fleet {
+        GatewayFleet {
             gateways,
             part: 1.0 / gateways.max(1) as f64,
             decides: false,
             coordinators: self.deciders(now),
-            placing: gateways,
-            others: [self.deciders_unseen(now), near, far.clone()].concat(),
-            far,
+            decider_count: gateways,
+            fallback_deciders: [self.deciders_unseen(now), near, far.clone()].concat(),
+            far_deciders: far,
             keepers: Vec::new(),
         }
     }
 
     /// Name of the coordinator that this gateway asks first.
-    pub fn asks(&self, now: Duration) -> Option<&str> {
-        match self.coordinates(now) {
+    pub fn preferred_coordinator(&self, now: Duration) -> Option<&str> {
+        match self.is_coordinator(now) {
             true => None,
             false => self.decider_names(now).first().copied(),
         }
@@ -185,7 +185,7 @@
     pub fn hall_count(&self, now: Duration) -> HallCount {
         let own_hall = || self.peers.values().filter(|p| p.hall == self.own.hall);
         HallCount {
-            heard: 1 + own_hall().filter(|peer| peer.is_alive(now)).count(),
+            alive: 1 + own_hall().filter(|peer| peer.is_alive(now)).count(),
             silent: own_hall().filter(|peer| peer.is_silent(now)).count(),
         }
     }
@@ -195,17 +195,17 @@
         let own = self.hall_count(now);
         let reported = self.reported_count(&self.own.hall, now);
         let own = reported
-            .filter(|reported| reported.heard > own.heard)
+            .filter(|reported| reported.alive > own.alive)
             .unwrap_or(own);
-        let mut heard = own.heard - 1;
+        let mut alive = own.alive - 1;
         let mut silent = own.silent;
         for (hall, known) in self.other_halls() {
             let known = HallCount {
-                heard: known.iter().filter(|peer| peer.is_alive(now)).count(),
+                alive: known.iter().filter(|peer| peer.is_alive(now)).count(),
                 silent: known.iter().filter(|peer| peer.is_silent(now)).count(),
             };
             let count = self.reported_count(hall, now).unwrap_or(known);
-            heard += count.heard;
+            alive += count.alive;
             silent += count.silent;
         }
         silent += self.assumed_unread(&own);
@@ -214,17 +214,17 @@
         if !self.listed {
             silent += self.addresses.len();
         }
-        if !self.listed && heard == 0 {
-            silent = silent.max(ASSUMED);
+        if !self.listed && alive == 0 {
+            silent = silent.max(ASSUMED_GATEWAYS);
         }
-        PeerCount { heard, silent }
+        PeerCount { alive, silent }
     }
 
     /// Whether this gateway must forward the usage of a process.
-    pub fn passes_on_for(&self, now: Duration, gateway: &str) -> bool {
+    pub fn should_forward_usage_of(&self, now: Duration, gateway: &str) -> bool {
         let own = self.own.name.as_str();
         let peer = self.peers.get(gateway);
-        let asks = peer.and_then(|peer| peer.recent(now)?.asks.as_deref());
+        let asks = peer.and_then(|peer| peer.recent(now)?.preferred_coordinator.as_deref());
         gateway != own && asks.is_none_or(|asks| asks == own)
     }
 
@@ -234,7 +234,7 @@
         let known = self.other_halls();
         let unread = self.lists.unread().filter(|hall| *hall != self.own.hall);
         let unknown = unread.filter(|hall| !known.contains_key(hall));
-        unknown.count() * (own.heard + own.silent)
+        unknown.count() * (own.alive + own.silent)
     }
 
     fn other_halls(&self) -> BTreeMap<&str, Vec<&Peer>> {
@@ -250,28 +250,28 @@
     fn reported_count(&self, hall: &str, now: Duration) -> Option<HallCount> {
         let peers = self.peers.values().filter(|peer| peer.hall == hall);
         let reported = peers.filter_map(|peer| peer.recent(now)?.hall_count);
-        reported.max_by_key(|count| count.heard)
+        reported.max_by_key(|count| count.alive)
     }
 
     fn reported_gateways(&self, now: Duration) -> Option<usize> {
-        let peers = self.peers.values().filter(|p| p.coordinates(now));
+        let peers = self.peers.values().filter(|p| p.is_coordinator(now));
         peers.filter_map(|peer| peer.recent(now)?.gateways).max()
     }
 
     // Live coordinators of this gateway's hall, in an order that differs between gateways.
     fn decider_names(&self, now: Duration) -> Vec<&str> {
-        let first = self.first_of(&self.own.hall, now, COORDINATORS);
+        let first = self.first_of(&self.own.hall, now, COORDINATORS_PER_HALL);
         let heard = first.into_iter().filter(|name| {
             let greeting = self.peers[*name].recent(now);
-            greeting.is_some_and(|g| g.coordinates && g.decisions.is_some())
+            greeting.is_some_and(|g| g.is_coordinator && g.decisions.is_some())
         });
-        rank(weight(0, &self.own.name), heard, COORDINATORS)
+        rank(weight(0, &self.own.name), heard, COORDINATORS_PER_HALL)
     }
 
     fn keepers(&self, now: Duration) -> Vec<AccountKeeper> {
         let others = self.peers.iter().filter_map(|(name, peer)| {
             let greeting = peer.recent(now)?;
-            let keeps = greeting.coordinates && greeting.keeps_accounts;
+            let keeps = greeting.is_coordinator && greeting.keeps_accounts;
             Some(AccountKeeper {
                 name: name.clone(),
                 hall: peer.hall.clone(),
@@ -293,7 +293,7 @@
     }
 
     fn deciders_unseen(&self, now: Duration) -> Vec<SocketAddr> {
-        let first = self.first_of(&self.own.hall, now, COORDINATORS);
+        let first = self.first_of(&self.own.hall, now, COORDINATORS_PER_HALL);
         let peers = first.iter().map(|name| &self.peers[*name]);
         let unheard = peers.filter(|peer| !peer.is_alive(now));
         unheard.filter_map(|peer| peer.decisions).collect()
@@ -306,7 +306,7 @@
         let mut halls: Vec<&str> = self.other_halls().into_keys().collect();
         halls.sort_unstable_by_key(|hall| weight(own, hall));
         let of_hall = |hall: &str| {
-            let first = self.first_of(hall, now, COORDINATORS);
+            let first = self.first_of(hall, now, COORDINATORS_PER_HALL);
             let chosen = rank(own, first.into_iter(), 1);
             self.peers[*chosen.first()?].decisions
         };
--- a/components/gateway/src/peers/peer.rs
+++ b/components/gateway/src/peers/peer.rs
@@ -15,7 +15,7 @@
 
 /// A gateway in the store's list.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Listed {
+pub struct ListedGateway {
     pub name: String,
     /// Address for gossip and rows.
     pub address: SocketAddr,
@@ -29,7 +29,7 @@
 
 /// Status of a gateway, as its messages contain it.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Greeting {
+pub struct PeerStatus {
     pub name: String,
     /// Source address of the message.
     pub address: SocketAddr,
@@ -44,7 +44,7 @@
     /// Whether the store answered its last call.
     pub reaches_store: bool,
     /// Whether it is a coordinator of its hall.
-    pub coordinates: bool,
+    pub is_coordinator: bool,
     /// Address for placement queries.
     pub decisions: Option<SocketAddr>,
     /// Counts of the gateways of its hall, as it knows them.
@@ -52,7 +52,7 @@
     /// Count of the gateways of all halls, as it knows them.
     pub gateways: Option<usize>,
     /// Coordinator that it asks first.
-    pub asks: Option<String>,
+    pub preferred_coordinator: Option<String>,
     /// Whether it keeps accounts of endpoints with a named limit, if it is a coordinator.
     pub keeps_accounts: bool,
 }
@@ -66,13 +66,13 @@
     pub decisions: Option<SocketAddr>,
     pub listed_at: Duration,
     // Status in the newest message, and when that arrived.
-    pub heard: Option<(Greeting, Duration)>,
+    pub heard: Option<(PeerStatus, Duration)>,
     // Since when a message of this gateway is due, if none has arrived.
     due_since: Option<Duration>,
 }
 
 impl Peer {
-    pub fn listed(now: Duration, listed: Listed) -> Self {
+    pub fn listed(now: Duration, listed: ListedGateway) -> Self {
         Peer {
             address: listed.address,
             hall: listed.hall,
@@ -84,7 +84,7 @@
         }
     }
 
-    pub fn receive(&mut self, now: Duration, greeting: Greeting) {
+    pub fn receive(&mut self, now: Duration, greeting: PeerStatus) {
         self.address = greeting.address;
         self.hall = greeting.hall.clone();
         self.cores_milli = greeting.cores_milli;
@@ -94,7 +94,7 @@
     }
 
     /// The newest status, if it is recent.
-    pub fn recent(&self, now: Duration) -> Option<&Greeting> {
+    pub fn recent(&self, now: Duration) -> Option<&PeerStatus> {
         let (greeting, at) = self.heard.as_ref()?;
         (now < *at + SILENT_AFTER).then_some(greeting)
     }
@@ -104,9 +104,9 @@
     }
 
     /// Whether it is alive and a coordinator.
-    pub fn coordinates(&self, now: Duration) -> bool {
+    pub fn is_coordinator(&self, now: Duration) -> bool {
         self.recent(now)
-            .is_some_and(|greeting| greeting.coordinates)
+            .is_some_and(|greeting| greeting.is_coordinator)
     }
 
     /// Whether it may be running although no recent message came from it.
@@ -136,7 +136,7 @@
 
     /// Whether a message is older than the known state. The wall clock may have been set back, so the successor
     /// of a silent process may seem to have started earlier.
-    pub fn is_past(&self, now: Duration, greeting: &Greeting) -> bool {
+    pub fn is_past(&self, now: Duration, greeting: &PeerStatus) -> bool {
         let Some((known, _)) = &self.heard else {
             return false;
         };
--- a/components/gateway/src/peers/regions.rs
+++ b/components/gateway/src/peers/regions.rs
@@ -12,9 +12,9 @@
 use routing::weight;
 use topology::{Distance, Topology};
 
-use crate::peers::halls::COORDINATORS;
+use crate::peers::halls::COORDINATORS_PER_HALL;
 use crate::peers::peer::Peer;
-use crate::peers::{Listed, Peers, WATCH_KEY};
+use crate::peers::{ListedGateway, Peers, READER_RANK_KEY};
 
 /// Time after reading its hall's part in which a gateway waits for messages of others, before it regards itself
 /// as a coordinator or reader: when all gateways start at once, each finds few others in the list. Three round
@@ -55,18 +55,18 @@
 
 impl Peers {
     /// Sets the halls by which the store's list is read.
-    pub fn expect_halls(&mut self, halls: BTreeSet<&str>) {
+    pub fn set_halls(&mut self, halls: BTreeSet<&str>) {
         self.lists.unread = halls.into_iter().map(str::to_string).collect();
     }
 
     /// Applies the part of the store's list for one hall.
-    pub fn listed_hall(
+    pub fn apply_hall_list(
         &mut self,
         now: Duration,
         hall: &str,
-        gateways: impl Iterator<Item = Listed>,
+        gateways: impl Iterator<Item = ListedGateway>,
     ) {
-        self.take_listed(now, gateways);
+        self.add_listed(now, gateways);
         self.lists.unread.remove(hall);
         match hall == self.own.hall {
             true => self.lists.own_at = Some(now),
@@ -76,7 +76,7 @@
     }
 
     /// Whether the gateways of this gateway's hall were read from the store's list.
-    pub fn knows_own_hall(&self) -> bool {
+    pub fn has_own_hall_list(&self) -> bool {
         self.listed || self.lists.own_at.is_some()
     }
 
@@ -88,13 +88,13 @@
     /// The hall whose part must be read next, if any: first this gateway's own. If this gateway is a
     /// coordinator or hears no coordinator of its hall, then those of its region, then the others; with a pause
     /// between them in the latter case.
-    pub fn next_hall(&self, now: Duration, topology: &Topology) -> Option<String> {
+    pub fn next_hall_to_list(&self, now: Duration, topology: &Topology) -> Option<String> {
         let own = &self.own.hall;
         if self.lists.unread.contains(own) {
             return Some(own.clone());
         }
         let settled = self.is_settled(now);
-        let is_wanted = (settled && self.coordinates(now)) || self.is_lonely(now);
+        let is_wanted = (settled && self.is_coordinator(now)) || self.is_lonely(now);
         let near = |hall: &&str| topology.distance(hall) != Distance::OtherRegion;
         let first = self.lists.unread().find(near);
         let next = first.or_else(|| self.lists.unread().next());
@@ -104,27 +104,30 @@
     /// Whether this gateway reads the store for its region: it is among the first `count` of the region's
     /// coordinators that reach the store and are alive or may yet report. Those with the most CPU capacity come
     /// first, as they also pass the rows on, then by a hash order that all of them agree on.
-    pub fn reads_for_region(&self, now: Duration, topology: &Topology, count: usize) -> bool {
+    pub fn is_region_reader(&self, now: Duration, topology: &Topology, count: usize) -> bool {
         let is_near = |hall: &str| topology.distance(hall) != Distance::OtherRegion;
         let knows_region = !self.lists.unread().any(is_near);
-        if !knows_region || !self.is_settled(now) || !self.coordinates(now) {
+        if !knows_region || !self.is_settled(now) || !self.is_coordinator(now) {
             return false;
         }
         let near = self.peers.iter().filter(|(_, peer)| is_near(&peer.hall));
         let readers = near.filter(|(name, peer)| self.may_read(name, peer, now));
-        let own = (self.own.cores_milli, weight(WATCH_KEY, &self.own.name));
-        let places = readers.map(|(name, peer)| (peer.cores_milli, weight(WATCH_KEY, name)));
+        let own = (
+            self.own.cores_milli,
+            weight(READER_RANK_KEY, &self.own.name),
+        );
+        let places = readers.map(|(name, peer)| (peer.cores_milli, weight(READER_RANK_KEY, name)));
         places.filter(|place| *place > own).count() < count
     }
 
     /// Whether another coordinator of this gateway's hall is alive.
-    pub fn is_led(&self, now: Duration) -> bool {
+    pub fn has_live_own_coordinator(&self, now: Duration) -> bool {
         let mut own = self.peers.values().filter(|p| p.hall == self.own.hall);
-        own.any(|peer| peer.coordinates(now))
+        own.any(|peer| peer.is_coordinator(now))
     }
 
     /// Whether any other gateway is alive.
-    pub fn hears_any(&self, now: Duration) -> bool {
+    pub fn has_live_peer(&self, now: Duration) -> bool {
         self.peers.values().any(|peer| peer.is_alive(now))
     }
 
@@ -137,10 +140,10 @@
     fn may_read(&self, name: &str, peer: &Peer, now: Duration) -> bool {
         match &peer.heard {
             Some((greeting, at)) => {
-                now < *at + READER_SILENCE && greeting.coordinates && greeting.reaches_store
+                now < *at + READER_SILENCE && greeting.is_coordinator && greeting.reaches_store
             }
             None => {
-                let first = || self.first_of(&peer.hall, now, COORDINATORS);
+                let first = || self.first_of(&peer.hall, now, COORDINATORS_PER_HALL);
                 now < peer.listed_at + AWAITED_FOR && first().contains(&name)
             }
         }
@@ -156,6 +159,6 @@
         let waited = since.is_some_and(|at| now >= at + LONELY_AFTER);
         let has_read = |at: Duration| now < at + LONELY_PAUSE;
         let pauses = self.lists.other_at.is_some_and(has_read);
-        waited && !pauses && !self.coordinates(now) && !self.is_led(now)
+        waited && !pauses && !self.is_coordinator(now) && !self.has_live_own_coordinator(now)
     }
 }
--- a/components/gateway/src/state.rs
+++ b/components/gateway/src/state.rs
@@ -17,7 +17,7 @@
 
 use crate::cut::Cuts;
 use crate::link_parts::link_parts;
-use crate::peers::Fleet;
+use crate::peers::GatewayFleet;
 use crate::pool::Pool;
 use crate::tally::{Sent, ServiceLoad, Tally};
 use crate::versions::{Asked, Gates};
@@ -33,7 +33,7 @@
     pub quotas: BTreeMap<String, SharedQuota>,
     pub repeats: BTreeMap<String, RetryBudget>,
     pub tally: Tally,
-    pub fleet: Fleet,
+    pub fleet: GatewayFleet,
     // The most gateways that were ever known.
     most_gateways: usize,
     pub rng: ChaCha8Rng,
@@ -56,7 +56,7 @@
             quotas: BTreeMap::new(),
             repeats: BTreeMap::new(),
             tally: Tally::default(),
-            fleet: Fleet::default(),
+            fleet: GatewayFleet::default(),
             most_gateways: 1,
             rng: ChaCha8Rng::from_rng(&mut rand::rng()),
             settings,
@@ -170,7 +170,7 @@
     }
 
     /// Takes how many gateways there are, and who decides.
-    pub fn set_fleet(&mut self, now: Duration, fleet: Fleet) {
+    pub fn set_fleet(&mut self, now: Duration, fleet: GatewayFleet) {
         let part = fleet.part;
         self.most_gateways = self.most_gateways.max(fleet.gateways);
         self.fleet = fleet;
--- a/components/gateway/src/update.rs
+++ b/components/gateway/src/update.rs
@@ -11,7 +11,7 @@
 use routing::placement::{PeerDispatch, Sight};
 use schema::settings::GatewaySettings;
 
-use crate::peers::Fleet;
+use crate::peers::GatewayFleet;
 
 /// One change of what the traffic thread decides from.
 #[derive(Clone, Debug)]
@@ -29,7 +29,7 @@
     /// The endpoints are not followed any more.
     EndpointsForgotten,
     /// The gateways as they are known now, and who of them decides.
-    Fleet(Fleet),
+    Fleet(GatewayFleet),
     /// Another gateway sent these.
     PeerSent(Vec<PeerDispatch>),
     /// Answers showed another gateway these.
--- a/components/gateway/src/versions.rs
+++ b/components/gateway/src/versions.rs
@@ -178,7 +178,7 @@
         let allowance = Allowance {
             fraction: f64::from(self.settings.exposure_milli) / 1000.0,
             extra: f64::from(self.settings.exposure_extra),
-            placing: self.fleet.placing,
+            placing: self.fleet.decider_count,
         };
         let Some(gate) = self.gates.gates.get(&work.service) else {
             return Lane::Any;
--- a/components/gateway/tests/halls.rs
+++ b/components/gateway/tests/halls.rs
@@ -4,14 +4,14 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-use gateway::{Greeting, Listed, Peers};
+use gateway::{ListedGateway, PeerStatus, Peers};
 
 const STEP: Duration = Duration::from_millis(500);
 /// Steps until those that died are silent for all and others took their place.
 const SETTLED: usize = 12;
 
 struct Member {
-    listed: Listed,
+    listed: ListedGateway,
     peers: Peers,
     sequence: i64,
     runs: bool,
@@ -32,17 +32,17 @@
 impl World {
     /// Gateways in halls, three of them larger in each, that all read the store's list.
     fn new(halls: usize, in_each: usize) -> Self {
-        let listed = (0..halls * in_each).map(|i| Listed {
+        let listed = (0..halls * in_each).map(|i| ListedGateway {
             name: format!("g{i}"),
             address: address(i),
             hall: format!("h{}", i % halls),
             cores_milli: if i / halls < 3 { 500 } else { 120 },
             decisions: Some(address(i)),
         });
-        let all: Vec<Listed> = listed.collect();
+        let all: Vec<ListedGateway> = listed.collect();
         let members = all.iter().map(|own| {
             let mut peers = Peers::new(own.clone());
-            peers.listed(Duration::ZERO, all.iter().cloned());
+            peers.apply_list(Duration::ZERO, all.iter().cloned());
             Member {
                 listed: own.clone(),
                 peers,
@@ -89,7 +89,7 @@
     fn coordinators(&self, hall: &str) -> Vec<&str> {
         let now = self.now;
         let own = self.running().filter(|m| m.listed.hall == hall);
-        let coordinating = own.filter(|m| m.peers.coordinates(now));
+        let coordinating = own.filter(|m| m.peers.is_coordinator(now));
         coordinating.map(|m| m.listed.name.as_str()).collect()
     }
 
@@ -102,33 +102,33 @@
     }
 
     fn start(&mut self, index: usize) {
-        let all: Vec<Listed> = self.members.iter().map(|m| m.listed.clone()).collect();
+        let all: Vec<ListedGateway> = self.members.iter().map(|m| m.listed.clone()).collect();
         let member = &mut self.members[index];
         member.runs = true;
         member.peers = Peers::new(member.listed.clone());
-        member.peers.listed(self.now, all.into_iter());
+        member.peers.apply_list(self.now, all.into_iter());
         member.sequence = 0;
     }
 }
 
 impl Member {
-    fn says(&mut self, now: Duration) -> (Greeting, BTreeSet<SocketAddr>) {
+    fn says(&mut self, now: Duration) -> (PeerStatus, BTreeSet<SocketAddr>) {
         self.sequence += 1;
-        let coordinates = self.peers.coordinates(now);
+        let coordinates = self.peers.is_coordinator(now);
         let targets = match coordinates {
             true => {
                 let coordinators = self.peers.coordinators(now);
-                self.peers.expect(now, &coordinators);
+                self.peers.expect_messages(now, &coordinators);
                 let members = self.peers.members(now);
                 coordinators.union(&members).copied().collect()
             }
             false => {
                 let coordinators = self.peers.own_coordinators(now);
-                self.peers.expect(now, &coordinators);
+                self.peers.expect_messages(now, &coordinators);
                 coordinators
             }
         };
-        let greeting = Greeting {
+        let greeting = PeerStatus {
             name: self.listed.name.clone(),
             address: self.listed.address,
             hall: self.listed.hall.clone(),
@@ -136,11 +136,11 @@
             incarnation: now.as_millis() as i64 / 1_000_000,
             sequence: self.sequence + now.as_millis() as i64,
             reaches_store: true,
-            coordinates,
+            is_coordinator: coordinates,
             decisions: Some(self.listed.address),
             hall_count: coordinates.then(|| self.peers.hall_count(now)),
             gateways: coordinates.then(|| self.peers.count(now).gateways()),
-            asks: self.peers.asks(now).map(str::to_string),
+            preferred_coordinator: self.peers.preferred_coordinator(now).map(str::to_string),
             keeps_accounts: true,
         };
         (greeting, targets)
@@ -158,7 +158,7 @@
     for member in world.running() {
         let fleet = member.peers.fleet(world.now);
         assert_eq!(fleet.gateways, 300);
-        match member.peers.coordinates(world.now) {
+        match member.peers.is_coordinator(world.now) {
             true => assert_eq!(fleet.part, 1.0),
             false => assert_eq!(fleet.coordinators.len(), 3),
         }
@@ -171,15 +171,19 @@
     world.run(SETTLED);
     for member in world.running() {
         let fleet = member.peers.fleet(world.now);
-        assert_eq!(fleet.decides, member.peers.coordinates(world.now));
-        let others: BTreeSet<usize> = fleet.others.iter().map(|a| world.by_address[a]).collect();
+        assert_eq!(fleet.decides, member.peers.is_coordinator(world.now));
+        let others: BTreeSet<usize> = fleet
+            .fallback_deciders
+            .iter()
+            .map(|a| world.by_address[a])
+            .collect();
         let halls: BTreeSet<&str> = others
             .iter()
             .map(|i| world.members[*i].listed.hall.as_str())
             .collect();
         let expected = if fleet.decides { 0 } else { 5 };
         assert_eq!(halls.len(), expected, "{}", member.listed.name);
-        let coordinate = |i: &usize| world.members[*i].peers.coordinates(world.now);
+        let coordinate = |i: &usize| world.members[*i].peers.is_coordinator(world.now);
         assert!(others.iter().all(coordinate));
     }
 }
@@ -208,7 +212,7 @@
     let mut world = World::new(6, 50);
     world.run(SETTLED);
     for index in [0, 6, 12] {
-        assert!(world.members[index].peers.coordinates(world.now));
+        assert!(world.members[index].peers.is_coordinator(world.now));
         world.kill(index);
     }
     world.run(SETTLED);
@@ -216,7 +220,7 @@
     for member in world.running() {
         let fleet = member.peers.fleet(world.now);
         assert!(fleet.part == 1.0 / 300.0 || fleet.part > 0.98, "{fleet:?}");
-        if !member.peers.coordinates(world.now) {
+        if !member.peers.is_coordinator(world.now) {
             assert_eq!(fleet.coordinators.len(), 3, "{}", member.listed.name);
         }
     }
@@ -238,10 +242,10 @@
         let side = || world.running().filter(|m| m.cut_off == cut_off);
         let alone = side().filter(|m| {
             let fleet = m.peers.fleet(world.now);
-            fleet.coordinators.is_empty() && !m.peers.coordinates(world.now)
+            fleet.coordinators.is_empty() && !m.peers.is_coordinator(world.now)
         });
         let alone: f64 = alone.map(|m| m.peers.fleet(world.now).part).sum();
-        let coordinators = side().filter(|m| m.peers.coordinates(world.now));
+        let coordinators = side().filter(|m| m.peers.is_coordinator(world.now));
         let most = coordinators.map(|m| m.peers.fleet(world.now).part);
         alone + most.fold(0.0, f64::max)
     };
@@ -258,9 +262,9 @@
     let silent_since = world.now + STEP * 4;
     let fleet = asking.peers.fleet(silent_since);
     assert!(fleet.coordinators.is_empty());
-    assert!(fleet.is_alone());
+    assert!(fleet.is_isolated());
     let coordinator = world.members[0].peers.fleet(world.now);
-    assert!(!coordinator.is_alone());
+    assert!(!coordinator.is_isolated());
 }
 
 #[test]
@@ -286,6 +290,6 @@
     assert!(fleet.coordinators.is_empty());
     // Number 200 is of the third hall, as the coordinators 2, 8 and 14.
     let own_hall = [address(2), address(8), address(14)];
-    let first: BTreeSet<SocketAddr> = fleet.others[..3].iter().copied().collect();
+    let first: BTreeSet<SocketAddr> = fleet.fallback_deciders[..3].iter().copied().collect();
     assert_eq!(first, BTreeSet::from(own_hall));
 }
--- a/components/gateway/tests/peers.rs
+++ b/components/gateway/tests/peers.rs
@@ -3,7 +3,7 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-use gateway::{is_recent, Greeting, Listed, Peers, Receipt};
+use gateway::{has_started_recently, ListedGateway, PeerStatus, Peers, Receipt};
 
 fn ms(ms: u64) -> Duration {
     Duration::from_millis(ms)
@@ -13,8 +13,8 @@
     SocketAddr::from(([10, 0, 0, 1], port))
 }
 
-fn greeting(name: &str, incarnation: i64, sequence: i64) -> Greeting {
-    Greeting {
+fn greeting(name: &str, incarnation: i64, sequence: i64) -> PeerStatus {
+    PeerStatus {
         name: name.into(),
         address: address(2),
         hall: format!("hall of {name}"),
@@ -22,17 +22,17 @@
         incarnation,
         sequence,
         reaches_store: true,
-        coordinates: true,
+        is_coordinator: true,
         decisions: None,
         hall_count: None,
         gateways: None,
-        asks: None,
+        preferred_coordinator: None,
         keeps_accounts: true,
     }
 }
 
-fn listed(port: u16) -> Listed {
-    Listed {
+fn listed(port: u16) -> ListedGateway {
+    ListedGateway {
         name: format!("g{port}"),
         address: address(port),
         hall: format!("hall of g{port}"),
@@ -46,7 +46,7 @@
 }
 
 fn peers_of(name: &str) -> Peers {
-    Peers::new(Listed {
+    Peers::new(ListedGateway {
         name: name.into(),
         hall: format!("hall of {name}"),
         ..listed(1)
@@ -61,7 +61,7 @@
 #[test]
 fn gateways_listed_and_not_heard_yet_may_be_running() {
     let mut peers = peers();
-    peers.listed(ms(0), (1..=8).map(listed));
+    peers.apply_list(ms(0), (1..=8).map(listed));
     assert_eq!(peers.count(ms(0)).live_part(), 1.0 / 8.0);
     peers.receive(ms(1), greeting("b", 1, 1));
     assert_eq!(peers.count(ms(1)).live_part(), 2.0 / 8.0);
@@ -70,10 +70,10 @@
 #[test]
 fn an_address_that_is_tried_counts_only_until_the_stores_list_is_read() {
     let mut peers = peers();
-    peers.learn(ms(0), address(9));
+    peers.add_address(ms(0), address(9));
     peers.receive(ms(1), greeting("b", 1, 1));
     assert_eq!(peers.count(ms(1)).silent, 1);
-    peers.listed(ms(2), [listed(1), listed(2)].into_iter());
+    peers.apply_list(ms(2), [listed(1), listed(2)].into_iter());
     assert_eq!(peers.count(ms(2)).silent, 0);
 }
 
@@ -81,14 +81,14 @@
 fn the_address_of_a_gateway_that_is_heard_is_nobody_else() {
     let mut peers = peers();
     peers.receive(ms(0), greeting("b", 1, 1));
-    peers.learn(ms(1), address(2));
+    peers.add_address(ms(1), address(2));
     assert_eq!(peers.count(ms(1)).live_part(), 1.0);
 }
 
 #[test]
 fn a_gateway_that_is_alone_uses_everything() {
     let mut peers = peers();
-    peers.listed(ms(0), [listed(1)].into_iter());
+    peers.apply_list(ms(0), [listed(1)].into_iter());
     assert_eq!(peers.count(ms(0)).live_part(), 1.0);
 }
 
@@ -99,19 +99,19 @@
     assert_eq!(peers.receive(ms(100), greeting("b", 5, 1)), Receipt::Stale);
     assert_eq!(
         peers.receive(ms(2000), greeting("b", 5, 2)),
-        Receipt::Gossip
+        Receipt::Accepted
     );
     assert_eq!(peers.receive(ms(2001), greeting("b", 5, 2)), Receipt::Stale);
     assert_eq!(
         peers.receive(ms(2100), greeting("b", 5, 3)),
-        Receipt::Gossip
+        Receipt::Accepted
     );
 }
 
 #[test]
 fn what_a_process_of_the_same_age_did_is_recent() {
-    assert!(is_recent(ms(500), ms(900)));
-    assert!(!is_recent(ms(500), ms(60_000)));
+    assert!(has_started_recently(ms(500), ms(900)));
+    assert!(!has_started_recently(ms(500), ms(60_000)));
 }
 
 #[test]
@@ -124,13 +124,13 @@
             let greeting = greeting(name, 1, 1);
             peers.receive(
                 ms(0),
-                Greeting {
+                PeerStatus {
                     reaches_store,
                     ..greeting
                 },
             );
         }
-        peers.is_among_first(ms(1), 2)
+        peers.is_among_first_coordinators(ms(1), 2)
     };
     let first: Vec<&str> = names.into_iter().filter(|n| watches(n, None)).collect();
     assert_eq!(first.len(), 2);
@@ -146,14 +146,14 @@
     let long = Duration::from_secs(10);
     let mut peers = peers();
     peers.receive_lease(at(1), 7, address(2));
-    assert!(peers.holder_alive(at(2), long));
-    peers.receive_given_up(at(2), 7);
-    assert!(!peers.holder_alive(at(2), long));
-    assert!(peers.given_up_within(at(3), at(2)));
+    assert!(peers.is_holder_alive(at(2), long));
+    peers.receive_give_up(at(2), 7);
+    assert!(!peers.is_holder_alive(at(2), long));
+    assert!(peers.was_given_up_within(at(3), at(2)));
     // Old gossip of the same holder change nothing.
     peers.receive_lease(at(3), 7, address(2));
-    assert!(!peers.holder_alive(at(3), long));
+    assert!(!peers.is_holder_alive(at(3), long));
     peers.receive_lease(at(4), 8, address(2));
-    peers.receive_given_up(at(4), 7);
-    assert!(peers.holder_alive(at(4), long));
+    peers.receive_give_up(at(4), 7);
+    assert!(peers.is_holder_alive(at(4), long));
 }
--- a/components/gateway/tests/readers.rs
+++ b/components/gateway/tests/readers.rs
@@ -4,7 +4,7 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-use gateway::{Greeting, Listed, Peers};
+use gateway::{ListedGateway, PeerStatus, Peers};
 use topology::Topology;
 
 const READERS: usize = 2;
@@ -24,10 +24,10 @@
     Topology::new(hall, &hall[..1], &regions())
 }
 
-fn listed(hall: &str, index: usize) -> Listed {
+fn listed(hall: &str, index: usize) -> ListedGateway {
     let number = HALLS.iter().position(|h| *h == hall).unwrap();
     let address = SocketAddr::from(([10, 0, number as u8, index as u8], 7600));
-    Listed {
+    ListedGateway {
         name: format!("{hall}-{index}"),
         address,
         hall: hall.into(),
@@ -36,21 +36,21 @@
     }
 }
 
-fn of_hall(hall: &str) -> Vec<Listed> {
+fn of_hall(hall: &str) -> Vec<ListedGateway> {
     (0..IN_HALL).map(|i| listed(hall, i)).collect()
 }
 
 struct Member {
-    own: Listed,
+    own: ListedGateway,
     topology: Topology,
     peers: Peers,
 }
 
 impl Member {
-    fn new(own: Listed) -> Self {
+    fn new(own: ListedGateway) -> Self {
         let topology = topology(&own.hall);
         let mut peers = Peers::new(own.clone());
-        peers.expect_halls(topology.halls());
+        peers.set_halls(topology.halls());
         Member {
             own,
             topology,
@@ -61,20 +61,20 @@
     /// Reads what is due at once, and returns the halls.
     fn list(&mut self, now: Duration) -> Vec<String> {
         let mut read = Vec::new();
-        while let Some(hall) = self.peers.next_hall(now, &self.topology) {
+        while let Some(hall) = self.peers.next_hall_to_list(now, &self.topology) {
             let gateways = of_hall(&hall);
-            self.peers.listed_hall(now, &hall, gateways.into_iter());
+            self.peers.apply_hall_list(now, &hall, gateways.into_iter());
             read.push(hall);
         }
         read
     }
 
     fn reads(&self, now: Duration) -> bool {
-        self.peers.reads_for_region(now, &self.topology, READERS)
+        self.peers.is_region_reader(now, &self.topology, READERS)
     }
 
-    fn greeting(&self, now: Duration, sequence: i64, reaches_store: bool) -> Greeting {
-        Greeting {
+    fn greeting(&self, now: Duration, sequence: i64, reaches_store: bool) -> PeerStatus {
+        PeerStatus {
             name: self.own.name.clone(),
             address: self.own.address,
             hall: self.own.hall.clone(),
@@ -82,11 +82,11 @@
             incarnation: 1,
             sequence,
             reaches_store,
-            coordinates: self.peers.coordinates(now),
+            is_coordinator: self.peers.is_coordinator(now),
             decisions: self.own.decisions,
             hall_count: None,
             gateways: None,
-            asks: None,
+            preferred_coordinator: None,
             keeps_accounts: true,
         }
     }
@@ -124,10 +124,12 @@
             greetings.push(member.greeting(now, self.sequence, reaches));
         }
         for member in self.members.iter_mut().filter(|m| runs(m)) {
-            let own = (member.own.name.clone(), member.peers.coordinates(now));
+            let own = (member.own.name.clone(), member.peers.is_coordinator(now));
             for greeting in greetings.iter().filter(|g| g.name != own.0) {
                 let in_hall = greeting.hall == member.own.hall;
-                if (own.1 && greeting.coordinates) || (in_hall && (own.1 || greeting.coordinates)) {
+                if (own.1 && greeting.is_coordinator)
+                    || (in_hall && (own.1 || greeting.is_coordinator))
+                {
                     member.peers.receive(now, greeting.clone());
                 }
             }
@@ -215,7 +217,7 @@
     }
     let mut lonely = members
         .into_iter()
-        .find(|m| !m.peers.coordinates(ms(0)))
+        .find(|m| !m.peers.is_coordinator(ms(0)))
         .unwrap();
     assert!(lonely.list(ms(1000)).is_empty(), "it waits first");
     // One after the other: somebody may answer before the next is needed.
@@ -235,7 +237,7 @@
     let before = member.peers.count(ms(0)).gateways();
     assert!(before > 100, "nothing is known yet: {before}");
     let hall = of_hall("a1").into_iter();
-    member.peers.listed_hall(ms(0), "a1", hall);
+    member.peers.apply_hall_list(ms(0), "a1", hall);
     let count = member.peers.count(ms(0)).gateways();
     assert!(count >= HALLS.len() * IN_HALL, "{count}");
 }
