--- a/components/gateway/src/control.rs
+++ b/components/gateway/src/control.rs
@@ -45,7 +45,7 @@
 pub(crate) use crate::control::known::Known;
 use crate::control::known::{change_due, PeerAddresses};
 pub(crate) use crate::control::passing::{topic_by_name, topic_name, SHARED_TOPICS};
-use crate::control::region::spread_of;
+use crate::control::region::jitter_of;
 use crate::freshness::Freshness;
 use crate::ports::{Orders, Store};
 use crate::run::{ReadSettings, Signals};
@@ -53,9 +53,9 @@
 use crate::update::Update;
 
 /// Pause between checks of signals, peers and the lease.
-const TICK: Duration = Duration::from_millis(100);
+const TICK_PAUSE: Duration = Duration::from_millis(100);
 /// Pause between reads of the settings file when no signal asks for one.
-const SETTINGS_LOOK: Duration = Duration::from_secs(1);
+const SETTINGS_POLL_PAUSE: Duration = Duration::from_secs(1);
 
 /// Sockets for the exchange with other gateways.
 pub(crate) struct PeerSockets {
@@ -104,7 +104,7 @@
     pub decisions_port: u16,
     /// Fraction from 0 to 1, derived from this gateway's name, that staggers actions which all gateways would
     /// otherwise take at the same time.
-    pub spread: f64,
+    pub jitter: f64,
     /// Signals that the other gateways are to be told something at once.
     pub urgent: Notify,
     /// Signals that an endpoint no longer takes work.
@@ -162,7 +162,7 @@
             metrics: parts.metrics,
             log: parts.log,
             updates: parts.updates,
-            spread: spread_of(&self.source.gateway),
+            jitter: jitter_of(&self.source.gateway),
             source: self.source,
             peer_address: parts.sockets.address,
             decisions_port: parts.decisions_port,
@@ -197,10 +197,10 @@
         tokio::task::spawn_local(Rc::clone(&shared).follow(topic));
     }
     let (reporting, ordering) = (Rc::clone(&shared), Rc::clone(&shared));
-    tokio::task::spawn_local(async move { reporting.keep_reporting().await });
-    tokio::task::spawn_local(async move { ordering.keep_endpoints().await });
-    tokio::task::spawn_local(Rc::clone(&shared).keep_rollouts());
-    tokio::task::spawn_local(Rc::clone(&shared).keep_quarantine());
+    tokio::task::spawn_local(async move { reporting.run_usage_reports().await });
+    tokio::task::spawn_local(async move { ordering.run_autoscaling().await });
+    tokio::task::spawn_local(Rc::clone(&shared).run_rollouts());
+    tokio::task::spawn_local(Rc::clone(&shared).run_quarantine_row());
     if let Err(error) = exchange(&shared, sockets, tallies) {
         warn!(shared.log, "no exchange with other gateways; raise the limit of descriptors";
             "cause" => %error);
@@ -215,7 +215,7 @@
 ) -> std::io::Result<()> {
     let rows = tokio::net::TcpListener::from_std(sockets.rows)?;
     let gossip = Rc::new(tokio::net::UdpSocket::from_std(sockets.gossip)?);
-    tokio::task::spawn_local(Rc::clone(shared).pass_on(rows));
+    tokio::task::spawn_local(Rc::clone(shared).serve_rows(rows));
     tokio::task::spawn_local(Rc::clone(shared).announce());
     tokio::task::spawn_local(Rc::clone(shared).receive(Rc::clone(&gossip)));
     tokio::task::spawn_local(Rc::clone(shared).report(gossip, tallies));
@@ -224,33 +224,33 @@
 
 impl<S: Store + 'static, O: Orders + 'static> Shared<S, O> {
     async fn tick(self: Rc<Self>, signals: Signals, read_settings: ReadSettings) {
-        let mut looked_at = Duration::ZERO;
+        let mut settings_read_at = Duration::ZERO;
         let mut suspensions = Suspensions::new(self.clock);
         loop {
-            tokio::time::sleep(TICK).await;
+            tokio::time::sleep(TICK_PAUSE).await;
             if let Some(time) = suspensions.look() {
-                self.note_suspension(time);
+                self.handle_suspension(time);
             }
             let now = self.clock.now();
-            self.look_at_day(now);
+            self.correct_wall_clock(now);
             self.check_store_era();
             self.recheck_rows(now);
             if signals.stop.load(Ordering::Relaxed) {
                 self.freshness.stop(now);
             }
             let asked = signals.reload.swap(false, Ordering::Relaxed);
-            if asked || now >= looked_at + SETTINGS_LOOK {
-                looked_at = now;
-                self.take_settings(read_settings(), asked);
+            if asked || now >= settings_read_at + SETTINGS_POLL_PAUSE {
+                settings_read_at = now;
+                self.apply_settings(read_settings(), asked);
             }
-            self.count_peers(now);
+            self.update_peers(now);
             self.tick_lease(now);
         }
     }
 
     // Corrects jumps of the wall clock. In a run without this correction, with half of the clocks jumping
     // within a day, four usage windows were missed; with it, none.
-    fn look_at_day(&self, now: Duration) {
+    fn correct_wall_clock(&self, now: Duration) {
         let reading_us = self.clock.day_reading_us();
         let look = self.known.borrow_mut().day.look(now, reading_us);
         self.clock.believe_day(look.believed_us);
@@ -264,7 +264,7 @@
 
     // During a suspension the runtime's timers stand still, so all state is older than they show: every topic
     // is polled and the peers are informed at once.
-    fn note_suspension(&self, time: Duration) {
+    fn handle_suspension(&self, time: Duration) {
         self.metrics.count(Counter::Suspensions);
         warn!(self.log, "the VM was suspended"; "ms" => time.as_millis() as u64);
         let known = self.known.borrow();
@@ -273,7 +273,7 @@
         self.urgent.notify_one();
     }
 
-    fn take_settings(&self, read: Option<GatewaySettings>, asked: bool) {
+    fn apply_settings(&self, read: Option<GatewaySettings>, asked: bool) {
         let Some(settings) = read else {
             if asked {
                 warn!(
@@ -298,7 +298,7 @@
             .send(Update::Settings(Arc::clone(&known.settings)));
     }
 
-    fn count_peers(&self, now: Duration) {
+    fn update_peers(&self, now: Duration) {
         let mut known = self.known.borrow_mut();
         known.peers.tick(now);
         let fleet = known.peers.fleet(now);
@@ -310,10 +310,10 @@
             known.fleet = fleet.clone();
             let _ = self.updates.send(Update::Fleet(fleet));
         }
-        self.check_need(&mut known, now);
-        let watches = known.watches_store(now);
-        if watches != known.watches {
-            known.watches = watches;
+        self.update_endpoint_need(&mut known, now);
+        let reads_store = known.is_store_reader(now);
+        if reads_store != known.reads_store {
+            known.reads_store = reads_store;
             // The current wait is long because other gateways read the store; now this one does.
             let followed = known.followed.values();
             followed.for_each(|followed| followed.wake.notify_one());
--- a/components/gateway/src/control/accounts.rs
+++ b/components/gateway/src/control/accounts.rs
@@ -11,7 +11,7 @@
 
 impl<S: Store + 'static, O: Orders + 'static> Shared<S, O> {
     /// Logs and counts the read of a whole topic, or of its part for one data hall.
-    pub fn note_list(&self, topic: Topic, sent: Duration, list: &ReadList) {
+    pub fn record_list(&self, topic: Topic, sent: Duration, list: &ReadList) {
         let took = self.clock.now().saturating_sub(sent);
         self.metrics.add(Counter::StoreRepeats, list.repeats.into());
         info!(self.log, "topic read from the store"; "topic" => ?topic,
--- a/components/gateway/src/control/carrying.rs
+++ b/components/gateway/src/control/carrying.rs
@@ -11,7 +11,7 @@
 use schema::messages::{Gossip, RolloutRow};
 use slog::{info, warn};
 
-use crate::control::rollouts::{Carried, Heard, Status};
+use crate::control::rollouts::{Execution, StageReport, Status};
 use crate::control::{Known, Shared};
 use crate::gossip;
 use crate::ports::{Orders, ReadRow, Row, Store, StoreError, Topic};
@@ -19,11 +19,11 @@
 use crate::versions::{is_lost_when_cut, route_hash};
 
 /// Pause between checks of the orders.
-const ROLLOUT_LOOK: Duration = Duration::from_millis(100);
+const ROLLOUT_CHECK_PAUSE: Duration = Duration::from_millis(100);
 /// Pause after a failed call of the store.
 const FAILED_PAUSE: Duration = Duration::from_millis(500);
 /// Factor by which the recorded time of the slowest store call decays at each further call.
-const CALL_TIME_KEPT: f64 = 0.7;
+const CALL_TIME_DECAY: f64 = 0.7;
 
 enum Work {
     // Read the rows.
@@ -35,24 +35,24 @@
 
 impl<S: Store + 'static, O: Orders + 'static> Shared<S, O> {
     /// Carries out orders until the process ends, whenever this gateway holds the lease.
-    pub async fn keep_rollouts(self: Rc<Self>) {
+    pub async fn run_rollouts(self: Rc<Self>) {
         loop {
-            tokio::time::sleep(ROLLOUT_LOOK).await;
+            tokio::time::sleep(ROLLOUT_CHECK_PAUSE).await;
             let services: Vec<String> = {
                 let known = self.known.borrow();
                 known.rollouts.orders.keys().cloned().collect()
             };
             for service in services {
-                self.carry(&service).await;
+                self.execute(&service).await;
             }
         }
     }
 
-    async fn carry(&self, service: &str) {
+    async fn execute(&self, service: &str) {
         if self.holder().is_none() {
             let mut known = self.known.borrow_mut();
-            if let Some(ordered) = known.rollouts.orders.get_mut(service) {
-                ordered.carried = None;
+            if let Some(rollout) = known.rollouts.orders.get_mut(service) {
+                rollout.execution = None;
             }
             return;
         }
@@ -70,53 +70,57 @@
     fn next_work(&self, service: &str) -> Option<Work> {
         let now = self.clock.now();
         let known = &mut *self.known.borrow_mut();
-        let ordered = known.rollouts.orders.get(service)?;
-        let Some(carried) = &ordered.carried else {
+        let rollout = known.rollouts.orders.get(service)?;
+        let Some(execution) = &rollout.execution else {
             return Some(Work::Load);
         };
-        let Some(status) = &carried.status else {
+        let Some(status) = &execution.status else {
             return Some(Work::Load);
         };
-        let wanted = self.store.rollout_status(&ordered.order, carried.decision);
+        let wanted = self
+            .store
+            .rollout_status(&rollout.order, execution.decision);
         if status.value != wanted.value {
-            return Some(Work::Status(carried.decision));
+            return Some(Work::Status(execution.decision));
         }
-        if let Some(decision) = carried.decision {
+        if let Some(decision) = execution.decision {
             // A decision takes effect only once it is reported.
-            let is_reported = ordered.decision().is_some();
+            let is_reported = rollout.decision().is_some();
             let report = Work::Step(Step::Tell(Stage::Decided(decision)));
             return (!is_reported).then_some(report);
         }
-        let ordered_at = known.store_clock.moment(carried.ordered_stamp, now);
+        let ordered_at = known.store_clock.moment(execution.ordered_stamp, now);
         let ordered_at = ordered_at.unwrap_or(now);
-        let (runs, slots) = known.running_and_new_slots(&ordered.order);
-        let evidence = ordered.evidence();
-        let long = known.answers_lost_when_cut(&evidence) as f64;
+        let (runs, slots) = known.running_and_new_slots(&rollout.order);
+        let evidence = rollout.evidence();
+        let answers_at_risk = known.answers_lost_when_cut(&evidence) as f64;
         let elapsed = now.saturating_sub(ordered_at).as_secs_f64();
         let progress = Progress {
             ordered_at,
-            long_per_s: long / elapsed.max(1.0),
-            call_time: carried.call_time,
+            long_per_s: answers_at_risk / elapsed.max(1.0),
+            call_time: execution.call_time,
             can_carry: slots > 0 && slots >= runs,
         };
-        let ordered = known.rollouts.orders.get_mut(service)?;
-        let plan = &mut ordered.carried.as_mut()?.plan;
+        let rollout = known.rollouts.orders.get_mut(service)?;
+        let plan = &mut rollout.execution.as_mut()?.plan;
         Some(Work::Step(plan.step(now, &evidence, progress)))
     }
 
     fn set_stage(&self, service: &str, stage: Stage) {
         let now = self.clock.now();
         let mut known = self.known.borrow_mut();
-        let Some(ordered) = known.rollouts.orders.get(service) else {
+        let Some(rollout) = known.rollouts.orders.get(service) else {
             return;
         };
-        let revision = ordered.order.revision;
-        let heard = Heard {
+        let revision = rollout.order.revision;
+        let stage_report = StageReport {
             stage,
             at: now,
             holder: self.peer_address,
         };
-        let is_new = known.rollouts.receive(service, revision, heard);
+        let is_new = known
+            .rollouts
+            .receive_stage(service, revision, stage_report);
         drop(known);
         self.update_traffic(service, revision, stage, now);
         if is_new {
@@ -137,14 +141,15 @@
             };
             let age = Duration::from_millis(reported.age_ms.max(0) as u64);
             let at = now.saturating_sub(age);
-            let heard = Heard { stage, at, holder };
+            let stage_report = StageReport { stage, at, holder };
             let revision = reported.revision.max(0) as u64;
             let mut known = self.known.borrow_mut();
-            let is_new = known
-                .rollouts
-                .receive(&reported.service_name, revision, heard);
-            let ordered = known.rollouts.orders.get(&reported.service_name);
-            let newest = ordered.and_then(|ordered| ordered.heard);
+            let is_new =
+                known
+                    .rollouts
+                    .receive_stage(&reported.service_name, revision, stage_report);
+            let rollout = known.rollouts.orders.get(&reported.service_name);
+            let newest = rollout.and_then(|rollout| rollout.stage_report);
             drop(known);
             if newest.is_some_and(|newest| newest.at == at) {
                 self.update_traffic(&reported.service_name, revision, stage, at);
@@ -175,36 +180,38 @@
         };
         let status_key = self.store.rollout_status(&order, None).key;
         let row = self
-            .timed(service, self.store.read(Topic::Rollouts, service))
+            .measure_call(service, self.store.read(Topic::Rollouts, service))
             .await;
         let status = self
-            .timed(service, self.store.read(Topic::RolloutStatus, &status_key))
+            .measure_call(service, self.store.read(Topic::RolloutStatus, &status_key))
             .await;
         let (Ok(read), Ok(status)) = (row, status) else {
             info!(self.log, "roll-out not read, the store does not answer"; "service" => service);
             tokio::time::sleep(FAILED_PAUSE).await;
             return;
         };
-        let kept = read.row.as_ref().and_then(read_row);
-        let is_of_order = |kept: &RolloutRow| {
-            kept.revision == order.revision as i64 && kept.version == order.version
+        let stored = read.row.as_ref().and_then(decode_row);
+        let is_of_order = |stored: &RolloutRow| {
+            stored.revision == order.revision as i64 && stored.version == order.version
         };
-        let kept = kept.filter(is_of_order);
+        let stored = stored.filter(is_of_order);
         let expected = expected_revision(&read);
         // A restored store may lack a decision that already took effect; it must not be made again.
         let known_decision = self.decision_of(service);
-        let (kept, revision) = match kept {
-            Some(kept) if kept.decision.is_some() || known_decision.is_none() => (kept, expected),
-            kept => {
+        let (stored, revision) = match stored {
+            Some(stored) if stored.decision.is_some() || known_decision.is_none() => {
+                (stored, expected)
+            }
+            stored => {
                 let stamp_ms = stamp.as_millis() as i64;
-                let first = RolloutRow {
+                let first_row = RolloutRow {
                     revision: order.revision as i64,
                     version: order.version.clone(),
-                    ordered_ms: kept.map_or(stamp_ms, |kept| kept.ordered_ms),
+                    ordered_ms: stored.map_or(stamp_ms, |stored| stored.ordered_ms),
                     decision: known_decision.map(|d| gossip::stage_of(Stage::Decided(d))),
                 };
-                match self.write_row(service, &first, expected).await {
-                    Ok(revision) => (first, revision),
+                match self.write_row(service, &first_row, expected).await {
+                    Ok(revision) => (first_row, revision),
                     Err(error) => {
                         info!(self.log, "roll-out not begun"; "service" => service, "cause" => %error);
                         tokio::time::sleep(FAILED_PAUSE).await;
@@ -213,7 +220,7 @@
                 }
             }
         };
-        let decision = kept
+        let decision = stored
             .decision
             .and_then(gossip::received_stage)
             .and_then(Stage::decision);
@@ -221,17 +228,17 @@
         let settings = known.settings.clone();
         // The store was restored while the rows were read.
         let is_outdated = Some(revision.era) < known.newest_era;
-        let Some(ordered) = known.rollouts.orders.get_mut(service) else {
+        let Some(rollout) = known.rollouts.orders.get_mut(service) else {
             return;
         };
-        if ordered.order.revision != order.revision || is_outdated {
+        if rollout.order.revision != order.revision || is_outdated {
             return;
         }
         info!(self.log, "roll-out carried out here"; "service" => service, "version" => &order.version,
             "revision" => order.revision, "decided" => ?decision, "time_ms" => order.time.as_millis() as u64);
-        ordered.carried = Some(Carried {
-            plan: ordered.plan(&settings),
-            ordered_stamp: Duration::from_millis(kept.ordered_ms.max(0) as u64),
+        rollout.execution = Some(Execution {
+            plan: rollout.plan(&settings),
+            ordered_stamp: Duration::from_millis(stored.ordered_ms.max(0) as u64),
             revision,
             decision,
             status: Some(status_of(status.row)),
@@ -249,34 +256,34 @@
             "new" => judgement.new.0, "new_bad" => judgement.new.1,
             "old" => judgement.old.0, "old_bad" => judgement.old.1);
         let written = self.write_row(service, &row, expected).await;
-        if self.note_decision(service, decision, written) {
+        if self.record_decision_write(service, decision, written) {
             self.set_stage(service, Stage::Decided(decision));
             self.write_status(service, Some(decision)).await;
         }
     }
 
     // Records the result of a write. Returns whether the decision is written.
-    fn note_decision(
+    fn record_decision_write(
         &self,
         service: &str,
         decision: Decision,
         written: Result<Revision, StoreError>,
     ) -> bool {
         let mut known = self.known.borrow_mut();
-        let Some(ordered) = known.rollouts.orders.get_mut(service) else {
+        let Some(rollout) = known.rollouts.orders.get_mut(service) else {
             return false;
         };
-        match (written, &mut ordered.carried) {
-            (Ok(revision), Some(carried)) => {
-                carried.revision = revision;
-                carried.decision = Some(decision);
+        match (written, &mut rollout.execution) {
+            (Ok(revision), Some(execution)) => {
+                execution.revision = revision;
+                execution.decision = Some(decision);
                 true
             }
             (written, _) => {
                 // The rows are read again, as the write may have succeeded or another holder may have written.
                 warn!(self.log, "decision of a roll-out not written"; "service" => service,
                     "written" => ?written);
-                ordered.carried = None;
+                rollout.execution = None;
                 false
             }
         }
@@ -296,15 +303,15 @@
         decision: Decision,
     ) -> Option<(Order, RolloutRow, Revision)> {
         let known = self.known.borrow();
-        let ordered = known.rollouts.orders.get(service)?;
-        let carried = ordered.carried.as_ref()?;
+        let rollout = known.rollouts.orders.get(service)?;
+        let execution = rollout.execution.as_ref()?;
         let row = RolloutRow {
-            revision: ordered.order.revision as i64,
-            version: ordered.order.version.clone(),
-            ordered_ms: carried.ordered_stamp.as_millis() as i64,
+            revision: rollout.order.revision as i64,
+            version: rollout.order.version.clone(),
+            ordered_ms: execution.ordered_stamp.as_millis() as i64,
             decision: Some(gossip::stage_of(Stage::Decided(decision))),
         };
-        Some((ordered.order.clone(), row, carried.revision))
+        Some((rollout.order.clone(), row, execution.revision))
     }
 
     async fn write_row(
@@ -317,7 +324,7 @@
         let call = self
             .store
             .write(Topic::Rollouts, service, value, Some(expected));
-        self.timed(service, call).await
+        self.measure_call(service, call).await
     }
 
     async fn write_status(&self, service: &str, decision: Option<Decision>) {
@@ -334,25 +341,25 @@
             wanted.value.clone(),
             Some(expected),
         );
-        let written = self.timed(service, call).await;
+        let written = self.measure_call(service, call).await;
         info!(self.log, "roll-out status written"; "service" => service, "decision" => ?decision,
             "written" => written.is_ok());
         if written.is_err() {
             tokio::time::sleep(FAILED_PAUSE).await;
         }
         let mut known = self.known.borrow_mut();
-        let ordered = known.rollouts.orders.get_mut(service);
-        let Some(carried) = ordered.and_then(|ordered| ordered.carried.as_mut()) else {
+        let rollout = known.rollouts.orders.get_mut(service);
+        let Some(execution) = rollout.and_then(|rollout| rollout.execution.as_mut()) else {
             return;
         };
-        carried.status = match written {
+        execution.status = match written {
             Ok(revision) => Some(Status {
                 revision,
                 value: wanted.value,
             }),
             Err(StoreError::Conflict(row)) => Some(status_of(row)),
             // The store refused the write, so the row is unchanged.
-            Err(StoreError::Refused) => carried.status.take(),
+            Err(StoreError::Refused) => execution.status.take(),
             Err(_) => None,
         };
     }
@@ -360,8 +367,8 @@
     // Revision of the operator's status row, if this gateway carries out the order and has read the row.
     fn status_revision(&self, service: &str) -> Option<Revision> {
         let known = self.known.borrow();
-        let ordered = known.rollouts.orders.get(service)?;
-        let status = ordered.carried.as_ref()?.status.as_ref()?;
+        let rollout = known.rollouts.orders.get(service)?;
+        let status = rollout.execution.as_ref()?.status.as_ref()?;
         Some(status.revision)
     }
 
@@ -372,19 +379,23 @@
 
     fn order_of(&self, service: &str) -> Option<(Order, Duration)> {
         let known = self.known.borrow();
-        let ordered = known.rollouts.orders.get(service)?;
-        Some((ordered.order.clone(), ordered.stamp))
+        let rollout = known.rollouts.orders.get(service)?;
+        Some((rollout.order.clone(), rollout.stamp))
     }
 
     // Awaits a call of the store and records how long it took.
-    async fn timed<T>(&self, service: &str, call: impl std::future::Future<Output = T>) -> T {
+    async fn measure_call<T>(
+        &self,
+        service: &str,
+        call: impl std::future::Future<Output = T>,
+    ) -> T {
         let began = self.clock.now();
         let result = call.await;
         let took = self.clock.now().saturating_sub(began);
         let mut known = self.known.borrow_mut();
-        let ordered = known.rollouts.orders.get_mut(service);
-        if let Some(carried) = ordered.and_then(|ordered| ordered.carried.as_mut()) {
-            carried.call_time = took.max(carried.call_time.mul_f64(CALL_TIME_KEPT));
+        let rollout = known.rollouts.orders.get_mut(service);
+        if let Some(execution) = rollout.and_then(|rollout| rollout.execution.as_mut()) {
+            execution.call_time = took.max(execution.call_time.mul_f64(CALL_TIME_DECAY));
         }
         result
     }
@@ -409,7 +420,7 @@
     row.map_or(Revision::ABSENT, |row| row.revision)
 }
 
-fn read_row(row: &Row) -> Option<RolloutRow> {
+fn decode_row(row: &Row) -> Option<RolloutRow> {
     schema::decode(row.value.as_deref()?).ok()
 }
 
--- a/components/gateway/src/control/deflated.rs
+++ b/components/gateway/src/control/deflated.rs
@@ -11,7 +11,7 @@
 use schema::MAX_ENCODED_BYTES;
 
 /// Smaller replies fit into a few packets without compression.
-const LEAST_BYTES: usize = 4 << 10;
+const MIN_DEFLATE_BYTES: usize = 4 << 10;
 
 /// An encoded reply.
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -32,7 +32,7 @@
 
     // A reply that is deflated if it is long enough to be worth the CPU time, and if that makes it shorter.
     fn deflated(bytes: Vec<u8>) -> Self {
-        if bytes.len() < LEAST_BYTES {
+        if bytes.len() < MIN_DEFLATE_BYTES {
             return EncodedReply::plain(bytes);
         }
         let mut encoder = ZlibEncoder::new(Vec::new(), Compression::fast());
@@ -81,8 +81,8 @@
 /// Decompresses a reply; `None` if it is malformed or larger than `MAX_ENCODED_BYTES`.
 pub fn inflate(bytes: &[u8]) -> Option<Vec<u8>> {
     let mut inflated = Vec::new();
-    let most = MAX_ENCODED_BYTES as u64 + 1;
-    let mut decoder = ZlibDecoder::new(bytes).take(most);
+    let max_bytes = MAX_ENCODED_BYTES as u64 + 1;
+    let mut decoder = ZlibDecoder::new(bytes).take(max_bytes);
     decoder.read_to_end(&mut inflated).ok()?;
     (inflated.len() <= MAX_ENCODED_BYTES).then_some(inflated)
 }
--- a/components/gateway/src/control/departures.rs
+++ b/components/gateway/src/control/departures.rs
@@ -123,8 +123,8 @@
                 continue;
             };
             match topic {
-                Topic::Endpoints => self.take_endpoint(&row),
-                _ => self.take_operator_row(&row, stamp),
+                Topic::Endpoints => self.apply_endpoint(&row),
+                _ => self.apply_operator_row(&row, stamp),
             }
         }
     }
--- a/components/gateway/src/control/echoes.rs
+++ b/components/gateway/src/control/echoes.rs
@@ -10,10 +10,10 @@
 use schema::messages::Echo;
 
 /// Age after which a message is no longer echoed: the time for which its sender counts as alive.
-const LONGEST_HELD: Duration = Duration::from_millis(1500);
+const MAX_ECHO_AGE: Duration = Duration::from_millis(1500);
 /// Upper limit of a measured round-trip time. A message may be queued behind a full link or sent to a suspended
 /// process; such a measurement must not be taken for a short round trip, so it is capped and not dropped.
-const LONGEST_WAY: Duration = Duration::from_secs(2);
+const MAX_ROUND_TRIP: Duration = Duration::from_secs(2);
 
 /// Latest messages of the other coordinators.
 #[derive(Debug, Default)]
@@ -32,7 +32,7 @@
 
     /// The echo for the next message, of each coordinator in turn.
     pub fn next(&mut self, now: Duration) -> Option<Echo> {
-        self.received.retain(|_, (_, at)| now < *at + LONGEST_HELD);
+        self.received.retain(|_, (_, at)| now < *at + MAX_ECHO_AGE);
         let after = (
             std::ops::Bound::Excluded(self.last.clone()),
             std::ops::Bound::Unbounded,
@@ -55,8 +55,8 @@
     }
     let sent = Duration::from_millis(u64::try_from(echo.uptime_ms).ok()?);
     let held = Duration::from_micros(u64::try_from(echo.held_us).ok()?);
-    let way = now.checked_sub(sent)?.checked_sub(held)?;
-    Some(way.min(LONGEST_WAY))
+    let elapsed = now.checked_sub(sent)?.checked_sub(held)?;
+    Some(elapsed.min(MAX_ROUND_TRIP))
 }
 
 fn name_hash(name: &str) -> i64 {
--- a/components/gateway/src/control/engines.rs
+++ b/components/gateway/src/control/engines.rs
@@ -14,7 +14,7 @@
 /// One in this many messages to coordinators holds engine statistics, which take some 300 bytes per service.
 const REPORT_EVERY: u32 = 3;
 /// Upper limit of services in one message, so that it fits into one datagram.
-const MOST_SERVICES: usize = 2;
+const MAX_SERVICES: usize = 2;
 
 /// Engine statistics of the other coordinators, and the count of messages that decides when this one's are
 /// sent.
@@ -30,8 +30,8 @@
         let Some(reports) = &gossip.engines else {
             return;
         };
-        let services = reports.iter().take(MOST_SERVICES);
-        let services = services.map(|report| (report.service_name.clone(), learnt_of(report)));
+        let services = reports.iter().take(MAX_SERVICES);
+        let services = services.map(|report| (report.service_name.clone(), stats_of(report)));
         let services: BTreeMap<String, EngineStats> = services.collect();
         self.reports.receive(now, &gossip.gateway, services);
     }
@@ -39,7 +39,7 @@
 
 impl Known {
     /// Statistics of a service's engines, merged over all gateways that reported any.
-    pub fn learnt_of(&self, service: &str) -> EngineStats {
+    pub fn engine_stats_of(&self, service: &str) -> EngineStats {
         let own = self.loads.get(service).map(|load| load.learnt);
         self.engines
             .reports
@@ -54,7 +54,7 @@
         }
         let seen = self.loads.iter();
         let seen = seen.filter(|(_, load)| load.learnt.steps.count > 0.0);
-        let reports = seen.take(MOST_SERVICES);
+        let reports = seen.take(MAX_SERVICES);
         let reports = reports.map(|(service, load)| report_of(service, &load.learnt));
         Some(reports.collect())
     }
@@ -69,7 +69,7 @@
     }
 }
 
-fn learnt_of(report: &EngineReport) -> EngineStats {
+fn stats_of(report: &EngineReport) -> EngineStats {
     let steps: Vec<f64> = report.steps.iter().map(|moment| moment.0).collect();
     let allowed: Vec<f64> = report.allowed.iter().map(|count| count.0).collect();
     EngineStats {
--- a/components/gateway/src/control/era.rs
+++ b/components/gateway/src/control/era.rs
@@ -30,7 +30,7 @@
             Some(previous_era) => {
                 self.metrics.count(Counter::StoreRestored);
                 warn!(self.log, "store restored from an older copy"; "era" => era, "previous_era" => previous_era);
-                known.rollouts.invalidate_carried();
+                known.rollouts.discard_executions();
                 tokio::task::spawn_local(Rc::clone(self).rewrite_own_row());
             }
             None => info!(self.log, "era read from the store"; "era" => era),
--- a/components/gateway/src/control/exchange.rs
+++ b/components/gateway/src/control/exchange.rs
@@ -25,13 +25,13 @@
 use crate::update::Update;
 
 /// Size limit of a received datagram, in bytes.
-const MAX_DATAGRAM: usize = 8192;
+const MAX_DATAGRAM_BYTES: usize = 8192;
 /// Pause after a failed store call; it doubles up to twice.
 const FAILED_PAUSE: Duration = Duration::from_millis(300);
 /// Rate at which all gateways together rewrite their rows after a restore: half of the store's write capacity.
 const ROW_REWRITES_PER_S: f64 = 200.0;
 /// Pause between checks of whether further parts of the list are needed.
-const LIST_LOOK: Duration = Duration::from_millis(100);
+const LIST_CHECK_PAUSE: Duration = Duration::from_millis(100);
 
 impl<S: Store + 'static, O: Orders + 'static> Shared<S, O> {
     /// Writes this gateway's row and reads the list of the others.
@@ -50,7 +50,7 @@
         let gateways = self.known.borrow().fleet.gateways;
         let period = Duration::from_secs_f64(gateways as f64 / ROW_REWRITES_PER_S);
         let era = self.known.borrow().newest_era;
-        tokio::time::sleep(period.mul_f64(self.spread)).await;
+        tokio::time::sleep(period.mul_f64(self.jitter)).await;
         if self.known.borrow().newest_era != era {
             // The rewrite for the later era replaces this one.
             return;
@@ -77,8 +77,8 @@
             .announce(hall, &settings.name, value.clone())
             .await
         {
-            self.note_unlisted(&error);
-            tokio::time::sleep(self.pause_after(failures)).await;
+            self.record_list_failure(&error);
+            tokio::time::sleep(self.backoff_after(failures)).await;
             failures += 1;
         }
     }
@@ -93,7 +93,7 @@
             };
             match next {
                 Some(hall) => self.list_gateways(Some(&hall)).await,
-                None => tokio::time::sleep(LIST_LOOK).await,
+                None => tokio::time::sleep(LIST_CHECK_PAUSE).await,
             }
         }
     }
@@ -103,15 +103,15 @@
         let mut failures = 0;
         let (sent, list) = loop {
             let sent = self.clock.now();
-            match read_all(&self.store, Topic::Gateways, hall, self.spread).await {
+            match read_all(&self.store, Topic::Gateways, hall, self.jitter).await {
                 Ok(list) => {
-                    self.note_list(Topic::Gateways, sent, &list);
+                    self.record_list(Topic::Gateways, sent, &list);
                     self.count_bytes(Topic::Gateways, list.rows.bytes);
                     break (sent, list);
                 }
                 Err(error) => {
-                    self.note_unlisted(&error);
-                    tokio::time::sleep(self.pause_after(failures)).await;
+                    self.record_list_failure(&error);
+                    tokio::time::sleep(self.backoff_after(failures)).await;
                     failures += 1;
                 }
             }
@@ -124,25 +124,25 @@
         // A gateway that does not read the other topics from the store needs the store's time to apply
         // confirmations of other gateways.
         let _ = known.store_clock.earliest(sent, now, list.rows.stamp);
-        known.note_store_call(now.saturating_sub(sent));
+        known.record_store_call(now.saturating_sub(sent));
         match hall {
             Some(hall) => known.peers.apply_hall_list(now, hall, listed),
             None => known.peers.apply_list(now, listed),
         }
-        self.check_need(&mut known, now);
+        self.update_endpoint_need(&mut known, now);
         // If the store turns out to be near, the topics are read from it now.
         let followed = known.followed.values();
         followed.for_each(|followed| followed.wake.notify_one());
     }
 
-    fn note_unlisted(&self, error: &StoreError) {
+    fn record_list_failure(&self, error: &StoreError) {
         self.metrics.count(Counter::PlatformUnanswered);
         self.known.borrow_mut().list_refused = *error == StoreError::Refused;
     }
 
-    fn pause_after(&self, failures: u32) -> Duration {
+    fn backoff_after(&self, failures: u32) -> Duration {
         let pause = FAILED_PAUSE * (1 << failures.min(2));
-        pause.mul_f64(0.75 + self.spread / 2.0)
+        pause.mul_f64(0.75 + self.jitter / 2.0)
     }
 
     /// Processes tallies of the traffic thread and sends reports to the other gateways.
@@ -152,14 +152,14 @@
             let mut long_prompt = false;
             tokio::select! {
                 tally = tallies.recv_async() => match tally {
-                    Ok(tally) => long_prompt = self.take_tally(tally),
+                    Ok(tally) => long_prompt = self.apply_tally(tally),
                     Err(_) => return,
                 },
                 () = self.urgent.notified() => changed = true,
             };
             let now = self.clock.now();
             for (content, targets) in self.due(now, changed, long_prompt) {
-                let bytes = self.message(now, content);
+                let bytes = self.encoded_message(now, content);
                 for target in targets {
                     self.send(&socket, &bytes, target).await;
                 }
@@ -171,7 +171,7 @@
 
     /// Processes messages of the other gateways.
     pub async fn receive(self: Rc<Self>, socket: Rc<UdpSocket>) {
-        let mut buffer = vec![0; MAX_DATAGRAM];
+        let mut buffer = vec![0; MAX_DATAGRAM_BYTES];
         loop {
             let Ok((length, from)) = socket.recv_from(&mut buffer).await else {
                 tokio::time::sleep(FAILED_PAUSE).await;
@@ -183,7 +183,7 @@
                     let was_alive = self.known.borrow().peers.is_alive(now, &gossip.gateway);
                     self.receive_gossip(&gossip, from);
                     if !was_alive && !gossip.stopping && gossip.gateway != self.source.gateway {
-                        let answer = self.message(now, Content::Digest);
+                        let answer = self.encoded_message(now, Content::Digest);
                         self.send(&socket, &answer, from).await;
                     }
                 }
@@ -204,7 +204,7 @@
     }
 
     // Returns whether the tally holds a long prompt, which must be reported at once.
-    fn take_tally(&self, tally: Tally) -> bool {
+    fn apply_tally(&self, tally: Tally) -> bool {
         let mut known = self.known.borrow_mut();
         let urgent = tally
             .sent
@@ -218,11 +218,11 @@
             known.demand.add(sent.at, sent.endpoint, sent.unread_tokens);
         }
         for reported in &tally.reported {
-            known.rollouts.note(reported);
+            known.rollouts.record_answer(reported);
         }
-        self.take_own_observations(&mut known, tally.observations);
+        self.record_own_observations(&mut known, tally.observations);
         known.unsent.extend(tally.sent);
-        known.keep_sights(tally.sights);
+        known.queue_sights(tally.sights);
         known.limits.extend(tally.limits);
         known.taken = tally.taken;
         known.loads = tally.loads;
@@ -237,7 +237,7 @@
         let now = self.clock.now();
         let mut known = self.known.borrow_mut();
         let was_alive = known.peers.is_alive(now, &gossip.gateway);
-        let heard = known.peers.receive(now, gossip::greeting(gossip, from));
+        let receipt = known.peers.receive(now, gossip::greeting(gossip, from));
         let source = Source {
             gateway: gossip.gateway.clone(),
             incarnation: gossip.incarnation,
@@ -253,14 +253,14 @@
         for reported in gossip.evidence.iter().flatten() {
             known.rollouts.receive_evidence(&source, reported);
         }
-        if heard == Receipt::Stale {
+        if receipt == Receipt::Stale {
             return;
         }
         known.engines.receive(now, gossip);
         if let Some(offset_us) = gossip::received_day(now, gossip) {
             known.day.receive(now, &gossip.gateway, offset_us);
         }
-        if known.looks_for_others(now) {
+        if known.should_contact_addresses(now) {
             for address in gossip::received_addresses(gossip) {
                 known.peers.add_address(now, address);
             }
@@ -282,7 +282,7 @@
                 info!(self.log, "gateway stops"; "gateway" => &gossip.gateway);
             }
         }
-        let measured = known.way_shown(now, &self.source.gateway, gossip);
+        let measured = known.measured_round_trip(now, &self.source.gateway, gossip);
         let dispatches = gossip.dispatches.iter();
         let dispatches: Vec<_> = dispatches
             .map(|d| gossip::received_dispatch(now, d))
@@ -297,7 +297,7 @@
         if let Some((hall, round_trip)) = measured {
             self.update(Update::WayMeasured { hall, round_trip });
         }
-        self.act(actions);
+        self.perform_lease_actions(actions);
         self.receive_rollouts(gossip);
         self.receive_contents(gossip);
         for (topic, reported) in gossip::received_heads(gossip) {
@@ -334,17 +334,17 @@
 
 impl Known {
     // The sender's hall and the round-trip time to it, if its message echoes one of this gateway.
-    fn way_shown(
+    fn measured_round_trip(
         &mut self,
         now: Duration,
         own: &str,
         gossip: &Gossip,
     ) -> Option<(String, Duration)> {
-        let kept = self.echoes.as_mut()?;
+        let echoes = self.echoes.as_mut()?;
         if gossip.coordinates == Some(true) {
-            kept.receive(now, &gossip.gateway, gossip.uptime_ms?);
+            echoes.receive(now, &gossip.gateway, gossip.uptime_ms?);
         }
-        let took = round_trip(now, own, gossip.echo.as_ref()?)?;
-        Some((gossip.hall.clone()?, took))
+        let round_trip_time = round_trip(now, own, gossip.echo.as_ref()?)?;
+        Some((gossip.hall.clone()?, round_trip_time))
     }
 }
--- a/components/gateway/src/control/follow.rs
+++ b/components/gateway/src/control/follow.rs
@@ -11,7 +11,7 @@
 use telemetry::Counter;
 use tokio::sync::Notify;
 
-use crate::control::passing::MOST_PASSED_ON;
+use crate::control::passing::MAX_REPLY_BYTES;
 use crate::control::Shared;
 use crate::listing::read_all;
 use crate::ports::{Orders, Row, Rows, Store, StoreError, Topic};
@@ -23,15 +23,15 @@
 /// Pause between checks of whether the endpoints are needed.
 const NEED_PAUSE: Duration = Duration::from_millis(500);
 /// Time after which a pending store call is dropped once another gateway has reported a change.
-const OVERTAKEN_TIME: Duration = Duration::from_millis(300);
+const OVERTAKEN_CALL_TIMEOUT: Duration = Duration::from_millis(300);
 /// Factor by which deflate is assumed to shrink rows of many similar entries.
-const SHRINKS_BY: usize = 3;
+const ASSUMED_COMPRESSION_RATIO: usize = 3;
 /// Gateways that keep long polls open at the store. There are two, as one may be cut off or fail unnoticed.
-pub(crate) const WATCHERS: usize = 2;
+pub(crate) const STORE_READERS: usize = 2;
 
 /// Local copy of one topic.
 #[derive(Debug)]
-pub(crate) struct Followed {
+pub(crate) struct FollowedTopic {
     pub table: Table,
     /// Schedules the reads of the topic.
     pub follower: Follower,
@@ -42,22 +42,22 @@
     /// Ends the current wait.
     pub wake: Arc<Notify>,
     // Newest era for which a full list was required, so that it is required once for each era.
-    listed_for_era: Option<u64>,
+    list_required_for_era: Option<u64>,
     // Whether it was logged that the store does not answer.
-    reported_missing: bool,
+    is_failure_logged: bool,
 }
 
-impl Followed {
+impl FollowedTopic {
     /// An empty copy.
     pub fn new(follower: Follower) -> Self {
-        Followed {
+        FollowedTopic {
             table: Table::default(),
             follower,
             confirmed: Duration::ZERO,
             newer: None,
             wake: Arc::new(Notify::new()),
-            listed_for_era: None,
-            reported_missing: false,
+            list_required_for_era: None,
+            is_failure_logged: false,
         }
     }
 
@@ -98,43 +98,43 @@
                 }
                 Step::PullFromPeer => self.pull(topic).await,
                 Step::List => self.list(topic).await,
-                Step::PollChanges { hold } => self.ask_for_changes(topic, hold).await,
+                Step::PollChanges { hold } => self.poll_changes(topic, hold).await,
             }
         }
     }
 
     async fn list(&self, topic: Topic) {
         let sent = self.clock.now();
-        let read = read_all(&self.store, topic, None, self.spread);
+        let read = read_all(&self.store, topic, None, self.jitter);
         let result = self.unless_overtaken(topic, read).await;
         if let Ok(list) = &result {
-            self.note_list(topic, sent, list);
+            self.record_list(topic, sent, list);
         }
-        self.take_result(topic, sent, result.map(|list| list.rows), true);
+        self.handle_result(topic, sent, result.map(|list| list.rows), true);
     }
 
     fn next_step(&self, topic: Topic) -> Step {
         let now = self.clock.now();
         let mut known = self.known.borrow_mut();
-        let watches = known.watches_store(now);
+        let reads_store = known.is_store_reader(now);
         let is_far = known.is_far_from_store();
-        let others_begin = known.others_begin(now);
+        let readers_start = known.readers_start(now);
         let followed = known.followed_mut(topic);
         match is_far {
             true => {
-                followed.follower.delegate_store_reads(now, self.spread);
-                followed.follower.set_readers_start(others_begin);
+                followed.follower.delegate_store_reads(now, self.jitter);
+                followed.follower.set_readers_start(readers_start);
             }
             false => followed.follower.read_store_directly(),
         }
         let newest_era = self.store.era().newest;
-        if followed.is_older_than_era(newest_era) && followed.listed_for_era < newest_era {
+        if followed.is_older_than_era(newest_era) && followed.list_required_for_era < newest_era {
             // The known revision may denote a different change in the new era.
-            followed.listed_for_era = newest_era;
+            followed.list_required_for_era = newest_era;
             followed.table.require_list();
         }
         let can_poll_changes = followed.table.can_poll_changes();
-        followed.follower.step(now, watches, can_poll_changes)
+        followed.follower.step(now, reads_store, can_poll_changes)
     }
 
     // Drops the call if another gateway reports a change meanwhile, so that a store that does not answer does
@@ -152,7 +152,7 @@
                 () = wake.notified() => {}
             }
         }
-        let answered = tokio::time::timeout(OVERTAKEN_TIME, call).await;
+        let answered = tokio::time::timeout(OVERTAKEN_CALL_TIMEOUT, call).await;
         answered.unwrap_or(Err(self.overtaken()))
     }
 
@@ -165,24 +165,24 @@
         }
     }
 
-    async fn ask_for_changes(&self, topic: Topic, hold: Duration) {
-        let (after, patience) = {
+    async fn poll_changes(&self, topic: Topic, hold: Duration) {
+        let (after, response_timeout) = {
             let known = self.known.borrow();
             let followed = &known.followed[&topic];
             let after = followed.table.known_to().unwrap_or_default();
             (after, followed.follower.response_timeout())
         };
         let sent = self.clock.now();
-        let call = self.store.changes(topic, after, hold, patience);
+        let call = self.store.changes(topic, after, hold, response_timeout);
         let result = self.unless_overtaken(topic, call).await;
-        let changed = self.take_result(topic, sent, result, false);
+        let changed = self.handle_result(topic, sent, result, false);
         if changed && topic == Topic::Endpoints {
             tokio::time::sleep(GATHER_PAUSE).await;
         }
     }
 
     // Returns whether anything changed.
-    fn take_result(
+    fn handle_result(
         &self,
         topic: Topic,
         sent: Duration,
@@ -191,39 +191,39 @@
     ) -> bool {
         self.metrics.count(Counter::TableCalls);
         match result {
-            Ok(rows) => self.take_rows(topic, sent, rows, whole),
+            Ok(rows) => self.apply_rows(topic, sent, rows, whole),
             Err(error) => {
-                self.note_failure(topic, &error);
+                self.record_failure(topic, &error);
                 false
             }
         }
     }
 
-    fn take_rows(&self, topic: Topic, sent: Duration, rows: Rows, whole: bool) -> bool {
+    fn apply_rows(&self, topic: Topic, sent: Duration, rows: Rows, whole: bool) -> bool {
         let received = self.clock.now();
         self.count_bytes(topic, rows.bytes);
-        let (made, was_missing) = {
+        let (made_at, was_failing) = {
             let mut known = self.known.borrow_mut();
-            let made = known.store_clock.earliest(sent, received, rows.stamp);
-            known.note_store_call(received.saturating_sub(sent));
+            let made_at = known.store_clock.earliest(sent, received, rows.stamp);
+            known.record_store_call(received.saturating_sub(sent));
             let followed = known.followed_mut(topic);
             followed.follower.store_answered(rows.revision);
             if !whole {
                 followed.follower.history_available();
             }
-            (made, std::mem::take(&mut followed.reported_missing))
+            (made_at, std::mem::take(&mut followed.is_failure_logged))
         };
         self.store_answers.notify_waiters();
-        if was_missing {
+        if was_failing {
             info!(self.log, "store answers again"; "topic" => ?topic);
         }
         let changes = rows.rows.into_iter().map(change_of).collect();
-        let changed = self.take_changes(topic, changes, rows.revision, rows.stamp, whole);
+        let changed = self.apply_changes(topic, changes, rows.revision, rows.stamp, whole);
         // Changes must be in force before they are confirmed. The answer may be of another era than the known
         // rows.
         let is_current = self.known.borrow().followed[&topic].is_current_at(rows.revision);
         if is_current {
-            self.confirm(topic, rows.stamp, made);
+            self.confirm(topic, rows.stamp, made_at);
         }
         if changed {
             self.urgent.notify_one();
@@ -233,7 +233,7 @@
 
     /// Applies rows of the store or of another gateway that were current at the store's monotonic time `stamp`.
     /// Returns whether anything changed.
-    pub fn take_changes(
+    pub fn apply_changes(
         &self,
         topic: Topic,
         changes: Vec<Change>,
@@ -256,19 +256,21 @@
             };
             let known_to = followed.table.known_to().unwrap_or_default();
             followed.follower.caught_up(known_to);
-            if let Some(bytes) = largest(&gossip) {
-                followed.follower.set_preferred_source(first_asked(bytes));
+            if let Some(bytes) = largest_value(&gossip) {
+                followed
+                    .follower
+                    .set_preferred_source(preferred_source(bytes));
             }
             (gossip, is_first, is_restored)
         };
         for change in &gossip {
             match topic {
                 Topic::Configuration if is_restored => {
-                    self.take_restored_operator_row(change, stamp);
+                    self.apply_restored_operator_row(change, stamp);
                 }
-                Topic::Configuration => self.take_operator_row(change, stamp),
-                Topic::Endpoints if is_restored => self.take_restored_endpoint(change),
-                Topic::Endpoints => self.take_endpoint(change),
+                Topic::Configuration => self.apply_operator_row(change, stamp),
+                Topic::Endpoints if is_restored => self.apply_restored_endpoint(change),
+                Topic::Endpoints => self.apply_endpoint(change),
                 Topic::Gateways
                 | Topic::Lease
                 | Topic::Usage
@@ -335,7 +337,7 @@
         }
     }
 
-    fn note_failure(&self, topic: Topic, error: &StoreError) {
+    fn record_failure(&self, topic: Topic, error: &StoreError) {
         let now = self.clock.now();
         let mut known = self.known.borrow_mut();
         let followed = known.followed_mut(topic);
@@ -353,13 +355,13 @@
         }
         self.metrics.count(Counter::PlatformUnanswered);
         followed.follower.store_failed(now);
-        if !std::mem::replace(&mut followed.reported_missing, true) {
+        if !std::mem::replace(&mut followed.is_failure_logged, true) {
             warn!(self.log, "store does not answer"; "topic" => ?topic, "cause" => %error);
         }
     }
 }
 
-fn largest(changes: &[Change]) -> Option<usize> {
+fn largest_value(changes: &[Change]) -> Option<usize> {
     let values = changes.iter().filter_map(|change| change.value.as_ref());
     values.map(Vec::len).max()
 }
@@ -367,8 +369,8 @@
 // Large rows would fill the links between gateways. The next change is assumed to be as large as the last one,
 // and to compress like rows that repeat the same field names. If it does not, the peer refuses to send it and
 // it is read from the store.
-fn first_asked(bytes: usize) -> PreferredSource {
-    match bytes <= MOST_PASSED_ON * SHRINKS_BY {
+fn preferred_source(bytes: usize) -> PreferredSource {
+    match bytes <= MAX_REPLY_BYTES * ASSUMED_COMPRESSION_RATIO {
         true => PreferredSource::Peer,
         false => PreferredSource::Store,
     }
--- a/components/gateway/src/control/forwarding.rs
+++ b/components/gateway/src/control/forwarding.rs
@@ -16,7 +16,7 @@
     /// Forwards the usage of ended windows to the holder of the lease, for the gateways whose first coordinator
     /// is this one.
     pub async fn forward_usage(&self, socket: &UdpSocket, now: Duration) {
-        let Some((holder, messages)) = self.forwarded(now) else {
+        let Some((holder, messages)) = self.usage_messages(now) else {
             return;
         };
         for message in messages {
@@ -30,7 +30,7 @@
             let mut known = self.known.borrow_mut();
             let due = known.rollouts.evidence_due(now, self.peer_address);
             let message = |(holder, reported): (SocketAddr, EvidenceReport)| {
-                let mut message = self.message_of(&mut known, now, Content::Usage);
+                let mut message = self.build_message(&mut known, now, Content::Usage);
                 message.evidence = Some(vec![Box::new(reported)]);
                 (holder, schema::encode(&message).unwrap_or_default())
             };
@@ -41,7 +41,7 @@
         }
     }
 
-    fn forwarded(&self, now: Duration) -> Option<(SocketAddr, Vec<Vec<u8>>)> {
+    fn usage_messages(&self, now: Duration) -> Option<(SocketAddr, Vec<Vec<u8>>)> {
         let mut known = self.known.borrow_mut();
         let (epoch, holder) = known.peers.lease_holder()?;
         if !known.peers.is_coordinator(now) || known.lease.order_epoch(now).is_some() {
@@ -56,7 +56,7 @@
             "holder" => %holder, "epoch" => epoch);
         let mut messages = Vec::new();
         for some in reported.chunks(gossip::MOST_FORWARDED) {
-            let mut message = self.message_of(&mut known, now, Content::Usage);
+            let mut message = self.build_message(&mut known, now, Content::Usage);
             message.forwarded = Some(some.iter().cloned().map(Box::new).collect());
             messages.push(schema::encode(&message).unwrap_or_default());
         }
--- a/components/gateway/src/control/kept.rs
+++ b/components/gateway/src/control/kept.rs
@@ -10,27 +10,27 @@
 use schema::messages::{KeptContent, QuarantineRow};
 use slog::{info, warn};
 
-use crate::control::follow::WATCHERS;
-use crate::control::quarantine::times_of;
+use crate::control::follow::STORE_READERS;
+use crate::control::quarantine::reported_hold_count;
 use crate::control::Shared;
 use crate::ports::{Orders, PageQuery, Row, Store, StoreError, Topic};
 
 /// Key of the row.
 const ROW_KEY: &str = "held";
 /// Pause between checks of whether the row must be read or written.
-const LOOK: Duration = Duration::from_millis(100);
+const CHECK_PAUSE: Duration = Duration::from_millis(100);
 /// Interval of reads of the row while gateways are silent: gateways behind a network partition write what they
 /// quarantine to it. It is well within the shortest time (3 s) after which a connected gateway must know of a
 /// quarantined content.
-const READ_AGAIN: Duration = Duration::from_secs(1);
+const REREAD_INTERVAL: Duration = Duration::from_secs(1);
 /// Timeout of a read without any data.
-const READ_TIME: Duration = Duration::from_millis(1500);
+const READ_TIMEOUT: Duration = Duration::from_millis(1500);
 /// Pause after a failed store call.
 const FAILED_PAUSE: Duration = Duration::from_millis(500);
 
 /// The row as last read or written by this gateway.
 #[derive(Debug)]
-pub(crate) struct KeptRow {
+pub(crate) struct StoredQuarantine {
     revision: Revision,
     read_at: Duration,
     // How often each content was quarantined, and whether it is now.
@@ -40,20 +40,20 @@
 impl<S: Store + 'static, O: Orders + 'static> Shared<S, O> {
     /// Keeps the row up to date until the process ends, while this gateway is among the first coordinators that
     /// reach the store.
-    pub async fn keep_quarantine(self: Rc<Self>) {
-        let mut row = Some(self.read_first().await);
+    pub async fn run_quarantine_row(self: Rc<Self>) {
+        let mut row = Some(self.read_until_answered().await);
         loop {
-            tokio::time::sleep(LOOK).await;
+            tokio::time::sleep(CHECK_PAUSE).await;
             let now = self.clock.now();
             let is_first = {
                 let known = self.known.borrow();
                 known.peers.has_complete_list()
-                    && known.peers.is_among_first_coordinators(now, WATCHERS)
+                    && known.peers.is_among_first_coordinators(now, STORE_READERS)
             };
             row = match row {
                 _ if !is_first => None,
-                Some(row) if !self.is_stale(&row, now) => self.write_kept(row).await,
-                _ => self.read_kept().await,
+                Some(row) if !self.is_stale(&row, now) => self.write_if_changed(row).await,
+                _ => self.read_stored().await,
             };
             if is_first && row.is_none() {
                 tokio::time::sleep(FAILED_PAUSE).await;
@@ -64,10 +64,10 @@
     // A gateway that starts may receive a quarantined content before another gateway reports it: after all
     // gateways had started at once, two to five more endpoints ended until the row was read late (five runs of
     // the soak test). If the store does not answer yet, the row is read when the configuration is.
-    async fn read_first(&self) -> KeptRow {
+    async fn read_until_answered(&self) -> StoredQuarantine {
         loop {
             let answers = self.store_answers.notified();
-            if let Some(row) = self.read_kept().await {
+            if let Some(row) = self.read_stored().await {
                 return row;
             }
             let _ = tokio::time::timeout(FAILED_PAUSE, answers).await;
@@ -75,29 +75,29 @@
     }
 
     // Whether other gateways that cannot reach this one may have written the row.
-    fn is_stale(&self, row: &KeptRow, now: Duration) -> bool {
+    fn is_stale(&self, row: &StoredQuarantine, now: Duration) -> bool {
         let known = self.known.borrow();
         let others = known.peers.count(now);
         let is_cut_off = others.silent > 0 || others.alive == 0;
         // A store restored from an older copy may lack the latest write.
         let is_restored = Some(row.revision.era) < known.newest_era;
-        (is_restored || is_cut_off) && now >= row.read_at + READ_AGAIN
+        (is_restored || is_cut_off) && now >= row.read_at + REREAD_INTERVAL
     }
 
-    async fn read_kept(&self) -> Option<KeptRow> {
+    async fn read_stored(&self) -> Option<StoredQuarantine> {
         let sent = self.clock.now();
         let query = PageQuery {
             topic: Topic::Quarantine,
             hall: None,
             after: None,
             limit: 1,
-            patience: READ_TIME,
+            patience: READ_TIMEOUT,
         };
         match self.store.page(query).await {
             Ok(page) => {
                 let mut rows = page.rows.rows.into_iter();
                 let row = rows.find(|row| row.key == ROW_KEY);
-                Some(self.take_row(row, page.rows.revision, page.rows.stamp))
+                Some(self.merge_row(row, page.rows.revision, page.rows.stamp))
             }
             Err(error) => {
                 info!(self.log, "quarantine not read"; "cause" => %error,
@@ -108,13 +108,20 @@
     }
 
     // Merges what earlier gateways wrote, as of a revision and a time of the store.
-    fn take_row(&self, row: Option<Row>, store_revision: Revision, store_now: Duration) -> KeptRow {
+    fn merge_row(
+        &self,
+        row: Option<Row>,
+        store_revision: Revision,
+        store_now: Duration,
+    ) -> StoredQuarantine {
         let now = self.clock.now();
         let number = row.as_ref().map_or(0, |row| row.revision.number);
         let revision = Revision::new(store_revision.era, number);
-        let kept = row.as_ref().map_or_else(Vec::new, |row| self.read_row(row));
+        let kept = row
+            .as_ref()
+            .map_or_else(Vec::new, |row| self.decode_row(row));
         let mut known = self.known.borrow_mut();
-        let held: Vec<Held> = kept.iter().map(|k| kept_held(k, store_now)).collect();
+        let held: Vec<Held> = kept.iter().map(|k| held_content(k, store_now)).collect();
         let changed: Vec<Held> = held
             .iter()
             .copied()
@@ -125,15 +132,15 @@
             info!(self.log, "quarantine taken from the store"; "contents" => changed.len());
             self.urgent.notify_one();
         }
-        self.tell_traffic(Vec::new(), changed);
-        KeptRow {
+        self.send_to_traffic(Vec::new(), changed);
+        StoredQuarantine {
             revision,
             read_at: now,
             kept: held.iter().map(summary_of).collect(),
         }
     }
 
-    fn read_row(&self, row: &Row) -> Vec<KeptContent> {
+    fn decode_row(&self, row: &Row) -> Vec<KeptContent> {
         let value = row.value.as_deref().unwrap_or_default();
         match schema::decode::<QuarantineRow>(value) {
             Ok(read) => read.held,
@@ -146,7 +153,7 @@
     }
 
     // Writes the quarantine if the row differs from it.
-    async fn write_kept(&self, row: KeptRow) -> Option<KeptRow> {
+    async fn write_if_changed(&self, row: StoredQuarantine) -> Option<StoredQuarantine> {
         let now = self.clock.now();
         let (held, store_now) = {
             let known = self.known.borrow();
@@ -158,7 +165,7 @@
             return Some(row);
         };
         let value = QuarantineRow {
-            held: held.iter().map(|h| kept_of(h, store_now)).collect(),
+            held: held.iter().map(|h| stored_content(h, store_now)).collect(),
         };
         let value = schema::encode(&value).unwrap_or_default();
         let expected = Some(row.revision);
@@ -168,27 +175,27 @@
             .await;
         info!(self.log, "quarantine written"; "contents" => held.len(), "written" => written.is_ok());
         match written {
-            Ok(revision) => Some(KeptRow {
+            Ok(revision) => Some(StoredQuarantine {
                 revision,
                 kept,
                 ..row
             }),
             Err(StoreError::Conflict(found)) => {
                 let store_revision = found.as_ref().map_or(row.revision, |found| found.revision);
-                Some(self.take_row(found, store_revision, store_now))
+                Some(self.merge_row(found, store_revision, store_now))
             }
             Err(_) => None,
         }
     }
 }
 
-fn kept_of(held: &Held, store_now: Duration) -> KeptContent {
+fn stored_content(held: &Held, store_now: Duration) -> KeptContent {
     let until = store_now.saturating_add(held.remaining);
     let until_ms = until.as_millis().min(i64::MAX as u128) as i64;
-    KeptContent::new(held.content.0 as i64, until_ms, times_of(held))
+    KeptContent::new(held.content.0 as i64, until_ms, reported_hold_count(held))
 }
 
-fn kept_held(kept: &KeptContent, store_now: Duration) -> Held {
+fn held_content(kept: &KeptContent, store_now: Duration) -> Held {
     let until = Duration::from_millis(kept.until_ms.max(0) as u64);
     Held {
         content: Fingerprint(kept.content as u64),
--- a/components/gateway/src/control/known.rs
+++ b/components/gateway/src/control/known.rs
@@ -17,8 +17,8 @@
 
 use crate::control::departures::Departures;
 use crate::control::engines::Engines;
-use crate::control::follow::Followed;
-use crate::control::lease::OrdersUnderWay;
+use crate::control::follow::FollowedTopic;
+use crate::control::lease::OrdersInFlight;
 use crate::control::messages::SendState;
 use crate::control::quarantine::ObservationQueue;
 use crate::control::rollouts::Rollouts;
@@ -35,16 +35,16 @@
 /// Margin for which a lease outlasts the configured bound on its holders.
 const LEASE_MARGIN: Duration = Duration::from_millis(500);
 /// Pause between renewals of the lease.
-const LEASE_PAUSE: Duration = Duration::from_secs(1);
+const LEASE_RENEWAL_PAUSE: Duration = Duration::from_secs(1);
 /// Fraction of the deadline for usage reports after which a window is settled.
-const SETTLE_PART: f64 = 0.45;
+const SETTLE_FRACTION: f64 = 0.45;
 /// State of the control thread.
 pub(crate) struct Known {
     pub settings: Arc<GatewaySettings>,
     pub configuration: Option<Arc<Configuration>>,
     // Whether the store's row holds the configuration in force. An unreadable or older row confirms nothing.
     pub is_configuration_current: bool,
-    pub followed: BTreeMap<Topic, Followed>,
+    pub followed: BTreeMap<Topic, FollowedTopic>,
     pub endpoints: BTreeMap<String, Endpoint>,
     pub departures: Departures,
     pub store_clock: StoreClock,
@@ -59,7 +59,7 @@
     pub lease: Lease,
     /// Wall-clock time since which this gateway holds the lease.
     pub lease_held_since: Option<Duration>,
-    pub orders: OrdersUnderWay,
+    pub orders: OrdersInFlight,
     pub ledger: UsageLedger,
     pub reporter: Reporter,
     // By service and region.
@@ -79,9 +79,9 @@
     pub forwarding: Forwarding,
     pub fleet: GatewayFleet,
     // Whether this gateway keeps long polls open at the store.
-    pub watches: bool,
+    pub reads_store: bool,
     // Shortest time that a store call took.
-    pub store_time: Option<Duration>,
+    pub min_store_call_time: Option<Duration>,
     // Whether the store refused the last request for the list of gateways.
     pub list_refused: bool,
     // Time of the last need for the endpoints; `None` while they are not followed.
@@ -104,16 +104,16 @@
 
 impl Known {
     /// The initial state, which contains only the settings.
-    pub fn new(settings: Arc<GatewaySettings>, listening: PeerAddresses, day_us: i64) -> Self {
+    pub fn new(settings: Arc<GatewaySettings>, own_addresses: PeerAddresses, day_us: i64) -> Self {
         let topology = Topology::new(&settings.zone, &settings.region, &settings.halls);
-        let peers = first_peers(&settings, &topology, listening);
+        let peers = initial_peers(&settings, &topology, own_addresses);
         let echoes = topology.has_several_regions().then(Echoes::default);
         Known {
             lease: Lease::new(lease_terms(&settings)),
             lease_held_since: None,
-            orders: OrdersUnderWay::default(),
-            reporter: Reporter::new(usage_terms(&settings)),
-            forwarding: Forwarding::new(usage_terms(&settings)),
+            orders: OrdersInFlight::default(),
+            reporter: Reporter::new(window_timing(&settings)),
+            forwarding: Forwarding::new(window_timing(&settings)),
             followed: followed_topics(&settings),
             settings,
             configuration: None,
@@ -138,8 +138,8 @@
             sending: SendState::default(),
             echoes,
             fleet: GatewayFleet::default(),
-            watches: false,
-            store_time: None,
+            reads_store: false,
+            min_store_call_time: None,
             list_refused: false,
             endpoints_needed_at: None,
             rollouts: Rollouts::default(),
@@ -150,15 +150,15 @@
     }
 
     /// The copy of a topic; it is created if it does not exist.
-    pub fn followed_mut(&mut self, topic: Topic) -> &mut Followed {
+    pub fn followed_mut(&mut self, topic: Topic) -> &mut FollowedTopic {
         let settings = &self.settings;
         let followed = self.followed.entry(topic);
-        followed.or_insert_with(|| follow(topic, settings))
+        followed.or_insert_with(|| new_followed_topic(topic, settings))
     }
 
     /// Discards the copy of a topic.
-    pub fn forget_rows(&mut self, topic: Topic) {
-        let followed = follow(topic, &self.settings);
+    pub fn reset_topic(&mut self, topic: Topic) {
+        let followed = new_followed_topic(topic, &self.settings);
         let old = self.followed.insert(topic, followed);
         // The task that waits for changes of the topic must still be woken.
         if let (Some(old), Some(new)) = (old, self.followed.get_mut(&topic)) {
@@ -174,13 +174,17 @@
 }
 
 // Peers with the addresses that the settings name.
-fn first_peers(settings: &GatewaySettings, topology: &Topology, listening: PeerAddresses) -> Peers {
+fn initial_peers(
+    settings: &GatewaySettings,
+    topology: &Topology,
+    own_addresses: PeerAddresses,
+) -> Peers {
     let mut peers = Peers::new(ListedGateway {
         name: settings.name.clone(),
-        address: listening.peers,
+        address: own_addresses.peers,
         hall: settings.zone.clone(),
         cores_milli: settings.cores_milli,
-        decisions: Some(listening.decisions),
+        decisions: Some(own_addresses.decisions),
     });
     peers.set_topology(topology.clone());
     if topology.has_several_halls() {
@@ -192,20 +196,20 @@
     peers
 }
 
-fn followed_topics(settings: &GatewaySettings) -> BTreeMap<Topic, Followed> {
+fn followed_topics(settings: &GatewaySettings) -> BTreeMap<Topic, FollowedTopic> {
     let topics = SHARED_TOPICS.into_iter();
     topics
-        .map(|topic| (topic, follow(topic, settings)))
+        .map(|topic| (topic, new_followed_topic(topic, settings)))
         .collect()
 }
 
 // A configuration is assumed to be large until its size is known.
-fn follow(topic: Topic, settings: &GatewaySettings) -> Followed {
+fn new_followed_topic(topic: Topic, settings: &GatewaySettings) -> FollowedTopic {
     let first = match topic {
         Topic::Configuration => PreferredSource::Store,
         _ => PreferredSource::Peer,
     };
-    Followed::new(Follower::new(first, change_due(settings)))
+    FollowedTopic::new(Follower::new(first, change_due(settings)))
 }
 
 /// Time within which a change must be in force.
@@ -220,15 +224,15 @@
         node: settings.name.clone(),
         duration: bound + 2 * LEASE_MARGIN,
         margin: LEASE_MARGIN,
-        interval: LEASE_PAUSE,
+        interval: LEASE_RENEWAL_PAUSE,
     }
 }
 
-fn usage_terms(settings: &GatewaySettings) -> WindowTiming {
+fn window_timing(settings: &GatewaySettings) -> WindowTiming {
     let due = Duration::from_millis(settings.usage_due_ms.max(0) as u64);
     WindowTiming {
         window: Duration::from_millis(settings.usage_window_ms.max(1) as u64),
-        settle_delay: due.mul_f64(SETTLE_PART),
+        settle_delay: due.mul_f64(SETTLE_FRACTION),
         due,
     }
 }
--- a/components/gateway/src/control/lease.rs
+++ b/components/gateway/src/control/lease.rs
@@ -14,25 +14,25 @@
 use crate::ports::{DutyHolder, OrderReply, Orders, ReadRow, Store, StoreError, Topic};
 
 /// Time without a message of the holder after which other gateways try to acquire the lease.
-const HOLDER_SILENCE: Duration = Duration::from_millis(2500);
+const HOLDER_TIMEOUT: Duration = Duration::from_millis(2500);
 /// Age of the last renewal after which the holder releases the lease if the store answers other gateways: the
 /// pause between renewals (1 s), one retry and the time of a call.
-const UNRENEWED: Duration = Duration::from_millis(1700);
+const MAX_RENEWAL_AGE: Duration = Duration::from_millis(1700);
 /// Time for which an unanswered order may still be carried out. The platform documentation says "seconds" and
 /// gives no figure.
-const LATE_ORDER: Duration = Duration::from_secs(5);
+const UNANSWERED_ORDER_LIFETIME: Duration = Duration::from_secs(5);
 /// Time after a release, or after the holder falls silent, in which only the gateways that read the store try
 /// to acquire the lease.
-const FIRST_FOLLOWERS_TIME: Duration = Duration::from_secs(1);
+const STORE_READERS_HEAD_START: Duration = Duration::from_secs(1);
 
 /// Orders of this gateway that may still take effect.
 #[derive(Debug, Default)]
-pub(crate) struct OrdersUnderWay {
+pub(crate) struct OrdersInFlight {
     count: u32,
     unanswered_at: Option<Duration>,
 }
 
-impl OrdersUnderWay {
+impl OrdersInFlight {
     pub fn sent(&mut self) {
         self.count += 1;
     }
@@ -45,9 +45,9 @@
     }
 
     // Whether no order is in flight and no unanswered order can still be carried out.
-    fn are_settled(&self, now: Duration) -> bool {
-        let late = self.unanswered_at;
-        self.count == 0 && late.is_none_or(|at| now >= at + LATE_ORDER)
+    fn is_settled(&self, now: Duration) -> bool {
+        let unanswered_at = self.unanswered_at;
+        self.count == 0 && unanswered_at.is_none_or(|at| now >= at + UNANSWERED_ORDER_LIFETIME)
     }
 }
 
@@ -61,11 +61,11 @@
         if !has_duties {
             return;
         }
-        if self.is_to_give_up(now, &known) {
+        if self.should_release_lease(now, &known) {
             let actions = known.lease.step(now, LeaseEvent::GiveUp);
             drop(known);
             info!(self.log, "lease given up"; "stopping" => self.freshness.is_stopping());
-            self.act(actions);
+            self.perform_lease_actions(actions);
             self.urgent.notify_one();
             return;
         }
@@ -80,17 +80,17 @@
         };
         let actions = known.lease.step(now, event);
         drop(known);
-        self.act(actions);
+        self.perform_lease_actions(actions);
     }
 
     // Whether another gateway should hold the lease: this one stops, or the store answers others but not this
     // one. Never while an order may still take effect.
-    fn is_to_give_up(&self, now: Duration, known: &Known) -> bool {
-        let Some(unrenewed) = known.lease.time_since_renewal(now) else {
+    fn should_release_lease(&self, now: Duration, known: &Known) -> bool {
+        let Some(renewal_age) = known.lease.time_since_renewal(now) else {
             return false;
         };
-        let turned_away = unrenewed >= UNRENEWED && known.peers.can_others_reach_store(now);
-        (self.freshness.is_stopping() || turned_away) && known.orders.are_settled(now)
+        let is_cut_off = renewal_age >= MAX_RENEWAL_AGE && known.peers.can_others_reach_store(now);
+        (self.freshness.is_stopping() || is_cut_off) && known.orders.is_settled(now)
     }
 
     // The gateways that read the store try to acquire the lease once its holder is silent. The other
@@ -98,19 +98,19 @@
     // no coordinator is alive.
     fn is_candidate(&self, now: Duration, known: &Known) -> bool {
         let peers = &known.peers;
-        let may_lead = match peers.is_coordinator(now) {
+        let is_eligible = match peers.is_coordinator(now) {
             // When all gateways start at once, each regards itself as a coordinator until it has read the list.
             true => peers.has_own_hall_list() || may_decide_unlisted(now, known.list_refused, true),
             false => !peers.has_live_coordinator(now),
         };
-        let is_first = known.watches_store(now);
-        let waits = peers.was_given_up_within(now, FIRST_FOLLOWERS_TIME)
-            || peers.is_holder_alive(now, HOLDER_SILENCE + FIRST_FOLLOWERS_TIME)
+        let reads_store = known.is_store_reader(now);
+        let must_wait = peers.was_given_up_within(now, STORE_READERS_HEAD_START)
+            || peers.is_holder_alive(now, HOLDER_TIMEOUT + STORE_READERS_HEAD_START)
             || !peers.has_waited_for_coordinators(now);
-        may_lead && (is_first || !waits) && !peers.is_holder_alive(now, HOLDER_SILENCE)
+        is_eligible && (reads_store || !must_wait) && !peers.is_holder_alive(now, HOLDER_TIMEOUT)
     }
 
-    pub fn act(self: &Rc<Self>, actions: Vec<LeaseAction>) {
+    pub fn perform_lease_actions(self: &Rc<Self>, actions: Vec<LeaseAction>) {
         for action in actions {
             match action {
                 LeaseAction::Gained(epoch) => {
@@ -130,7 +130,7 @@
                         let now = shared.clock.now();
                         let event = LeaseEvent::Replied { call, era, reply };
                         let actions = shared.known.borrow_mut().lease.step(now, event);
-                        shared.act(actions);
+                        shared.perform_lease_actions(actions);
                     });
                 }
             }
@@ -180,7 +180,7 @@
         })
     }
 
-    pub fn note_order_end(&self, reply: OrderReply) {
+    pub fn record_order_end(&self, reply: OrderReply) {
         let now = self.clock.now();
         let answered = reply != OrderReply::Unanswered;
         self.known.borrow_mut().orders.ended(now, answered);
--- a/components/gateway/src/control/messages.rs
+++ b/components/gateway/src/control/messages.rs
@@ -20,14 +20,14 @@
 /// Upper limit of datagrams per second with requests that are reported at once.
 const URGENT_DATAGRAMS_PER_S: f64 = 500.0;
 /// Shortest pause between messages to coordinators.
-const SHORTEST_PAUSE: Duration = Duration::from_millis(100);
+const MIN_PAUSE: Duration = Duration::from_millis(100);
 /// Longest pause between messages to coordinators, and the pause between all other messages: a third of the
 /// time after which a gateway counts as silent.
-const LONGEST_PAUSE: Duration = Duration::from_millis(500);
+const MAX_PAUSE: Duration = Duration::from_millis(500);
 /// One in this many messages to coordinators holds usage.
 const USAGE_EVERY: i64 = 3;
 /// Upper limit of peer addresses in one message.
-const MOST_ADDRESSES: usize = 3;
+const MAX_ADDRESSES: usize = 3;
 /// Count of the newest usage windows that are reported.
 const REPORTED_WINDOWS: i64 = 3;
 /// Count of messages in which every total is sent at least once, so that lost messages are compensated.
@@ -90,25 +90,25 @@
         let mut known = self.known.borrow_mut();
         // A stopping gateway sends its last counts as often as it can.
         let changed = changed || self.freshness.is_stopping();
-        let has_observations = known.observations.take_new();
-        match known.speaks_for_others(now) {
+        let has_observations = known.observations.take_has_new();
+        match known.should_report_to_all_halls(now) {
             true => known.due_of_coordinator(now, changed, long_prompt || has_observations),
             false => known.due_of_member(now, changed || has_observations),
         }
     }
 
     /// Builds and encodes a message.
-    pub fn message(&self, now: Duration, content: Content) -> Vec<u8> {
+    pub fn encoded_message(&self, now: Duration, content: Content) -> Vec<u8> {
         let mut known = self.known.borrow_mut();
-        let message = self.message_of(&mut known, now, content);
+        let message = self.build_message(&mut known, now, content);
         schema::encode(&message).unwrap_or_default()
     }
 
     /// Builds a message.
-    pub fn message_of(&self, known: &mut Known, now: Duration, content: Content) -> Gossip {
+    pub fn build_message(&self, known: &mut Known, now: Duration, content: Content) -> Gossip {
         known.sending.sequence += 1;
         let has_state = content.has_state();
-        let coordinates = known.speaks_for_others(now);
+        let coordinates = known.should_report_to_all_halls(now);
         let count = known.peers.hall_count(now);
         let reported_count = HallCount {
             alive: count.alive as i32,
@@ -143,7 +143,7 @@
             rollouts: has_state.then(|| {
                 known
                     .rollouts
-                    .reported(now)
+                    .stage_reports(now)
                     .into_iter()
                     .map(Box::new)
                     .collect()
@@ -196,28 +196,29 @@
 
 impl Known {
     /// Whether the coordinators of all halls must know what this gateway does.
-    pub fn speaks_for_others(&self, now: Duration) -> bool {
+    pub fn should_report_to_all_halls(&self, now: Duration) -> bool {
         self.peers.is_coordinator(now) || self.lease.order_epoch(now).is_some()
     }
 
     /// Whether addresses that other gateways report are contacted. Where the list is read by halls, a gateway
     /// that hears a coordinator of its hall needs no others.
-    pub fn looks_for_others(&self, now: Duration) -> bool {
-        let is_led = || self.peers.has_live_own_coordinator(now) && !self.speaks_for_others(now);
-        !self.topology.has_several_halls() || !is_led()
+    pub fn should_contact_addresses(&self, now: Duration) -> bool {
+        let is_coordinated =
+            || self.peers.has_live_own_coordinator(now) && !self.should_report_to_all_halls(now);
+        !self.topology.has_several_halls() || !is_coordinated()
     }
 
     fn due_of_member(&mut self, now: Duration, changed: bool) -> Due {
-        if !changed && now < self.sending.digest_at + LONGEST_PAUSE {
+        if !changed && now < self.sending.digest_at + MAX_PAUSE {
             return Due::new();
         }
         self.sending.digest_at = now;
         let coordinators = self.peers.own_coordinators(now);
         self.peers.expect_messages(now, &coordinators);
         let mut due = vec![(Content::Report, coordinators)];
-        let tried = self.peers.unconfirmed_addresses();
-        if !tried.is_empty() {
-            due.push((Content::Digest, tried));
+        let unconfirmed = self.peers.unconfirmed_addresses();
+        if !unconfirmed.is_empty() {
+            due.push((Content::Digest, unconfirmed));
         }
         due
     }
@@ -225,21 +226,24 @@
     fn due_of_coordinator(&mut self, now: Duration, changed: bool, long_prompt: bool) -> Due {
         let mut due = Due::new();
         let coordinators = self.peers.coordinators(now);
-        let tried = self.peers.unconfirmed_addresses();
-        let targets = coordinators.len() + tried.len();
+        let unconfirmed = self.peers.unconfirmed_addresses();
+        let targets = coordinators.len() + unconfirmed.len();
         if changed || now >= self.sending.full_at + pause(targets, DATAGRAMS_PER_S) {
             self.sending.full_at = now;
             self.sending.requests_at = now;
             self.peers.expect_messages(now, &coordinators);
             due.push((Content::Full, coordinators));
-        } else if long_prompt && now >= self.sending.requests_at + gap(targets) {
+        } else if long_prompt && now >= self.sending.requests_at + urgent_pause(targets) {
             self.sending.requests_at = now;
             due.push((Content::Requests, coordinators));
         }
-        if changed || now >= self.sending.digest_at + LONGEST_PAUSE {
+        if changed || now >= self.sending.digest_at + MAX_PAUSE {
             self.sending.digest_at = now;
             let members = self.peers.members(now);
-            due.push((Content::Digest, members.union(&tried).copied().collect()));
+            due.push((
+                Content::Digest,
+                members.union(&unconfirmed).copied().collect(),
+            ));
         }
         due
     }
@@ -254,7 +258,7 @@
     }
 
     /// Queues observations for the next message. Only the newest are kept if none is sent for long.
-    pub fn keep_sights(&mut self, sights: Vec<Sight>) {
+    pub fn queue_sights(&mut self, sights: Vec<Sight>) {
         self.sights.extend(sights);
         let older = self.sights.len().saturating_sub(MOST_TOLD);
         self.sights.drain(..older);
@@ -301,7 +305,7 @@
 
     fn addresses_to_send(&self, now: Duration) -> Vec<String> {
         let turn = self.sending.sequence as usize;
-        let addresses = self.peers.coordinator_addresses(now, turn, MOST_ADDRESSES);
+        let addresses = self.peers.coordinator_addresses(now, turn, MAX_ADDRESSES);
         addresses.iter().map(SocketAddr::to_string).collect()
     }
 }
@@ -309,11 +313,11 @@
 // The pause grows with the number of targets, so that the rate of datagrams stays constant.
 fn pause(targets: usize, per_s: f64) -> Duration {
     let pause = Duration::from_secs_f64(targets as f64 / per_s);
-    pause.clamp(SHORTEST_PAUSE, LONGEST_PAUSE)
+    pause.clamp(MIN_PAUSE, MAX_PAUSE)
 }
 
 // Shortest time between messages that report requests at once.
-fn gap(targets: usize) -> Duration {
+fn urgent_pause(targets: usize) -> Duration {
     Duration::from_secs_f64(targets as f64 / URGENT_DATAGRAMS_PER_S)
 }
 
--- a/components/gateway/src/control/need.rs
+++ b/components/gateway/src/control/need.rs
@@ -11,12 +11,12 @@
 
 /// Time for which a gateway follows the endpoints after it last needed them, as the decider may change back and
 /// forth.
-const KEPT_FOR: Duration = Duration::from_secs(10);
+const ENDPOINT_RETENTION: Duration = Duration::from_secs(10);
 
 /// Time without decisions of live coordinators after which a gateway starts to decide itself; staggered up to
 /// twice as long. The coordinators' links may be full, which passes, or carry nothing in one direction, which
 /// does not.
-const SLOW_COORDINATORS_TIME: Duration = Duration::from_secs(2);
+const SLOW_COORDINATORS_TIMEOUT: Duration = Duration::from_secs(2);
 
 impl<S: Store + 'static, O: Orders + 'static> Shared<S, O> {
     /// Whether this gateway follows the endpoints.
@@ -26,10 +26,10 @@
 
     /// Starts to follow the endpoints when requests must be placed or endpoints ordered here, and stops some
     /// time after that.
-    pub fn check_need(&self, known: &mut Known, now: Duration) {
+    pub fn update_endpoint_need(&self, known: &mut Known, now: Duration) {
         let may_decide = known.peers.has_own_hall_list()
             || may_decide_unlisted(now, known.list_refused, known.peers.has_live_peer(now));
-        let decides = may_decide && known.speaks_for_others(now);
+        let decides = may_decide && known.should_report_to_all_halls(now);
         if decides || self.has_lost_coordinators(known, now) {
             if known.endpoints_needed_at.replace(now).is_none() {
                 info!(self.log, "endpoints followed"; "decides" => decides);
@@ -37,8 +37,10 @@
             }
             return;
         }
-        let over = known.endpoints_needed_at.filter(|at| now >= *at + KEPT_FOR);
-        if over.is_some() {
+        let expired = known
+            .endpoints_needed_at
+            .filter(|at| now >= *at + ENDPOINT_RETENTION);
+        if expired.is_some() {
             known.endpoints_needed_at = None;
         }
     }
@@ -47,11 +49,11 @@
     // over their links would slow them down further.
     fn has_lost_coordinators(&self, known: &Known, now: Duration) -> bool {
         let may_be_slow = known.is_far_from_store() && known.peers.has_live_own_coordinator(now);
-        let waits = match may_be_slow {
-            true => SLOW_COORDINATORS_TIME.mul_f64(1.0 + self.spread),
+        let min_wait = match may_be_slow {
+            true => SLOW_COORDINATORS_TIMEOUT.mul_f64(1.0 + self.jitter),
             false => Duration::ZERO,
         };
-        self.alone.is_alone(now) && self.alone.undecided_for(now) >= waits
+        self.alone.is_alone(now) && self.alone.undecided_for(now) >= min_wait
     }
 
     /// Discards the endpoints. Must be called only between two steps of following them, so that a pending
@@ -65,7 +67,7 @@
             return;
         }
         known.endpoints.clear();
-        known.forget_rows(Topic::Endpoints);
+        known.reset_topic(Topic::Endpoints);
         info!(self.log, "endpoints forgotten, coordinators decide");
         let _ = self.updates.send(Update::EndpointsForgotten);
     }
--- a/components/gateway/src/control/passing.rs
+++ b/components/gateway/src/control/passing.rs
@@ -25,19 +25,19 @@
 use crate::ports::{Orders, Store, Topic};
 
 /// Timeout of a new connection.
-const CONNECT_TIME: Duration = Duration::from_millis(300);
+const CONNECT_TIMEOUT: Duration = Duration::from_millis(300);
 /// Timeout of a query until all rows have arrived.
-const PULL_TIME: Duration = Duration::from_millis(900);
+const PULL_TIMEOUT: Duration = Duration::from_millis(900);
 /// Timeout of the second attempt to get a page, for a link with more load than expected.
-const SECOND_PULL_TIME: Duration = Duration::from_millis(1800);
+const RETRY_PULL_TIMEOUT: Duration = Duration::from_millis(1800);
 /// Upper limit of the rows in one reply, in bytes. A gateway that needs more reads the store, whose link is
 /// wider. At this size, a third of the gateways of a hall of 60 can read from one coordinator within half a
 /// second over a link of 10 Mbit/s.
-pub(crate) const MOST_PASSED_ON: usize = 32 << 10;
+pub(crate) const MAX_REPLY_BYTES: usize = 32 << 10;
 /// Content encoding of a deflated reply.
 const DEFLATED: HeaderValue = HeaderValue::from_static("deflate");
 /// Size limit of a query, in bytes.
-const MAX_QUERY: usize = 512;
+const MAX_QUERY_BYTES: usize = 512;
 
 /// Topics whose rows gateways exchange.
 pub(crate) const SHARED_TOPICS: [Topic; 2] = [Topic::Configuration, Topic::Endpoints];
@@ -58,8 +58,8 @@
 
 /// The topic that a message names.
 pub(crate) fn topic_by_name(name: TopicName) -> Option<Topic> {
-    let mut passed_on = SHARED_TOPICS.into_iter();
-    passed_on.find(|topic| topic_name(*topic) == Some(name))
+    let mut topics = SHARED_TOPICS.into_iter();
+    topics.find(|topic| topic_name(*topic) == Some(name))
 }
 
 impl<S: Store + 'static, O: Orders + 'static> Shared<S, O> {
@@ -75,21 +75,21 @@
             (followed.newer, after, by_pages)
         };
         let Some((from, reported)) = newer else {
-            self.note_pull_failure(topic, None);
+            self.record_pull_failure(topic, None);
             return;
         };
         let pulled = match topic_name(topic) {
             Some(name) if by_pages => pull_pages(from, name, after).await,
-            Some(name) => pull_at_once(from, name, after).await,
+            Some(name) => pull_in_one_reply(from, name, after).await,
             None => None,
         };
         if let Some(pulled) = pulled {
-            self.note_pulled(topic, from, &pulled);
+            self.record_pull(topic, from, &pulled);
             let era = pulled.known_to.era;
             let rows = pulled.rows.into_iter();
             let changes = rows.map(|row| change_of(row, era)).collect();
             let stamp = reported.confirmed;
-            let changed = self.take_changes(topic, changes, pulled.known_to, stamp, pulled.whole);
+            let changed = self.apply_changes(topic, changes, pulled.known_to, stamp, pulled.whole);
             // If this gateway is far from the store or refused by it, coordinators learn of a change from a
             // reader and pass it on to their halls.
             if changed && by_pages && topic == Topic::Configuration {
@@ -97,18 +97,18 @@
             }
         }
         self.confirm_digest(topic, reported);
-        let covers = {
+        let has_reported_changes = {
             let known = self.known.borrow();
             known.followed[&topic]
                 .table
                 .has_changes_up_to(reported.changed_at)
         };
-        if !covers {
-            self.note_pull_failure(topic, Some(from));
+        if !has_reported_changes {
+            self.record_pull_failure(topic, Some(from));
         }
     }
 
-    fn note_pull_failure(&self, topic: Topic, from: Option<SocketAddr>) {
+    fn record_pull_failure(&self, topic: Topic, from: Option<SocketAddr>) {
         let now = self.clock.now();
         let mut known = self.known.borrow_mut();
         known.followed_mut(topic).follower.pull_failed(now);
@@ -116,7 +116,7 @@
         info!(self.log, "rows not passed on"; "topic" => ?topic, "from" => from);
     }
 
-    fn note_pulled(&self, topic: Topic, from: SocketAddr, pulled: &Pulled) {
+    fn record_pull(&self, topic: Topic, from: SocketAddr, pulled: &PulledRows) {
         let is_far = {
             let known = self.known.borrow();
             let hall = known.peers.hall_at(from);
@@ -134,7 +134,7 @@
     }
 
     /// Serves the rows known here to other gateways.
-    pub async fn pass_on(self: Rc<Self>, listener: TcpListener) {
+    pub async fn serve_rows(self: Rc<Self>, listener: TcpListener) {
         plain::serve(listener, move |request| {
             let shared = Rc::clone(&self);
             async move { shared.answer_query(request).await }
@@ -143,7 +143,9 @@
     }
 
     async fn answer_query(&self, request: Request<Incoming>) -> Response<Full<Bytes>> {
-        let collected = Limited::new(request.into_body(), MAX_QUERY).collect().await;
+        let collected = Limited::new(request.into_body(), MAX_QUERY_BYTES)
+            .collect()
+            .await;
         let bytes = collected.map(|body| body.to_bytes()).unwrap_or_default();
         let Ok(query) = schema::decode::<RowsQuery>(&bytes) else {
             return plain::answer(StatusCode::BAD_REQUEST, Bytes::new());
@@ -155,7 +157,7 @@
             _ => Some(EncodedReply::plain(schema::encode(&reply).ok()?)),
         });
         let is_paged = query.most_bytes.is_some();
-        let sent = sent.filter(|sent| is_paged || sent.bytes.len() <= MOST_PASSED_ON);
+        let sent = sent.filter(|sent| is_paged || sent.bytes.len() <= MAX_REPLY_BYTES);
         let Some(sent) = sent else {
             return plain::answer(StatusCode::NOT_FOUND, Bytes::new());
         };
@@ -170,11 +172,11 @@
         let known = self.known.borrow();
         let table = &known.followed.get(&topic)?.table;
         let known_to = table.known_to()?;
-        let most = query
+        let max_bytes = query
             .most_bytes
-            .map_or(usize::MAX, |most| most.max(0) as usize);
+            .map_or(usize::MAX, |max_bytes| max_bytes.max(0) as usize);
         let after = received_revision(query.after, query.after_era);
-        let page = table.page(after, query.after_key.as_deref(), most);
+        let page = table.page(after, query.after_key.as_deref(), max_bytes);
         Some(RowsReply {
             rows: page.rows.into_iter().map(reported_of).collect(),
             whole: page.whole,
@@ -186,18 +188,22 @@
 }
 
 /// Rows received from another gateway.
-struct Pulled {
+struct PulledRows {
     rows: Vec<RowChange>,
     whole: bool,
     known_to: Revision,
     bytes: usize,
 }
 
-async fn pull_at_once(from: SocketAddr, topic: TopicName, after: Revision) -> Option<Pulled> {
+async fn pull_in_one_reply(
+    from: SocketAddr,
+    topic: TopicName,
+    after: Revision,
+) -> Option<PulledRows> {
     let query = rows_query(topic, after, None, None);
-    let asked = tokio::time::timeout(PULL_TIME, ask(from, &query)).await;
-    let (reply, bytes) = asked.ok().flatten()?;
-    Some(Pulled {
+    let replied = tokio::time::timeout(PULL_TIMEOUT, query_rows(from, &query)).await;
+    let (reply, bytes) = replied.ok().flatten()?;
+    Some(PulledRows {
         known_to: received_revision(reply.known_to, reply.era),
         rows: reply.rows,
         whole: reply.whole,
@@ -223,28 +229,29 @@
 
 // Pages are consecutive, not a snapshot. Changes made meanwhile have a higher revision and arrive with the next
 // pull.
-async fn pull_pages(from: SocketAddr, topic: TopicName, after: Revision) -> Option<Pulled> {
-    let mut pulled: Option<Pulled> = None;
+async fn pull_pages(from: SocketAddr, topic: TopicName, after: Revision) -> Option<PulledRows> {
+    let mut pulled: Option<PulledRows> = None;
     loop {
         let so_far = pulled.as_ref();
         let last = so_far.and_then(|pulled| pulled.rows.last());
         let last_key = last.map(|row| row.key.clone());
-        let query = rows_query(topic, after, last_key, Some(MOST_PASSED_ON as i32));
-        let (reply, bytes) = ask_patiently(from, &query).await?;
+        let query = rows_query(topic, after, last_key, Some(MAX_REPLY_BYTES as i32));
+        let (reply, bytes) = query_rows_with_retry(from, &query).await?;
         let known_to = received_revision(reply.known_to, reply.era);
-        let is_consistent =
-            |pulled: &Pulled| pulled.whole == reply.whole && pulled.known_to.era == known_to.era;
+        let is_consistent = |pulled: &PulledRows| {
+            pulled.whole == reply.whole && pulled.known_to.era == known_to.era
+        };
         if !so_far.is_none_or(is_consistent) {
             return None;
         }
-        let taken = pulled.get_or_insert_with(|| Pulled {
+        let rows_so_far = pulled.get_or_insert_with(|| PulledRows {
             rows: Vec::new(),
             whole: reply.whole,
             known_to,
             bytes: 0,
         });
-        taken.bytes += bytes;
-        taken.rows.extend(reply.rows);
+        rows_so_far.bytes += bytes;
+        rows_so_far.rows.extend(reply.rows);
         if reply.more != Some(true) {
             return pulled;
         }
@@ -252,18 +259,18 @@
 }
 
 // Requests a page a second time if it does not arrive; the earlier pages are kept.
-async fn ask_patiently(from: SocketAddr, query: &RowsQuery) -> Option<(RowsReply, usize)> {
-    for time in [PULL_TIME, SECOND_PULL_TIME] {
-        let asked = tokio::time::timeout(time, ask(from, query)).await;
-        if let Some(answered) = asked.ok().flatten() {
-            return Some(answered);
+async fn query_rows_with_retry(from: SocketAddr, query: &RowsQuery) -> Option<(RowsReply, usize)> {
+    for time in [PULL_TIMEOUT, RETRY_PULL_TIMEOUT] {
+        let replied = tokio::time::timeout(time, query_rows(from, query)).await;
+        if let Some(replied) = replied.ok().flatten() {
+            return Some(replied);
         }
     }
     None
 }
 
-async fn ask(address: SocketAddr, query: &RowsQuery) -> Option<(RowsReply, usize)> {
-    let mut connection = Connection::open(address, CONNECT_TIME).await.ok()?;
+async fn query_rows(address: SocketAddr, query: &RowsQuery) -> Option<(RowsReply, usize)> {
+    let mut connection = Connection::open(address, CONNECT_TIMEOUT).await.ok()?;
     let mut request = Request::new(FullBody::new(schema::encode(query).ok()?.into()));
     *request.method_mut() = Method::POST;
     let host = address.to_string().parse().ok()?;
--- a/components/gateway/src/control/quarantine.rs
+++ b/components/gateway/src/control/quarantine.rs
@@ -14,14 +14,14 @@
 use crate::update::Update;
 
 /// Count of messages in which each observation is sent, to compensate for lost ones.
-const SENDS: u8 = 3;
+const SENDS_PER_OBSERVATION: u8 = 3;
 /// Upper limit of observations in one message, so that it fits into one datagram; each takes some 20 bytes.
-const MOST_OBSERVATIONS: usize = 60;
+const MAX_OBSERVATIONS: usize = 60;
 /// Upper limit of queued observations; those that were already sent are dropped first. 100 endpoints that end
 /// at once leave some 2,000 observations.
-const MOST_WAITING: usize = 2048;
+const MAX_WAITING: usize = 2048;
 /// Upper limit of quarantined contents in one message; each takes some 30 bytes.
-const MOST_HELD: usize = 16;
+const MAX_HELD: usize = 16;
 
 /// Observations that are to be sent to the other gateways.
 #[derive(Debug, Default)]
@@ -33,26 +33,30 @@
 impl ObservationQueue {
     /// Adds an observation.
     pub fn add(&mut self, observation: Observation) {
-        if self.waiting.len() >= MOST_WAITING {
+        if self.waiting.len() >= MAX_WAITING {
             self.waiting.pop_back();
         }
         // New observations go first: behind thousands of old ones they would arrive too late.
-        self.waiting.push_front((observation, SENDS));
+        self.waiting
+            .push_front((observation, SENDS_PER_OBSERVATION));
         self.has_new = true;
     }
 
     /// Whether observations were added since the last call.
-    pub fn take_new(&mut self) -> bool {
+    pub fn take_has_new(&mut self) -> bool {
         std::mem::take(&mut self.has_new)
     }
 
     /// The observations for the next message; `None` if there are none.
     pub fn next(&mut self) -> Option<Vec<ContentReport>> {
-        let count = self.waiting.len().min(MOST_OBSERVATIONS);
+        let count = self.waiting.len().min(MAX_OBSERVATIONS);
         let sent: Vec<_> = self.waiting.drain(..count).collect();
-        let again = sent.iter().filter(|(_, left)| *left > 1);
-        self.waiting
-            .extend(again.map(|(observation, left)| (*observation, left - 1)));
+        let again = sent
+            .iter()
+            .filter(|(_, remaining_sends)| *remaining_sends > 1);
+        self.waiting.extend(
+            again.map(|(observation, remaining_sends)| (*observation, remaining_sends - 1)),
+        );
         let reports = sent
             .iter()
             .map(|(observation, _)| reported_observation(*observation));
@@ -62,10 +66,10 @@
 
 impl<S: Store + 'static, O: Orders + 'static> Shared<S, O> {
     /// Records observations of the traffic thread.
-    pub fn take_own_observations(&self, known: &mut Known, observations: Vec<Observation>) {
+    pub fn record_own_observations(&self, known: &mut Known, observations: Vec<Observation>) {
         let now = self.clock.now();
         for observation in observations {
-            if known.take_observation(now, observation).changes_hold {
+            if known.apply_observation(now, observation).changes_hold {
                 self.urgent.notify_one();
             }
             known.observations.add(observation);
@@ -77,16 +81,16 @@
         let now = self.clock.now();
         let mut known = self.known.borrow_mut();
         // Coordinators report to all others themselves, so only observations of other gateways are passed on.
-        let passes_on = gossip.coordinates == Some(false);
-        let mut news = Vec::new();
+        let should_forward = gossip.coordinates == Some(false);
+        let mut new_observations = Vec::new();
         let mut is_urgent = false;
         for reported in gossip.contents.iter().flatten() {
             let observation = received_observation(reported);
-            let taken = known.take_observation(now, observation);
-            is_urgent |= taken.changes_hold;
-            if taken.is_news {
-                news.push(observation);
-                if passes_on {
+            let effect = known.apply_observation(now, observation);
+            is_urgent |= effect.changes_hold;
+            if effect.is_new {
+                new_observations.push(observation);
+                if should_forward {
                     known.observations.add(observation);
                 }
             }
@@ -99,10 +103,10 @@
         if is_urgent || !changed.is_empty() {
             self.urgent.notify_one();
         }
-        self.tell_traffic(news, changed);
+        self.send_to_traffic(new_observations, changed);
     }
 
-    pub(super) fn tell_traffic(&self, observations: Vec<Observation>, held: Vec<Held>) {
+    pub(super) fn send_to_traffic(&self, observations: Vec<Observation>, held: Vec<Held>) {
         let updates = [
             (!observations.is_empty()).then_some(Update::Observations(observations)),
             (!held.is_empty()).then_some(Update::Held(held)),
@@ -116,20 +120,20 @@
 }
 
 // Effect of an observation.
-struct Taken {
-    is_news: bool,
+struct ObservationEffect {
+    is_new: bool,
     // Whether its content became quarantined, or is no longer.
     changes_hold: bool,
 }
 
 impl Known {
-    fn take_observation(&mut self, now: Duration, observation: Observation) -> Taken {
+    fn apply_observation(&mut self, now: Duration, observation: Observation) -> ObservationEffect {
         let (Observation::Ended { content, .. } | Observation::Completed(content)) = observation;
         let was_held = self.quarantine.remaining_hold(now, content).is_some();
-        let is_news = self.quarantine.record(now, observation);
+        let is_new = self.quarantine.record(now, observation);
         let is_held = self.quarantine.remaining_hold(now, content).is_some();
-        Taken {
-            is_news,
+        ObservationEffect {
+            is_new,
             changes_hold: is_held != was_held,
         }
     }
@@ -137,7 +141,7 @@
     /// Report of the quarantined contents; `None` if there are none.
     pub fn held_to_send(&self, now: Duration) -> Option<Vec<HeldContent>> {
         let turn = self.sending.turn();
-        let held = self.quarantine.held_to_report(now, turn, MOST_HELD);
+        let held = self.quarantine.held_to_report(now, turn, MAX_HELD);
         let reports = held.iter().map(held_report);
         (!held.is_empty()).then(|| reports.collect())
     }
@@ -165,7 +169,7 @@
 
 fn held_report(held: &Held) -> HeldContent {
     let left_ms = held.remaining.as_millis().min(i64::MAX as u128) as i64;
-    HeldContent::new(held.content.0 as i64, left_ms, times_of(held))
+    HeldContent::new(held.content.0 as i64, left_ms, reported_hold_count(held))
 }
 
 fn received_held(reported: &HeldContent) -> Held {
@@ -177,6 +181,6 @@
 }
 
 /// How often a content was quarantined, for a report.
-pub(super) fn times_of(held: &Held) -> i32 {
+pub(super) fn reported_hold_count(held: &Held) -> i32 {
     held.hold_count.min(i32::MAX as u32) as i32
 }
--- a/components/gateway/src/control/reporting.rs
+++ b/components/gateway/src/control/reporting.rs
@@ -11,13 +11,13 @@
 use crate::ports::{OrderReply, Orders, Row, Store, StoreError, Topic};
 
 /// Pause between checks of what is due.
-const DUTY_PAUSE: Duration = Duration::from_millis(250);
+const REPORT_CHECK_PAUSE: Duration = Duration::from_millis(250);
 
 impl<S: Store + 'static, O: Orders + 'static> Shared<S, O> {
     /// Reports usage until the process ends, whenever this gateway holds the lease.
-    pub async fn keep_reporting(&self) {
+    pub async fn run_usage_reports(&self) {
         loop {
-            tokio::time::sleep(DUTY_PAUSE).await;
+            tokio::time::sleep(REPORT_CHECK_PAUSE).await;
             self.report_usage().await;
         }
     }
@@ -65,10 +65,10 @@
         let was_restored = known.newest_era.unwrap_or_default() > 0;
         let settles_at = known.reporter.settles_at(report.window);
         // No other gateway settles windows while this one holds the lease.
-        let only_here = known
+        let is_only_settler = known
             .lease_held_since
             .is_some_and(|since| since < settles_at);
-        was_restored && !only_here && settles_at < known.newest_era_seen_at
+        was_restored && !is_only_settler && settles_at < known.newest_era_seen_at
     }
 
     // Reports the window as its row says, or not at all if the store has no readable row for it.
@@ -124,13 +124,13 @@
         };
         self.known.borrow_mut().orders.sent();
         let reply = self.orders.report(&holder, report).await;
-        self.note_order_end(reply);
+        self.record_order_end(reply);
         info!(self.log, "usage reported"; "window" => report.window, "fence" => holder.fence,
             "reply" => ?reply);
         let mut known = self.known.borrow_mut();
-        let overdue = report.window < known.reporter.oldest_window(wall);
-        let over = matches!(reply, OrderReply::Done | OrderReply::Rejected(_));
-        if over || overdue {
+        let is_overdue = report.window < known.reporter.oldest_window(wall);
+        let is_final = matches!(reply, OrderReply::Done | OrderReply::Rejected(_));
+        if is_final || is_overdue {
             known.reporter.record_finished(report.window);
         }
     }
--- a/components/gateway/src/control/rollouts.rs
+++ b/components/gateway/src/control/rollouts.rs
@@ -18,11 +18,11 @@
 const EVIDENCE_PAUSE: Duration = Duration::from_millis(300);
 /// The gateway that carries out an order reports this every half second. After this time without a report
 /// another gateway may have taken over.
-const HOLDER_KNOWN_FOR: Duration = Duration::from_secs(3);
+const STAGE_REPORT_LIFETIME: Duration = Duration::from_secs(3);
 
 /// Stage of an order as the holder of the lease reported it.
 #[derive(Clone, Copy, Debug)]
-pub(crate) struct Heard {
+pub(crate) struct StageReport {
     /// The stage.
     pub stage: Stage,
     /// Time of the report, on this gateway's clock.
@@ -44,27 +44,27 @@
 
 /// An order and its state.
 #[derive(Debug)]
-pub(crate) struct Ordered {
+pub(crate) struct RolloutState {
     pub order: Order,
     /// Era of the store that its revision belongs to.
     pub era: u64,
     /// Monotonic time of the store at which the order was first seen.
     pub stamp: Duration,
     /// The latest reported stage.
-    pub heard: Option<Heard>,
+    pub stage_report: Option<StageReport>,
     /// Answers of endpoints that this gateway saw.
-    own: Evidence,
-    own_changed: bool,
-    sent_at: Duration,
+    own_evidence: Evidence,
+    has_unsent_evidence: bool,
+    evidence_sent_at: Duration,
     // Answers that other gateways saw.
-    others: BTreeMap<Source, Evidence>,
+    peer_evidence: BTreeMap<Source, Evidence>,
     /// State of the execution, if this gateway carries out the order.
-    pub carried: Option<Carried>,
+    pub execution: Option<Execution>,
 }
 
 /// State of an order's execution at the gateway that carries it out.
 #[derive(Debug)]
-pub(crate) struct Carried {
+pub(crate) struct Execution {
     /// Decides the next step.
     pub plan: Plan,
     /// Monotonic time of the store at the order, as the first holder wrote it.
@@ -90,19 +90,19 @@
 /// All orders, by service.
 #[derive(Debug, Default)]
 pub(crate) struct Rollouts {
-    pub orders: BTreeMap<String, Ordered>,
+    pub orders: BTreeMap<String, RolloutState>,
 }
 
-impl Ordered {
+impl RolloutState {
     /// The decision, once it is known here.
     pub fn decision(&self) -> Option<Decision> {
-        self.heard.and_then(|heard| heard.stage.decision())
+        self.stage_report.and_then(|report| report.stage.decision())
     }
 
     /// Sum of the answers that all gateways saw since the order.
     pub fn evidence(&self) -> Evidence {
-        let mut sum = self.own.clone();
-        self.others.values().for_each(|other| sum.add(other));
+        let mut sum = self.own_evidence.clone();
+        self.peer_evidence.values().for_each(|other| sum.add(other));
         sum
     }
 
@@ -121,7 +121,7 @@
         let is_renumbered = self.order.revision != order.revision;
         self.era = era;
         self.order = order;
-        self.carried = None;
+        self.execution = None;
         match is_renumbered {
             true => OrderChange::Renumbered,
             false => OrderChange::Unchanged,
@@ -130,20 +130,22 @@
 
     // Applies the report if it is newer than the known one; a decision is final. Returns whether the stage
     // changed.
-    fn receive(&mut self, heard: Heard) -> bool {
-        let is_known = self.heard.is_some_and(|known| known.at >= heard.at);
+    fn receive(&mut self, report: StageReport) -> bool {
+        let is_known = self.stage_report.is_some_and(|known| known.at >= report.at);
         if is_known || self.decision().is_some() {
             return false;
         }
-        let is_new = self.heard.is_none_or(|known| known.stage != heard.stage);
-        self.heard = Some(heard);
+        let is_new = self
+            .stage_report
+            .is_none_or(|known| known.stage != report.stage);
+        self.stage_report = Some(report);
         is_new
     }
 }
 
 impl Rollouts {
     /// Applies an order that the store reported in `era` at its monotonic time `stamp`.
-    pub fn order(&mut self, order: Order, era: u64, stamp: Duration) -> OrderChange {
+    pub fn apply_order(&mut self, order: Order, era: u64, stamp: Duration) -> OrderChange {
         if let Some(known) = self.orders.get_mut(&order.service) {
             let is_older = known.era == era && known.order.revision >= order.revision;
             if is_older || known.era > era {
@@ -153,53 +155,55 @@
                 return known.renumber(order, era);
             }
         }
-        let ordered = Ordered {
+        let rollout = RolloutState {
             era,
             stamp,
-            heard: None,
-            own: Evidence::default(),
-            own_changed: false,
-            sent_at: Duration::ZERO,
-            others: BTreeMap::new(),
-            carried: None,
+            stage_report: None,
+            own_evidence: Evidence::default(),
+            has_unsent_evidence: false,
+            evidence_sent_at: Duration::ZERO,
+            peer_evidence: BTreeMap::new(),
+            execution: None,
             order,
         };
-        self.orders.insert(ordered.order.service.clone(), ordered);
+        self.orders.insert(rollout.order.service.clone(), rollout);
         OrderChange::New
     }
 
     /// Discards what was read from roll-out rows, so that the rows are read again: a restored store may lack
     /// them.
-    pub fn invalidate_carried(&mut self) {
-        for ordered in self.orders.values_mut() {
-            ordered.carried = None;
+    pub fn discard_executions(&mut self) {
+        for rollout in self.orders.values_mut() {
+            rollout.execution = None;
         }
     }
 
     /// Applies a report of the holder. Returns whether the stage changed.
-    pub fn receive(&mut self, service: &str, revision: u64, heard: Heard) -> bool {
-        let ordered = self.orders.get_mut(service);
-        let ordered = ordered.filter(|ordered| ordered.order.revision == revision);
-        ordered.is_some_and(|ordered| ordered.receive(heard))
+    pub fn receive_stage(&mut self, service: &str, revision: u64, report: StageReport) -> bool {
+        let rollout = self.orders.get_mut(service);
+        let rollout = rollout.filter(|rollout| rollout.order.revision == revision);
+        rollout.is_some_and(|rollout| rollout.receive(report))
     }
 
     /// Records an answer that this gateway saw.
-    pub fn note(&mut self, reported: &Digest) {
-        let ordered = self.orders.get_mut(&reported.service);
-        if let Some(ordered) = ordered.filter(|o| o.order.revision == reported.revision) {
+    pub fn record_answer(&mut self, reported: &Digest) {
+        let rollout = self.orders.get_mut(&reported.service);
+        if let Some(rollout) = rollout.filter(|o| o.order.revision == reported.revision) {
             let (route, side, endpoint) = (reported.route, reported.side, reported.endpoint);
-            ordered.own.note(route, side, endpoint, reported.answer);
-            ordered.own_changed = true;
+            rollout
+                .own_evidence
+                .note(route, side, endpoint, reported.answer);
+            rollout.has_unsent_evidence = true;
         }
     }
 
     /// Replaces another gateway's evidence: reports are cumulative since the order.
     pub fn receive_evidence(&mut self, source: &Source, reported: &EvidenceReport) {
-        let ordered = self.orders.get_mut(&reported.service_name);
-        let ordered = ordered.filter(|o| o.order.revision == reported.revision.max(0) as u64);
-        if let Some(ordered) = ordered {
+        let rollout = self.orders.get_mut(&reported.service_name);
+        let rollout = rollout.filter(|o| o.order.revision == reported.revision.max(0) as u64);
+        if let Some(rollout) = rollout {
             let evidence = gossip::received_evidence(reported);
-            ordered.others.insert(source.clone(), evidence);
+            rollout.peer_evidence.insert(source.clone(), evidence);
         }
     }
 
@@ -210,52 +214,57 @@
         own: SocketAddr,
     ) -> Vec<(SocketAddr, EvidenceReport)> {
         let mut due = Vec::new();
-        for (service, ordered) in &mut self.orders {
-            let Some(heard) = ordered.heard.filter(|h| h.stage.decision().is_none()) else {
+        for (service, rollout) in &mut self.orders {
+            let Some(report) = rollout
+                .stage_report
+                .filter(|h| h.stage.decision().is_none())
+            else {
                 continue;
             };
-            let is_due = ordered.own_changed && now >= ordered.sent_at + EVIDENCE_PAUSE;
-            if heard.holder == own || !is_due || now >= heard.at + HOLDER_KNOWN_FOR {
+            let is_due =
+                rollout.has_unsent_evidence && now >= rollout.evidence_sent_at + EVIDENCE_PAUSE;
+            if report.holder == own || !is_due || now >= report.at + STAGE_REPORT_LIFETIME {
                 continue;
             }
-            ordered.own_changed = false;
-            ordered.sent_at = now;
-            let reported = gossip::evidence_of(service, ordered.order.revision, &ordered.own);
-            due.push((heard.holder, reported));
+            rollout.has_unsent_evidence = false;
+            rollout.evidence_sent_at = now;
+            let reported =
+                gossip::evidence_of(service, rollout.order.revision, &rollout.own_evidence);
+            due.push((report.holder, reported));
         }
         due
     }
 
     /// Reports of all orders for the other gateways.
-    pub fn reported(&self, now: Duration) -> Vec<RolloutReport> {
-        let heard = self.orders.iter().filter_map(|(service, ordered)| {
-            let heard = ordered.heard?;
-            let age = now.saturating_sub(heard.at).as_millis();
+    pub fn stage_reports(&self, now: Duration) -> Vec<RolloutReport> {
+        let reports = self.orders.iter().filter_map(|(service, rollout)| {
+            let report = rollout.stage_report?;
+            let age = now.saturating_sub(report.at).as_millis();
             Some(RolloutReport {
                 service_name: service.clone(),
-                revision: ordered.order.revision as i64,
-                stage: gossip::stage_of(heard.stage),
+                revision: rollout.order.revision as i64,
+                stage: gossip::stage_of(report.stage),
                 age_ms: age.min(i32::MAX as u128) as i32,
-                holder: heard.holder.to_string(),
+                holder: report.holder.to_string(),
             })
         });
-        heard.collect()
+        reports.collect()
     }
 
     /// Whether autoscaling must leave a service's endpoints unchanged: during a roll-out both versions run, and no
     /// gateway counts them together.
-    pub fn is_under_way(&self, service: &str) -> bool {
-        let ordered = self.orders.get(service);
-        ordered.is_some_and(|ordered| ordered.decision().is_none())
+    pub fn has_open_order(&self, service: &str) -> bool {
+        let rollout = self.orders.get(service);
+        rollout.is_some_and(|rollout| rollout.decision().is_none())
     }
 
     /// Whether an endpoint counts as serving. Endpoints of an ordered version count only once the roll-out is
     /// completed; the old ones are removed soon after that.
-    pub fn counts(&self, endpoint: &Endpoint) -> bool {
-        let Some(ordered) = self.orders.get(&endpoint.service) else {
+    pub fn is_counted(&self, endpoint: &Endpoint) -> bool {
+        let Some(rollout) = self.orders.get(&endpoint.service) else {
             return true;
         };
-        let is_new = endpoint.version == ordered.order.version;
-        !is_new || ordered.decision() == Some(Decision::Completed)
+        let is_new = endpoint.version == rollout.order.version;
+        !is_new || rollout.decision() == Some(Decision::Completed)
     }
 }
--- a/components/gateway/src/control/rows.rs
+++ b/components/gateway/src/control/rows.rs
@@ -16,17 +16,17 @@
 
 impl<S: Store + 'static, O: Orders + 'static> Shared<S, O> {
     /// Applies a row that the operator wrote.
-    pub fn take_operator_row(&self, change: &Change, stamp: Duration) {
+    pub fn apply_operator_row(&self, change: &Change, stamp: Duration) {
         if change.key == self.store.configuration_key() {
-            self.take_configuration(change);
+            self.apply_configuration(change);
         } else if let Some(service) = self.store.rollout_service(&change.key) {
-            self.take_order(&service, change, stamp);
+            self.apply_rollout_order(&service, change, stamp);
         }
     }
 
     /// Applies a row that the operator wrote, from the first list of a restored store. A row that lacks the
     /// known order of its service, or holds another one, is deferred, as the operator may rewrite the order.
-    pub fn take_restored_operator_row(&self, change: &Change, stamp: Duration) {
+    pub fn apply_restored_operator_row(&self, change: &Change, stamp: Duration) {
         let now = self.clock.now();
         let service = self.store.rollout_service(&change.key);
         let mut known = self.known.borrow_mut();
@@ -40,7 +40,7 @@
             return;
         }
         drop(known);
-        self.take_operator_row(change, stamp);
+        self.apply_operator_row(change, stamp);
     }
 
     // Whether a row holds the same request as a known order.
@@ -50,7 +50,7 @@
         read.is_some_and(|read| read.is_same_request(known))
     }
 
-    fn take_order(&self, service: &str, change: &Change, stamp: Duration) {
+    fn apply_rollout_order(&self, service: &str, change: &Change, stamp: Duration) {
         let Some(value) = &change.value else {
             self.known.borrow_mut().rollouts.orders.remove(service);
             info!(self.log, "roll-out withdrawn"; "service" => service, "revision" => change.revision.number);
@@ -63,7 +63,7 @@
             Ok(order) => {
                 let era = change.revision.era;
                 let mut known = self.known.borrow_mut();
-                let order_change = known.rollouts.order(order.clone(), era, stamp);
+                let order_change = known.rollouts.apply_order(order.clone(), era, stamp);
                 drop(known);
                 if order_change == OrderChange::Unchanged {
                     return;
@@ -88,7 +88,7 @@
         }
     }
 
-    fn take_configuration(&self, change: &Change) {
+    fn apply_configuration(&self, change: &Change) {
         let mut known = self.known.borrow_mut();
         known.is_configuration_current = false;
         let Some(value) = &change.value else {
@@ -119,13 +119,13 @@
     }
 
     /// Applies the row of an endpoint.
-    pub fn take_endpoint(&self, change: &Change) {
-        self.take_endpoint_row(change, false);
+    pub fn apply_endpoint(&self, change: &Change) {
+        self.apply_endpoint_row(change, false);
     }
 
     /// Applies the row of an endpoint from the first list of a restored store. The row may be outdated, or
     /// missing while the endpoint is running.
-    pub fn take_restored_endpoint(&self, change: &Change) {
+    pub fn apply_restored_endpoint(&self, change: &Change) {
         let now = self.clock.now();
         let mut known = self.known.borrow_mut();
         let is_ready = known
@@ -139,10 +139,10 @@
             return;
         }
         drop(known);
-        self.take_endpoint_row(change, true);
+        self.apply_endpoint_row(change, true);
     }
 
-    fn take_endpoint_row(&self, change: &Change, is_from_restored_list: bool) {
+    fn apply_endpoint_row(&self, change: &Change, is_from_restored_list: bool) {
         let era = change.revision.era;
         let Some(value) = &change.value else {
             self.drop_endpoint(&change.key, era);
--- a/components/gateway/src/control/scaling.rs
+++ b/components/gateway/src/control/scaling.rs
@@ -18,32 +18,32 @@
 /// Pause between plans.
 const PLAN_PAUSE: Duration = Duration::from_millis(500);
 /// Upper limit of consecutive plans: one for each hall that turns out to have no capacity, and a few more.
-const MOST_PLANS: usize = 6;
+const MAX_PLANS: usize = 6;
 /// Time window over which prompt tokens are counted.
 const DEMAND_SPAN: Duration = Duration::from_secs(5);
 /// Shortest time window over which they are averaged.
-const SHORTEST_SPAN: Duration = Duration::from_secs(1);
+const MIN_SPAN: Duration = Duration::from_secs(1);
 /// Share of streams whose limits on pauses and duration must hold under the planned load.
 const IN_TIME_SHARE: f64 = 0.95;
 /// Upper limit of samples that are kept for the count, about the requests of one second.
-const MOST_SAMPLES: usize = 20_000;
+const MAX_SAMPLES: usize = 20_000;
 
 /// Prompt tokens that all gateways sent to endpoints within the demand window.
 #[derive(Debug, Default)]
 pub(crate) struct Demand {
     samples: VecDeque<(Duration, u64, u32)>,
     // Time of the first sample after a time without any.
-    since: Option<Duration>,
+    load_began_at: Option<Duration>,
 }
 
 impl Demand {
     /// Records a request.
     pub fn add(&mut self, at: Duration, endpoint: u64, unread_tokens: u32) {
         if self.samples.is_empty() {
-            self.since = Some(at);
+            self.load_began_at = Some(at);
         }
         self.samples.push_back((at, endpoint, unread_tokens));
-        if self.samples.len() > MOST_SAMPLES {
+        if self.samples.len() > MAX_SAMPLES {
             self.samples.pop_front();
         }
     }
@@ -57,8 +57,8 @@
             *sums.entry(*endpoint).or_default() += f64::from(*tokens);
         }
         // A load that has just begun does not cover the whole window.
-        let lasted = now.saturating_sub(self.since.unwrap_or(from));
-        let span = lasted.clamp(SHORTEST_SPAN, DEMAND_SPAN).as_secs_f64();
+        let elapsed = now.saturating_sub(self.load_began_at.unwrap_or(from));
+        let span = elapsed.clamp(MIN_SPAN, DEMAND_SPAN).as_secs_f64();
         sums.values_mut().for_each(|sum| *sum /= span);
         sums
     }
@@ -66,7 +66,7 @@
 
 impl<S: Store + 'static, O: Orders + 'static> Shared<S, O> {
     /// Plans and orders endpoints until the process ends, whenever this gateway holds the lease.
-    pub async fn keep_endpoints(&self) {
+    pub async fn run_autoscaling(&self) {
         loop {
             let lost = self.endpoint_lost.notified();
             let _ = tokio::time::timeout(PLAN_PAUSE, lost).await;
@@ -80,7 +80,7 @@
         }
         let asked = self.observe_load();
         // A hall that turns out to have no capacity changes the plan for the others.
-        for _ in 0..MOST_PLANS {
+        for _ in 0..MAX_PLANS {
             if self.holder().is_none() || !self.carry_out_plan(&asked).await {
                 return;
             }
@@ -97,17 +97,17 @@
                 };
                 self.known.borrow_mut().orders.sent();
                 let reply = self.orders.scale(&holder, &service, &order).await;
-                self.note_order_end(reply);
+                self.record_order_end(reply);
                 info!(self.log, "endpoints ordered"; "service" => &service,
                     "hall" => &order.hall, "reclaimable" => order.reclaimable,
                     "count" => order.count, "fence" => holder.fence, "reply" => ?reply);
-                hall_closed |= self.note_reply(&service, &order, reply);
+                hall_closed |= self.apply_reply(&service, &order, reply);
             }
         }
         hall_closed
     }
 
-    fn note_reply(&self, service: &str, order: &ScalingOrder, reply: OrderReply) -> bool {
+    fn apply_reply(&self, service: &str, order: &ScalingOrder, reply: OrderReply) -> bool {
         let now = self.clock.now();
         let mut known = self.known.borrow_mut();
         let region = known.topology.region_of(&order.hall).to_string();
@@ -163,25 +163,26 @@
         asked: &RegionLoad,
     ) -> Option<(String, Vec<ScalingOrder>)> {
         let (service, region) = &asked.key;
-        if known.rollouts.is_under_way(service) {
+        if known.rollouts.has_open_order(service) {
             return None;
         }
         let scaler = known.scalers.get_mut(&asked.key)?;
-        let keeps = scaler.scale_down_block_reason(now);
-        let orders = scaler.plan(now, &asked.offer);
+        let block_reason = scaler.scale_down_block_reason(now);
+        let orders = scaler.plan(now, &asked.spec);
         if orders.is_empty() {
             return None;
         }
-        let back = orders.iter().filter(|order| scaler.is_scale_down(order));
-        self.metrics.add(Counter::GivenBack, back.count() as u64);
+        let scale_downs = orders.iter().filter(|order| scaler.is_scale_down(order));
+        self.metrics
+            .add(Counter::GivenBack, scale_downs.count() as u64);
         let parts = asked.load.parts().unwrap_or_default();
         info!(self.log, "endpoints planned"; "service" => service, "region" => region,
             "load_milli" => milli(scaler.latest_load()),
-            "highest_milli" => milli(scaler.peak_load(now, &asked.offer)),
+            "highest_milli" => milli(scaler.peak_load(now, &asked.spec)),
             "reading_milli" => milli(parts.prefill), "making_milli" => milli(parts.decode),
             "limited_milli" => milli(asked.load.limited_endpoints), "most_running" => parts.max_running, "running" => asked.load.requests,
             "bearing" => ?asked.load.bearing, "held" => ?scaler.held(),
-            "keeps" => keeps.unwrap_or("nothing"));
+            "keeps" => block_reason.unwrap_or("nothing"));
         Some((service.clone(), orders))
     }
 }
@@ -209,19 +210,19 @@
         let topology = self.topology.clone();
         let tokens = self.demand.tokens_per_s(now);
         let mut asked = Vec::new();
-        for (service, scaling) in scaled(&configuration) {
+        for (service, scaling) in autoscaled_services(&configuration) {
             let bearing = self.bearing_of(service);
             let regions = regions_of(&topology, scaling);
             let count = regions.len();
             for region in regions {
-                let halls = Halls {
+                let halls = RegionHalls {
                     topology: &topology,
                     region: &region,
                 };
                 asked.push(RegionLoad {
                     load: load_of(self, service, halls, &tokens, bearing),
                     held: held_by(self, service, halls),
-                    offer: offer_of(scaling, halls),
+                    spec: scaling_spec_of(scaling, halls),
                     key: (service.clone(), region),
                     regions: count,
                 });
@@ -235,9 +236,9 @@
         if !self.loads.get(service).is_some_and(|load| load.has_engines) {
             return Bearing::Slots;
         }
-        let learnt = self.learnt_of(service);
-        let pace_ms = learnt.allowed_paces.max_pace_ms(IN_TIME_SHARE);
-        match (learnt.estimate().confident_law(), pace_ms) {
+        let stats = self.engine_stats_of(service);
+        let pace_ms = stats.allowed_paces.max_pace_ms(IN_TIME_SHARE);
+        match (stats.estimate().confident_law(), pace_ms) {
             (Some(law), Some(pace_ms)) => Bearing::Engine { law, pace_ms },
             _ => Bearing::Unknown,
         }
@@ -252,17 +253,17 @@
     regions: usize,
     load: Load,
     held: Fleet,
-    offer: ScalingSpec,
+    spec: ScalingSpec,
 }
 
 // The data halls of one region.
 #[derive(Clone, Copy)]
-struct Halls<'a> {
+struct RegionHalls<'a> {
     topology: &'a Topology,
     region: &'a str,
 }
 
-impl Halls<'_> {
+impl RegionHalls<'_> {
     fn has(&self, hall: &str) -> bool {
         self.topology.region_of(hall) == self.region
     }
@@ -279,12 +280,12 @@
     (value * 1000.0) as u64
 }
 
-fn scaled(configuration: &Configuration) -> impl Iterator<Item = (&String, &Scaling)> {
+fn autoscaled_services(configuration: &Configuration) -> impl Iterator<Item = (&String, &Scaling)> {
     let services = configuration.services.iter();
     services.filter_map(|(name, service)| Some((name, service.scaling.as_ref()?)))
 }
 
-fn offer_of(scaling: &Scaling, halls: Halls) -> ScalingSpec {
+fn scaling_spec_of(scaling: &Scaling, halls: RegionHalls) -> ScalingSpec {
     let prices = scaling.zone_prices.iter();
     let prices = prices.filter(|(hall, _)| halls.has(hall));
     ScalingSpec {
@@ -296,12 +297,12 @@
     }
 }
 
-fn held_by(known: &Known, service: &str, halls: Halls) -> Fleet {
+fn held_by(known: &Known, service: &str, halls: RegionHalls) -> Fleet {
     let mut held = Fleet::new();
     let counted = known
         .endpoints
         .values()
-        .filter(|e| known.rollouts.counts(e));
+        .filter(|e| known.rollouts.is_counted(e));
     for endpoint in counted.filter(|e| e.service == service && e.is_ready() && halls.has(&e.zone)) {
         let hall = held.entry(endpoint.zone.clone()).or_default();
         match endpoint.reclaimable {
@@ -315,7 +316,7 @@
 fn load_of(
     known: &Known,
     service: &str,
-    halls: Halls,
+    halls: RegionHalls,
     tokens: &HashMap<u64, f64>,
     bearing: Bearing,
 ) -> Load {
--- a/components/gateway/src/peers.rs
+++ b/components/gateway/src/peers.rs
@@ -14,7 +14,7 @@
 pub(crate) use crate::peers::halls::COORDINATORS_PER_HALL;
 pub use crate::peers::halls::{AccountKeeper, GatewayFleet, HallCount};
 pub use crate::peers::peer::{ListedGateway, PeerStatus};
-use crate::peers::peer::{Peer, TRY_ADDRESS_FOR};
+use crate::peers::peer::{Peer, ADDRESS_LIFETIME};
 use crate::peers::regions::HallLists;
 
 /// Time without a message after which a gateway is forgotten.
@@ -84,7 +84,7 @@
 struct HeldLease {
     epoch: i64,
     holder: SocketAddr,
-    heard_at: Duration,
+    reported_at: Duration,
 }
 
 impl Peers {
@@ -129,7 +129,7 @@
                 self.addresses.remove(&listed.address);
                 let name = listed.name.clone();
                 let peer = self.peers.entry(name);
-                peer.or_insert_with(|| Peer::listed(now, listed));
+                peer.or_insert_with(|| Peer::from_list(now, listed));
             }
         }
     }
@@ -140,21 +140,21 @@
     }
 
     /// Records a message of a gateway.
-    pub fn receive(&mut self, now: Duration, greeting: PeerStatus) -> Receipt {
-        let name = greeting.name.clone();
+    pub fn receive(&mut self, now: Duration, status: PeerStatus) -> Receipt {
+        let name = status.name.clone();
         let known = self.peers.get(&name);
-        if known.is_some_and(|known| known.is_past(now, &greeting)) {
+        if known.is_some_and(|known| known.is_outdated(now, &status)) {
             return Receipt::Stale;
         }
-        let address = greeting.address;
+        let address = status.address;
         self.addresses.remove(&address);
         self.peers.retain(|other, peer| {
-            *other == name || peer.address != address || peer.heard.is_some()
+            *other == name || peer.address != address || peer.last_status.is_some()
         });
         let peer = self.peers.entry(name).or_insert_with(|| {
-            let (name, hall) = (greeting.name.clone(), greeting.hall.clone());
-            let (cores_milli, decisions) = (greeting.cores_milli, greeting.decisions);
-            Peer::listed(
+            let (name, hall) = (status.name.clone(), status.hall.clone());
+            let (cores_milli, decisions) = (status.cores_milli, status.decisions);
+            Peer::from_list(
                 now,
                 ListedGateway {
                     name,
@@ -165,7 +165,7 @@
                 },
             )
         });
-        peer.receive(now, greeting);
+        peer.receive(now, status);
         Receipt::Accepted
     }
 
@@ -176,8 +176,8 @@
             return false;
         }
         let heard = self.peers.iter().filter(|(_, peer)| {
-            let greeting = peer.recent(now);
-            greeting.is_some_and(|g| g.is_coordinator && g.reaches_store)
+            let status = peer.recent_status(now);
+            status.is_some_and(|g| g.is_coordinator && g.reaches_store)
         });
         let own = self.own.name.as_str();
         let names = heard.map(|(name, _)| name.as_str());
@@ -217,7 +217,7 @@
             self.lease = Some(HeldLease {
                 epoch,
                 holder,
-                heard_at: now,
+                reported_at: now,
             });
         }
     }
@@ -238,7 +238,7 @@
     pub fn is_holder_alive(&self, now: Duration, time: Duration) -> bool {
         let given_up = self.given_up.map_or(i64::MIN, |(epoch, _)| epoch);
         self.lease
-            .is_some_and(|lease| now < lease.heard_at + time && lease.epoch > given_up)
+            .is_some_and(|lease| now < lease.reported_at + time && lease.epoch > given_up)
     }
 
     /// Whether a release of the lease was reported within `time`.
@@ -248,18 +248,21 @@
 
     /// Whether another live gateway reaches the store.
     pub fn can_others_reach_store(&self, now: Duration) -> bool {
-        let mut heard = self.peers.values().filter_map(|peer| peer.recent(now));
-        heard.any(|greeting| greeting.reaches_store)
+        let mut heard = self
+            .peers
+            .values()
+            .filter_map(|peer| peer.recent_status(now));
+        heard.any(|status| status.reaches_store)
     }
 
     /// Forgets gateways that were silent for too long and addresses from which no message came.
     pub fn tick(&mut self, now: Duration) {
         self.peers.retain(|_, peer| {
-            let heard = peer.heard.as_ref();
+            let heard = peer.last_status.as_ref();
             heard.is_none_or(|(_, at)| now < *at + FORGET_AFTER)
         });
         self.addresses
-            .retain(|_, since| now < *since + TRY_ADDRESS_FOR);
+            .retain(|_, since| now < *since + ADDRESS_LIFETIME);
     }
 
     /// Addresses at which no gateway is known yet; messages are sent to them.
--- a/components/gateway/src/peers/halls.rs
+++ b/components/gateway/src/peers/halls.rs
@@ -17,7 +17,7 @@
 /// Count of coordinators in a hall: two may fail before the hall has to look for others.
 pub(crate) const COORDINATORS_PER_HALL: usize = 3;
 /// Count of gateways of its own hall to which a gateway without a live coordinator reports.
-const WIDER_SEARCH: usize = 8;
+const WIDER_REPORT_TARGETS: usize = 8;
 /// Count of deciding gateways that is assumed while none is known.
 const ASSUMED_DECIDERS: usize = 100;
 /// Hash key of the order in which gateways with the same CPU capacity become coordinators.
@@ -93,7 +93,7 @@
     pub fn is_coordinator(&self, now: Duration) -> bool {
         let own = (self.own.cores_milli, self.own_weight());
         let before = |(name, peer): &(&String, &Peer)| {
-            peer.hall == self.own.hall && !peer.is_down(now) && place(name, peer) > own
+            peer.hall == self.own.hall && !peer.is_down(now) && rank_key(name, peer) > own
         };
         self.peers.iter().filter(before).count() < COORDINATORS_PER_HALL
     }
@@ -106,22 +106,22 @@
         // other side might never get one.
         let first = halls
             .into_iter()
-            .flat_map(|hall| self.first_of(hall, now, COORDINATORS_PER_HALL));
+            .flat_map(|hall| self.first_in_hall(hall, now, COORDINATORS_PER_HALL));
         let first: BTreeSet<&str> = first.collect();
-        let is_meant = |(name, peer): &(&String, &Peer)| {
+        let may_coordinate = |(name, peer): &(&String, &Peer)| {
             peer.is_coordinator(now) || first.contains(name.as_str())
         };
-        let meant = self.peers.iter().filter(is_meant);
-        meant.map(|(_, peer)| peer.address).collect()
+        let candidates = self.peers.iter().filter(may_coordinate);
+        candidates.map(|(_, peer)| peer.address).collect()
     }
 
     /// Addresses of the coordinators of this gateway's hall, or of more gateways of the hall if none of them is
     /// alive.
     pub fn own_coordinators(&self, now: Duration) -> BTreeSet<SocketAddr> {
         let hall = self.own.hall.as_str();
-        let mut first = self.first_of(hall, now, COORDINATORS_PER_HALL);
+        let mut first = self.first_in_hall(hall, now, COORDINATORS_PER_HALL);
         if !first.iter().any(|name| self.peers[*name].is_alive(now)) {
-            first = self.first_of(hall, now, WIDER_SEARCH);
+            first = self.first_in_hall(hall, now, WIDER_REPORT_TARGETS);
         }
         let addresses = first.iter().map(|name| self.peers[*name].address);
         addresses.collect()
@@ -140,7 +140,7 @@
     pub fn expect_messages(&mut self, now: Duration, addresses: &BTreeSet<SocketAddr>) {
         let peers = self.peers.values_mut();
         let due = peers.filter(|peer| addresses.contains(&peer.address));
-        due.for_each(|peer| peer.expect(now));
+        due.for_each(|peer| peer.expect_message(now));
     }
 
     /// The gateways and their deciders as of now.
@@ -159,14 +159,14 @@
             };
         }
         let gateways = self.reported_gateways(now).unwrap_or(count.gateways());
-        let (near, far) = self.deciders_elsewhere(now);
+        let (near, far) = self.other_hall_deciders(now);
         GatewayFleet {
             gateways,
             part: 1.0 / gateways.max(1) as f64,
             decides: false,
             coordinators: self.deciders(now),
             decider_count: gateways,
-            fallback_deciders: [self.deciders_unseen(now), near, far.clone()].concat(),
+            fallback_deciders: [self.unheard_deciders(now), near, far.clone()].concat(),
             far_deciders: far,
             keepers: Vec::new(),
         }
@@ -208,7 +208,7 @@
             alive += count.alive;
             silent += count.silent;
         }
-        silent += self.assumed_unread(&own);
+        silent += self.assumed_unread_gateways(&own);
         // Once the store's list is read, an address without a known gateway belongs to a gateway that is
         // already counted, or to one that was already gone.
         if !self.listed {
@@ -224,13 +224,14 @@
     pub fn should_forward_usage_of(&self, now: Duration, gateway: &str) -> bool {
         let own = self.own.name.as_str();
         let peer = self.peers.get(gateway);
-        let asks = peer.and_then(|peer| peer.recent(now)?.preferred_coordinator.as_deref());
-        gateway != own && asks.is_none_or(|asks| asks == own)
+        let preferred =
+            peer.and_then(|peer| peer.recent_status(now)?.preferred_coordinator.as_deref());
+        gateway != own && preferred.is_none_or(|preferred| preferred == own)
     }
 
     // Assumed count of gateways in halls from which nothing was read or received yet: as many as in this
     // gateway's hall.
-    fn assumed_unread(&self, own: &HallCount) -> usize {
+    fn assumed_unread_gateways(&self, own: &HallCount) -> usize {
         let known = self.other_halls();
         let unread = self.lists.unread().filter(|hall| *hall != self.own.hall);
         let unknown = unread.filter(|hall| !known.contains_key(hall));
@@ -249,33 +250,35 @@
     // Counts from the coordinator of a hall that hears the most gateways.
     fn reported_count(&self, hall: &str, now: Duration) -> Option<HallCount> {
         let peers = self.peers.values().filter(|peer| peer.hall == hall);
-        let reported = peers.filter_map(|peer| peer.recent(now)?.hall_count);
+        let reported = peers.filter_map(|peer| peer.recent_status(now)?.hall_count);
         reported.max_by_key(|count| count.alive)
     }
 
     fn reported_gateways(&self, now: Duration) -> Option<usize> {
         let peers = self.peers.values().filter(|p| p.is_coordinator(now));
-        peers.filter_map(|peer| peer.recent(now)?.gateways).max()
+        peers
+            .filter_map(|peer| peer.recent_status(now)?.gateways)
+            .max()
     }
 
     // Live coordinators of this gateway's hall, in an order that differs between gateways.
     fn decider_names(&self, now: Duration) -> Vec<&str> {
-        let first = self.first_of(&self.own.hall, now, COORDINATORS_PER_HALL);
+        let first = self.first_in_hall(&self.own.hall, now, COORDINATORS_PER_HALL);
         let heard = first.into_iter().filter(|name| {
-            let greeting = self.peers[*name].recent(now);
-            greeting.is_some_and(|g| g.is_coordinator && g.decisions.is_some())
+            let status = self.peers[*name].recent_status(now);
+            status.is_some_and(|g| g.is_coordinator && g.decisions.is_some())
         });
         rank(weight(0, &self.own.name), heard, COORDINATORS_PER_HALL)
     }
 
     fn keepers(&self, now: Duration) -> Vec<AccountKeeper> {
         let others = self.peers.iter().filter_map(|(name, peer)| {
-            let greeting = peer.recent(now)?;
-            let keeps = greeting.is_coordinator && greeting.keeps_accounts;
+            let status = peer.recent_status(now)?;
+            let keeps = status.is_coordinator && status.keeps_accounts;
             Some(AccountKeeper {
                 name: name.clone(),
                 hall: peer.hall.clone(),
-                address: greeting.decisions.filter(|_| keeps)?,
+                address: status.decisions.filter(|_| keeps)?,
             })
         });
         let own = self.own.decisions.map(|address| AccountKeeper {
@@ -288,12 +291,12 @@
 
     fn deciders(&self, now: Duration) -> Vec<SocketAddr> {
         let names = self.decider_names(now).into_iter();
-        let addresses = names.filter_map(|name| self.peers[name].recent(now)?.decisions);
+        let addresses = names.filter_map(|name| self.peers[name].recent_status(now)?.decisions);
         addresses.collect()
     }
 
-    fn deciders_unseen(&self, now: Duration) -> Vec<SocketAddr> {
-        let first = self.first_of(&self.own.hall, now, COORDINATORS_PER_HALL);
+    fn unheard_deciders(&self, now: Duration) -> Vec<SocketAddr> {
+        let first = self.first_in_hall(&self.own.hall, now, COORDINATORS_PER_HALL);
         let peers = first.iter().map(|name| &self.peers[*name]);
         let unheard = peers.filter(|peer| !peer.is_alive(now));
         unheard.filter_map(|peer| peer.decisions).collect()
@@ -301,12 +304,12 @@
 
     // One coordinator of each other hall, in this region and in other regions, in an order that differs between
     // gateways. This gateway receives no messages from them, so they are selected from the store's list.
-    fn deciders_elsewhere(&self, now: Duration) -> (Vec<SocketAddr>, Vec<SocketAddr>) {
+    fn other_hall_deciders(&self, now: Duration) -> (Vec<SocketAddr>, Vec<SocketAddr>) {
         let own = weight(COORDINATION_KEY, &self.own.name);
         let mut halls: Vec<&str> = self.other_halls().into_keys().collect();
         halls.sort_unstable_by_key(|hall| weight(own, hall));
         let of_hall = |hall: &str| {
-            let first = self.first_of(hall, now, COORDINATORS_PER_HALL);
+            let first = self.first_in_hall(hall, now, COORDINATORS_PER_HALL);
             let chosen = rank(own, first.into_iter(), 1);
             self.peers[*chosen.first()?].decisions
         };
@@ -318,10 +321,12 @@
 
     // The first gateways of a hall, except this one: by CPU capacity, then by a hash order that all gateways
     // agree on.
-    pub(super) fn first_of(&self, hall: &str, now: Duration, count: usize) -> Vec<&str> {
+    pub(super) fn first_in_hall(&self, hall: &str, now: Duration, count: usize) -> Vec<&str> {
         let of_hall = self.peers.iter().filter(|(_, peer)| peer.hall == hall);
         let up = of_hall.filter(|(_, peer)| !peer.is_down(now));
-        let mut ordered: Vec<_> = up.map(|(name, peer)| (place(name, peer), name)).collect();
+        let mut ordered: Vec<_> = up
+            .map(|(name, peer)| (rank_key(name, peer), name))
+            .collect();
         ordered.sort_unstable_by(|a, b| b.cmp(a));
         let names = ordered.into_iter().map(|(_, name)| name.as_str());
         names.take(count).collect()
@@ -332,6 +337,6 @@
     }
 }
 
-fn place(name: &str, peer: &Peer) -> (i32, u64) {
+fn rank_key(name: &str, peer: &Peer) -> (i32, u64) {
     (peer.cores_milli, weight(COORDINATION_KEY, name))
 }
--- a/components/gateway/src/peers/peer.rs
+++ b/components/gateway/src/peers/peer.rs
@@ -9,9 +9,9 @@
 pub(super) const SILENT_AFTER: Duration = Duration::from_millis(1500);
 /// Time for which a listed gateway that was never heard may be running, and for which messages are sent to its
 /// address.
-pub(super) const TRY_ADDRESS_FOR: Duration = Duration::from_secs(20);
+pub(super) const ADDRESS_LIFETIME: Duration = Duration::from_secs(20);
 /// Time for which a gateway whose due message did not arrive counts as down.
-const PASSED_OVER_FOR: Duration = Duration::from_secs(5);
+const DOWN_TIME: Duration = Duration::from_secs(5);
 
 /// A gateway in the store's list.
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -66,60 +66,60 @@
     pub decisions: Option<SocketAddr>,
     pub listed_at: Duration,
     // Status in the newest message, and when that arrived.
-    pub heard: Option<(PeerStatus, Duration)>,
+    pub last_status: Option<(PeerStatus, Duration)>,
     // Since when a message of this gateway is due, if none has arrived.
     due_since: Option<Duration>,
 }
 
 impl Peer {
-    pub fn listed(now: Duration, listed: ListedGateway) -> Self {
+    pub fn from_list(now: Duration, listed: ListedGateway) -> Self {
         Peer {
             address: listed.address,
             hall: listed.hall,
             cores_milli: listed.cores_milli,
             decisions: listed.decisions,
             listed_at: now,
-            heard: None,
+            last_status: None,
             due_since: None,
         }
     }
 
-    pub fn receive(&mut self, now: Duration, greeting: PeerStatus) {
-        self.address = greeting.address;
-        self.hall = greeting.hall.clone();
-        self.cores_milli = greeting.cores_milli;
-        self.decisions = greeting.decisions.or(self.decisions);
-        self.heard = Some((greeting, now));
+    pub fn receive(&mut self, now: Duration, status: PeerStatus) {
+        self.address = status.address;
+        self.hall = status.hall.clone();
+        self.cores_milli = status.cores_milli;
+        self.decisions = status.decisions.or(self.decisions);
+        self.last_status = Some((status, now));
         self.due_since = None;
     }
 
     /// The newest status, if it is recent.
-    pub fn recent(&self, now: Duration) -> Option<&PeerStatus> {
-        let (greeting, at) = self.heard.as_ref()?;
-        (now < *at + SILENT_AFTER).then_some(greeting)
+    pub fn recent_status(&self, now: Duration) -> Option<&PeerStatus> {
+        let (status, at) = self.last_status.as_ref()?;
+        (now < *at + SILENT_AFTER).then_some(status)
     }
 
     pub fn is_alive(&self, now: Duration) -> bool {
-        self.recent(now).is_some()
+        self.recent_status(now).is_some()
     }
 
     /// Whether it is alive and a coordinator.
     pub fn is_coordinator(&self, now: Duration) -> bool {
-        self.recent(now)
-            .is_some_and(|greeting| greeting.is_coordinator)
+        self.recent_status(now)
+            .is_some_and(|status| status.is_coordinator)
     }
 
     /// Whether it may be running although no recent message came from it.
     pub fn is_silent(&self, now: Duration) -> bool {
-        match self.heard {
+        match self.last_status {
             Some(_) => !self.is_alive(now),
-            None => now < self.listed_at + TRY_ADDRESS_FOR,
+            None => now < self.listed_at + ADDRESS_LIFETIME,
         }
     }
 
     /// Records that a message is due from now on.
-    pub fn expect(&mut self, now: Duration) {
-        let overdue = |since: Duration| now >= since + SILENT_AFTER + PASSED_OVER_FOR;
+    pub fn expect_message(&mut self, now: Duration) {
+        let overdue = |since: Duration| now >= since + SILENT_AFTER + DOWN_TIME;
         if !self.is_alive(now) && self.due_since.is_none_or(overdue) {
             self.due_since = Some(now);
         }
@@ -127,7 +127,7 @@
 
     /// Whether it is considered down: it fell silent, or it was never heard although a message was due.
     pub fn is_down(&self, now: Duration) -> bool {
-        if self.heard.is_some() {
+        if self.last_status.is_some() {
             return !self.is_alive(now);
         }
         let overdue = |since: Duration| now >= since + SILENT_AFTER;
@@ -136,13 +136,13 @@
 
     /// Whether a message is older than the known state. The wall clock may have been set back, so the successor
     /// of a silent process may seem to have started earlier.
-    pub fn is_past(&self, now: Duration, greeting: &PeerStatus) -> bool {
-        let Some((known, _)) = &self.heard else {
+    pub fn is_outdated(&self, now: Duration, status: &PeerStatus) -> bool {
+        let Some((known, _)) = &self.last_status else {
             return false;
         };
-        if !self.is_alive(now) && greeting.incarnation != known.incarnation {
+        if !self.is_alive(now) && status.incarnation != known.incarnation {
             return false;
         }
-        (greeting.incarnation, greeting.sequence) <= (known.incarnation, known.sequence)
+        (status.incarnation, status.sequence) <= (known.incarnation, known.sequence)
     }
 }
--- a/components/gateway/src/peers/regions.rs
+++ b/components/gateway/src/peers/regions.rs
@@ -22,28 +22,28 @@
 const SETTLE_TIME: Duration = Duration::from_millis(300);
 /// Time for which a listed gateway that was never heard is assumed to read the store: its answer to the first
 /// message is due within 0.5 s.
-const AWAITED_FOR: Duration = Duration::from_millis(600);
+const FIRST_MESSAGE_TIMEOUT: Duration = Duration::from_millis(600);
 /// Time without a message after which another gateway replaces the reader of the region; two messages are due
 /// in that time.
-const READER_SILENCE: Duration = Duration::from_millis(1000);
+const READER_TIMEOUT: Duration = Duration::from_millis(1000);
 /// Time after the start without a live coordinator of its hall after which a gateway looks for others.
-const LONELY_AFTER: Duration = Duration::from_millis(1500);
+const COORDINATOR_TIMEOUT: Duration = Duration::from_millis(1500);
 /// Pause between the halls' lists that it reads while looking: one answering gateway is enough, and each list
 /// takes a store call.
-const LONELY_PAUSE: Duration = Duration::from_millis(1000);
+const SEARCH_PAUSE: Duration = Duration::from_millis(1000);
 
 /// Progress of reading the store's list by halls.
 #[derive(Debug, Default)]
 pub(super) struct HallLists {
     unread: BTreeSet<String>,
-    own_at: Option<Duration>,
+    own_read_at: Option<Duration>,
     // When the part of another hall was last read.
-    other_at: Option<Duration>,
+    other_read_at: Option<Duration>,
 }
 
 impl HallLists {
     /// Whether there are unread parts.
-    pub fn lacks_any(&self) -> bool {
+    pub fn has_unread(&self) -> bool {
         !self.unread.is_empty()
     }
 
@@ -69,20 +69,20 @@
         self.add_listed(now, gateways);
         self.lists.unread.remove(hall);
         match hall == self.own.hall {
-            true => self.lists.own_at = Some(now),
-            false => self.lists.other_at = Some(now),
+            true => self.lists.own_read_at = Some(now),
+            false => self.lists.other_read_at = Some(now),
         }
-        self.listed = !self.lists.lacks_any();
+        self.listed = !self.lists.has_unread();
     }
 
     /// Whether the gateways of this gateway's hall were read from the store's list.
     pub fn has_own_hall_list(&self) -> bool {
-        self.listed || self.lists.own_at.is_some()
+        self.listed || self.lists.own_read_at.is_some()
     }
 
     /// When the gateways of this gateway's hall were read from the store's list.
     pub fn own_hall_read_at(&self) -> Option<Duration> {
-        self.lists.own_at
+        self.lists.own_read_at
     }
 
     /// The hall whose part must be read next, if any: first this gateway's own. If this gateway is a
@@ -94,7 +94,8 @@
             return Some(own.clone());
         }
         let settled = self.is_settled(now);
-        let is_wanted = (settled && self.is_coordinator(now)) || self.is_lonely(now);
+        let is_wanted =
+            (settled && self.is_coordinator(now)) || self.should_search_other_halls(now);
         let near = |hall: &&str| topology.distance(hall) != Distance::OtherRegion;
         let first = self.lists.unread().find(near);
         let next = first.or_else(|| self.lists.unread().next());
@@ -111,13 +112,14 @@
             return false;
         }
         let near = self.peers.iter().filter(|(_, peer)| is_near(&peer.hall));
-        let readers = near.filter(|(name, peer)| self.may_read(name, peer, now));
+        let readers = near.filter(|(name, peer)| self.is_potential_reader(name, peer, now));
         let own = (
             self.own.cores_milli,
             weight(READER_RANK_KEY, &self.own.name),
         );
-        let places = readers.map(|(name, peer)| (peer.cores_milli, weight(READER_RANK_KEY, name)));
-        places.filter(|place| *place > own).count() < count
+        let rank_keys =
+            readers.map(|(name, peer)| (peer.cores_milli, weight(READER_RANK_KEY, name)));
+        rank_keys.filter(|rank_key| *rank_key > own).count() < count
     }
 
     /// Whether another coordinator of this gateway's hall is alive.
@@ -133,32 +135,32 @@
 
     /// Whether coordinators have had time to send a message since the list of this gateway's hall was read.
     pub fn has_waited_for_coordinators(&self, now: Duration) -> bool {
-        let since = self.lists.own_at;
-        since.is_none_or(|at| now >= at + LONELY_AFTER)
+        let since = self.lists.own_read_at;
+        since.is_none_or(|at| now >= at + COORDINATOR_TIMEOUT)
     }
 
-    fn may_read(&self, name: &str, peer: &Peer, now: Duration) -> bool {
-        match &peer.heard {
-            Some((greeting, at)) => {
-                now < *at + READER_SILENCE && greeting.is_coordinator && greeting.reaches_store
+    fn is_potential_reader(&self, name: &str, peer: &Peer, now: Duration) -> bool {
+        match &peer.last_status {
+            Some((status, at)) => {
+                now < *at + READER_TIMEOUT && status.is_coordinator && status.reaches_store
             }
             None => {
-                let first = || self.first_of(&peer.hall, now, COORDINATORS_PER_HALL);
-                now < peer.listed_at + AWAITED_FOR && first().contains(&name)
+                let first = || self.first_in_hall(&peer.hall, now, COORDINATORS_PER_HALL);
+                now < peer.listed_at + FIRST_MESSAGE_TIMEOUT && first().contains(&name)
             }
         }
     }
 
     fn is_settled(&self, now: Duration) -> bool {
-        let since = self.lists.own_at;
+        let since = self.lists.own_read_at;
         since.is_some_and(|at| now >= at + SETTLE_TIME)
     }
 
-    fn is_lonely(&self, now: Duration) -> bool {
-        let since = self.lists.own_at;
-        let waited = since.is_some_and(|at| now >= at + LONELY_AFTER);
-        let has_read = |at: Duration| now < at + LONELY_PAUSE;
-        let pauses = self.lists.other_at.is_some_and(has_read);
-        waited && !pauses && !self.is_coordinator(now) && !self.has_live_own_coordinator(now)
+    fn should_search_other_halls(&self, now: Duration) -> bool {
+        let since = self.lists.own_read_at;
+        let waited = since.is_some_and(|at| now >= at + COORDINATOR_TIMEOUT);
+        let has_read = |at: Duration| now < at + SEARCH_PAUSE;
+        let is_pausing = self.lists.other_read_at.is_some_and(has_read);
+        waited && !is_pausing && !self.is_coordinator(now) && !self.has_live_own_coordinator(now)
     }
 }
