--- a/components/gateway/src/control.rs
+++ b/components/gateway/src/control.rs
@@ -1,27 +1,27 @@
 //! The control thread of a gateway: its state and the tasks that share it.
 
-mod accounts;
-mod carrying;
-mod deflated;
+mod control_state;
+mod deflate;
 mod departures;
 mod echoes;
+mod endpoint_need;
 mod engines;
-mod era;
 mod exchange;
 mod follow;
 mod forwarding;
-mod kept;
-mod known;
 mod lease;
 mod messages;
-mod need;
-mod passing;
 mod quarantine;
-mod region;
-mod reporting;
+mod quarantine_row;
+mod rollout_execution;
 mod rollouts;
+mod row_transfer;
 mod rows;
 mod scaling;
+mod store_era;
+mod store_metrics;
+mod store_readers;
+mod usage_reports;
 
 use std::cell::RefCell;
 use std::net::{SocketAddr, TcpListener, UdpSocket};
@@ -40,12 +40,12 @@
 
 use crate::alone::Alone;
 use crate::clock::{Clock, Suspensions};
-pub use crate::control::deflated::{inflate, DeflatedReplyCache, EncodedReply};
+pub(crate) use crate::control::control_state::Known;
+use crate::control::control_state::{change_due, PeerAddresses};
+pub use crate::control::deflate::{inflate, DeflatedReplyCache, EncodedReply};
 pub use crate::control::echoes::{round_trip, Echoes};
-pub(crate) use crate::control::known::Known;
-use crate::control::known::{change_due, PeerAddresses};
-pub(crate) use crate::control::passing::{topic_by_name, topic_name, SHARED_TOPICS};
-use crate::control::region::jitter_of;
+pub(crate) use crate::control::row_transfer::{topic_by_name, topic_name, SHARED_TOPICS};
+use crate::control::store_readers::jitter_of;
 use crate::freshness::Freshness;
 use crate::ports::{Orders, Store};
 use crate::run::{ReadSettings, Signals};
--- a/components/gateway/src/control/follow.rs
+++ b/components/gateway/src/control/follow.rs
@@ -11,7 +11,7 @@
 use telemetry::Counter;
 use tokio::sync::Notify;
 
-use crate::control::passing::MAX_REPLY_BYTES;
+use crate::control::row_transfer::MAX_REPLY_BYTES;
 use crate::control::Shared;
 use crate::listing::read_all;
 use crate::ports::{Orders, Row, Rows, Store, StoreError, Topic};
--- a/components/gateway/src/control/passing.rs
+++ b/components/gateway/src/control/row_transfer.rs
@@ -18,7 +18,7 @@
 use topology::Distance;
 use transport::{Connection, FullBody};
 
-use crate::control::deflated::{inflate, EncodedReply};
+use crate::control::deflate::{inflate, EncodedReply};
 use crate::control::Shared;
 use crate::gossip::{received_revision, reported_era};
 use crate::plain;
