--- a/components/gateway/src/control.rs
+++ b/components/gateway/src/control.rs
@@ -40,7 +40,7 @@
 
 use crate::alone::Alone;
 use crate::clock::{Clock, Suspensions};
-pub(crate) use crate::control::control_state::Known;
+pub(crate) use crate::control::control_state::ControlState;
 use crate::control::control_state::{change_due, PeerAddresses};
 pub use crate::control::deflate::{inflate, DeflatedReplyCache, EncodedReply};
 pub use crate::control::echoes::{round_trip, Echoes};
@@ -88,7 +88,7 @@
 pub(crate) struct Control {
     parts: ControlParts,
     source: Source,
-    known: Known,
+    state: ControlState,
 }
 
 /// State that the tasks of the control thread share.
@@ -112,7 +112,7 @@
     /// Signals that the store answered with rows.
     pub store_answers: Notify,
     pub started_wall: Duration,
-    pub known: RefCell<Known>,
+    pub state: RefCell<ControlState>,
     pub reply_cache: RefCell<DeflatedReplyCache>,
     pub store: S,
     pub orders: O,
@@ -131,11 +131,11 @@
             peers,
             decisions: SocketAddr::new(peers.ip(), parts.decisions_port),
         };
-        let known = Known::new(settings, listening, day_us);
+        let state = ControlState::new(settings, listening, day_us);
         Control {
             parts,
             source,
-            known,
+            state,
         }
     }
 
@@ -170,7 +170,7 @@
             endpoint_lost: Notify::new(),
             store_answers: Notify::new(),
             started_wall: parts.clock.wall(),
-            known: RefCell::new(self.known),
+            state: RefCell::new(self.state),
             reply_cache: RefCell::default(),
             store: store(),
             orders: orders(),
@@ -252,7 +252,7 @@
     // within a day, four usage windows were missed; with it, none.
     fn correct_wall_clock(&self, now: Duration) {
         let reading_us = self.clock.day_reading_us();
-        let look = self.known.borrow_mut().day.look(now, reading_us);
+        let look = self.state.borrow_mut().day.look(now, reading_us);
         self.clock.believe_day(look.believed_us);
         if let Some(jumped_us) = look.jumped_us {
             self.metrics.count(Counter::DayJumps);
@@ -267,8 +267,8 @@
     fn handle_suspension(&self, time: Duration) {
         self.metrics.count(Counter::Suspensions);
         warn!(self.log, "the VM was suspended"; "ms" => time.as_millis() as u64);
-        let known = self.known.borrow();
-        let followed = known.followed.values();
+        let state = self.state.borrow();
+        let followed = state.followed.values();
         followed.for_each(|followed| followed.wake.notify_one());
         self.urgent.notify_one();
     }
@@ -283,39 +283,39 @@
             }
             return;
         };
-        let mut known = self.known.borrow_mut();
-        if *known.settings == settings {
+        let mut state = self.state.borrow_mut();
+        if *state.settings == settings {
             return;
         }
         info!(self.log, "settings reloaded"; "asked" => asked);
         let due = change_due(&settings);
-        for followed in known.followed.values_mut() {
+        for followed in state.followed.values_mut() {
             followed.follower.set_change_due(due);
         }
-        known.settings = Arc::new(settings);
+        state.settings = Arc::new(settings);
         let _ = self
             .updates
-            .send(Update::Settings(Arc::clone(&known.settings)));
+            .send(Update::Settings(Arc::clone(&state.settings)));
     }
 
     fn update_peers(&self, now: Duration) {
-        let mut known = self.known.borrow_mut();
-        known.peers.tick(now);
-        let fleet = known.peers.fleet(now);
-        if fleet != known.fleet {
-            let count = known.peers.count(now);
+        let mut state = self.state.borrow_mut();
+        state.peers.tick(now);
+        let fleet = state.peers.fleet(now);
+        if fleet != state.fleet {
+            let count = state.peers.count(now);
             info!(self.log, "gateways changed"; "heard" => count.alive, "silent" => count.silent,
                 "gateways" => fleet.gateways, "part_milli" => (fleet.part * 1000.0) as u64,
-                "coordinators" => fleet.coordinators.len(), "coordinates" => known.peers.is_coordinator(now));
-            known.fleet = fleet.clone();
+                "coordinators" => fleet.coordinators.len(), "coordinates" => state.peers.is_coordinator(now));
+            state.fleet = fleet.clone();
             let _ = self.updates.send(Update::Fleet(fleet));
         }
-        self.update_endpoint_need(&mut known, now);
-        let reads_store = known.is_store_reader(now);
-        if reads_store != known.reads_store {
-            known.reads_store = reads_store;
+        self.update_endpoint_need(&mut state, now);
+        let reads_store = state.is_store_reader(now);
+        if reads_store != state.reads_store {
+            state.reads_store = reads_store;
             // The current wait is long because other gateways read the store; now this one does.
-            let followed = known.followed.values();
+            let followed = state.followed.values();
             followed.for_each(|followed| followed.wake.notify_one());
         }
     }
--- a/components/gateway/src/control/control_state.rs
+++ b/components/gateway/src/control/control_state.rs
@@ -39,7 +39,7 @@
 /// Fraction of the deadline for usage reports after which a window is settled.
 const SETTLE_FRACTION: f64 = 0.45;
 /// State of the control thread.
-pub(crate) struct Known {
+pub(crate) struct ControlState {
     pub settings: Arc<GatewaySettings>,
     pub configuration: Option<Arc<Configuration>>,
     // Whether the store's row holds the configuration in force. An unreadable or older row confirms nothing.
@@ -102,13 +102,13 @@
     pub decisions: SocketAddr,
 }
 
-impl Known {
+impl ControlState {
     /// The initial state, which contains only the settings.
     pub fn new(settings: Arc<GatewaySettings>, own_addresses: PeerAddresses, day_us: i64) -> Self {
         let topology = Topology::new(&settings.zone, &settings.region, &settings.halls);
         let peers = initial_peers(&settings, &topology, own_addresses);
         let echoes = topology.has_several_regions().then(Echoes::default);
-        Known {
+        ControlState {
             lease: Lease::new(lease_terms(&settings)),
             lease_held_since: None,
             orders: OrdersInFlight::default(),
--- a/components/gateway/src/control/departures.rs
+++ b/components/gateway/src/control/departures.rs
@@ -6,7 +6,7 @@
 use directory::{Endpoint, EndpointState};
 use replica::Change;
 
-use crate::control::{Known, Shared};
+use crate::control::{ControlState, Shared};
 use crate::ports::{Orders, Store, Topic};
 
 /// Retention of departures; exceeds the age of the copy that a store is restored from.
@@ -117,9 +117,9 @@
 impl<S: Store + 'static, O: Orders + 'static> Shared<S, O> {
     /// Evaluates rows again whose state was unknown after a restore of the store.
     pub fn recheck_rows(&self, now: Duration) {
-        let due = self.known.borrow_mut().departures.take_due(now);
+        let due = self.state.borrow_mut().departures.take_due(now);
         for (topic, key) in due {
-            let Some((row, stamp)) = self.known.borrow().row(topic, &key) else {
+            let Some((row, stamp)) = self.state.borrow().row(topic, &key) else {
                 continue;
             };
             match topic {
@@ -130,7 +130,7 @@
     }
 }
 
-impl Known {
+impl ControlState {
     // Returns a row, as dropped if it is not in the table, and the time at which its topic was last confirmed.
     fn row(&self, topic: Topic, key: &str) -> Option<(Change, Duration)> {
         let followed = self.followed.get(&topic)?;
--- a/components/gateway/src/control/endpoint_need.rs
+++ b/components/gateway/src/control/endpoint_need.rs
@@ -4,7 +4,7 @@
 
 use slog::info;
 
-use crate::control::{Known, Shared};
+use crate::control::{ControlState, Shared};
 use crate::listing::may_decide_unlisted;
 use crate::ports::{Orders, Store, Topic};
 use crate::update::Update;
@@ -21,34 +21,34 @@
 impl<S: Store + 'static, O: Orders + 'static> Shared<S, O> {
     /// Whether this gateway follows the endpoints.
     pub fn needs_endpoints(&self) -> bool {
-        self.known.borrow().endpoints_needed_at.is_some()
+        self.state.borrow().endpoints_needed_at.is_some()
     }
 
     /// Starts to follow the endpoints when requests must be placed or endpoints ordered here, and stops some
     /// time after that.
-    pub fn update_endpoint_need(&self, known: &mut Known, now: Duration) {
-        let may_decide = known.peers.has_own_hall_list()
-            || may_decide_unlisted(now, known.list_refused, known.peers.has_live_peer(now));
-        let decides = may_decide && known.should_report_to_all_halls(now);
-        if decides || self.has_lost_coordinators(known, now) {
-            if known.endpoints_needed_at.replace(now).is_none() {
+    pub fn update_endpoint_need(&self, state: &mut ControlState, now: Duration) {
+        let may_decide = state.peers.has_own_hall_list()
+            || may_decide_unlisted(now, state.list_refused, state.peers.has_live_peer(now));
+        let decides = may_decide && state.should_report_to_all_halls(now);
+        if decides || self.has_lost_coordinators(state, now) {
+            if state.endpoints_needed_at.replace(now).is_none() {
                 info!(self.log, "endpoints followed"; "decides" => decides);
-                known.followed_mut(Topic::Endpoints).wake.notify_one();
+                state.followed_mut(Topic::Endpoints).wake.notify_one();
             }
             return;
         }
-        let expired = known
+        let expired = state
             .endpoints_needed_at
             .filter(|at| now >= *at + ENDPOINT_RETENTION);
         if expired.is_some() {
-            known.endpoints_needed_at = None;
+            state.endpoints_needed_at = None;
         }
     }
 
     // If the coordinators of a hall are alive but slow, a gateway far from the store that fetched the endpoints
     // over their links would slow them down further.
-    fn has_lost_coordinators(&self, known: &Known, now: Duration) -> bool {
-        let may_be_slow = known.is_far_from_store() && known.peers.has_live_own_coordinator(now);
+    fn has_lost_coordinators(&self, state: &ControlState, now: Duration) -> bool {
+        let may_be_slow = state.is_far_from_store() && state.peers.has_live_own_coordinator(now);
         let min_wait = match may_be_slow {
             true => SLOW_COORDINATORS_TIMEOUT.mul_f64(1.0 + self.jitter),
             false => Duration::ZERO,
@@ -59,15 +59,15 @@
     /// Discards the endpoints. Must be called only between two steps of following them, so that a pending
     /// answer is not taken for the whole table.
     pub fn forget_endpoints(&self) {
-        let mut known = self.known.borrow_mut();
-        let followed = known.followed_mut(Topic::Endpoints);
+        let mut state = self.state.borrow_mut();
+        let followed = state.followed_mut(Topic::Endpoints);
         if followed.table.known_to().is_none() {
             // A later need starts a new wait for other gateways' reads.
             followed.follower.read_store_directly();
             return;
         }
-        known.endpoints.clear();
-        known.reset_topic(Topic::Endpoints);
+        state.endpoints.clear();
+        state.reset_topic(Topic::Endpoints);
         info!(self.log, "endpoints forgotten, coordinators decide");
         let _ = self.updates.send(Update::EndpointsForgotten);
     }
--- a/components/gateway/src/control/engines.rs
+++ b/components/gateway/src/control/engines.rs
@@ -9,7 +9,7 @@
 use engine::{EngineStats, PaceHistogram, PeerReports, StepMoments};
 use schema::messages::{EngineReport, Gossip};
 
-use crate::control::Known;
+use crate::control::ControlState;
 
 /// One in this many messages to coordinators holds engine statistics, which take some 300 bytes per service.
 const REPORT_EVERY: u32 = 3;
@@ -37,7 +37,7 @@
     }
 }
 
-impl Known {
+impl ControlState {
     /// Statistics of a service's engines, merged over all gateways that reported any.
     pub fn engine_stats_of(&self, service: &str) -> EngineStats {
         let own = self.loads.get(service).map(|load| load.learnt);
--- a/components/gateway/src/control/exchange.rs
+++ b/components/gateway/src/control/exchange.rs
@@ -13,7 +13,7 @@
 use usage::Source;
 
 use crate::control::messages::Content;
-use crate::control::{round_trip, Known, Shared};
+use crate::control::{round_trip, ControlState, Shared};
 use crate::gossip;
 use crate::limit_reports::received_limits;
 use crate::listing::read_all;
@@ -37,7 +37,7 @@
     /// Writes this gateway's row and reads the list of the others.
     pub async fn announce(self: Rc<Self>) {
         self.write_own_row().await;
-        let by_halls = self.known.borrow().topology.has_several_halls();
+        let by_halls = self.state.borrow().topology.has_several_halls();
         match by_halls {
             true => self.list_halls().await,
             false => self.list_gateways(None).await,
@@ -47,11 +47,11 @@
     /// Rewrites this gateway's row, which a restored store may lack: gateways that start later would not find
     /// this one. The rewrites of all gateways are spread over a period proportional to their number.
     pub async fn rewrite_own_row(self: Rc<Self>) {
-        let gateways = self.known.borrow().fleet.gateways;
+        let gateways = self.state.borrow().fleet.gateways;
         let period = Duration::from_secs_f64(gateways as f64 / ROW_REWRITES_PER_S);
-        let era = self.known.borrow().newest_era;
+        let era = self.state.borrow().newest_era;
         tokio::time::sleep(period.mul_f64(self.jitter)).await;
-        if self.known.borrow().newest_era != era {
+        if self.state.borrow().newest_era != era {
             // The rewrite for the later era replaces this one.
             return;
         }
@@ -60,7 +60,7 @@
     }
 
     async fn write_own_row(&self) {
-        let settings = self.known.borrow().settings.clone();
+        let settings = self.state.borrow().settings.clone();
         let row = GatewayRow {
             address: self.peer_address.to_string(),
             incarnation: self.source.incarnation,
@@ -69,7 +69,7 @@
             decisions_port: Some(i32::from(self.decisions_port)),
         };
         let value = schema::encode(&row).unwrap_or_default();
-        let by_halls = self.known.borrow().topology.has_several_halls();
+        let by_halls = self.state.borrow().topology.has_several_halls();
         let hall = by_halls.then_some(settings.zone.as_str());
         let mut failures = 0;
         while let Err(error) = self
@@ -85,11 +85,11 @@
 
     // Reads the halls' parts of the list as they are needed.
     async fn list_halls(&self) {
-        while !self.known.borrow().peers.has_complete_list() {
+        while !self.state.borrow().peers.has_complete_list() {
             let now = self.clock.now();
             let next = {
-                let known = self.known.borrow();
-                known.peers.next_hall_to_list(now, &known.topology)
+                let state = self.state.borrow();
+                state.peers.next_hall_to_list(now, &state.topology)
             };
             match next {
                 Some(hall) => self.list_gateways(Some(&hall)).await,
@@ -120,24 +120,24 @@
         let now = self.clock.now();
         let rows = list.rows.rows.iter();
         let listed = rows.filter_map(|row| gossip::listed_of(&row.key, row.value.as_deref()?));
-        let mut known = self.known.borrow_mut();
+        let mut state = self.state.borrow_mut();
         // A gateway that does not read the other topics from the store needs the store's time to apply
         // confirmations of other gateways.
-        let _ = known.store_clock.earliest(sent, now, list.rows.stamp);
-        known.record_store_call(now.saturating_sub(sent));
+        let _ = state.store_clock.earliest(sent, now, list.rows.stamp);
+        state.record_store_call(now.saturating_sub(sent));
         match hall {
-            Some(hall) => known.peers.apply_hall_list(now, hall, listed),
-            None => known.peers.apply_list(now, listed),
+            Some(hall) => state.peers.apply_hall_list(now, hall, listed),
+            None => state.peers.apply_list(now, listed),
         }
-        self.update_endpoint_need(&mut known, now);
+        self.update_endpoint_need(&mut state, now);
         // If the store turns out to be near, the topics are read from it now.
-        let followed = known.followed.values();
+        let followed = state.followed.values();
         followed.for_each(|followed| followed.wake.notify_one());
     }
 
     fn record_list_failure(&self, error: &StoreError) {
         self.metrics.count(Counter::PlatformUnanswered);
-        self.known.borrow_mut().list_refused = *error == StoreError::Refused;
+        self.state.borrow_mut().list_refused = *error == StoreError::Refused;
     }
 
     fn backoff_after(&self, failures: u32) -> Duration {
@@ -180,7 +180,7 @@
             match schema::decode::<Gossip>(&buffer[..length]) {
                 Ok(gossip) => {
                     let now = self.clock.now();
-                    let was_alive = self.known.borrow().peers.is_alive(now, &gossip.gateway);
+                    let was_alive = self.state.borrow().peers.is_alive(now, &gossip.gateway);
                     self.receive_gossip(&gossip, from);
                     if !was_alive && !gossip.stopping && gossip.gateway != self.source.gateway {
                         let answer = self.encoded_message(now, Content::Digest);
@@ -205,27 +205,27 @@
 
     // Returns whether the tally holds a long prompt, which must be reported at once.
     fn apply_tally(&self, tally: Tally) -> bool {
-        let mut known = self.known.borrow_mut();
+        let mut state = self.state.borrow_mut();
         let urgent = tally
             .sent
             .iter()
             .any(|s| s.unread_tokens >= LONG_PROMPT_TOKENS);
         for (tenant, wall) in tally.begun {
-            let window = known.reporter.window_at(wall);
-            known.ledger.count(window, &self.source, &tenant);
+            let window = state.reporter.window_at(wall);
+            state.ledger.count(window, &self.source, &tenant);
         }
         for sent in &tally.sent {
-            known.demand.add(sent.at, sent.endpoint, sent.unread_tokens);
+            state.demand.add(sent.at, sent.endpoint, sent.unread_tokens);
         }
         for reported in &tally.reported {
-            known.rollouts.record_answer(reported);
+            state.rollouts.record_answer(reported);
         }
-        self.record_own_observations(&mut known, tally.observations);
-        known.unsent.extend(tally.sent);
-        known.queue_sights(tally.sights);
-        known.limits.extend(tally.limits);
-        known.taken = tally.taken;
-        known.loads = tally.loads;
+        self.record_own_observations(&mut state, tally.observations);
+        state.unsent.extend(tally.sent);
+        state.queue_sights(tally.sights);
+        state.limits.extend(tally.limits);
+        state.taken = tally.taken;
+        state.loads = tally.loads;
         urgent
     }
 
@@ -235,65 +235,65 @@
         }
         self.metrics.count(Counter::PacketsTaken);
         let now = self.clock.now();
-        let mut known = self.known.borrow_mut();
-        let was_alive = known.peers.is_alive(now, &gossip.gateway);
-        let receipt = known.peers.receive(now, gossip::greeting(gossip, from));
+        let mut state = self.state.borrow_mut();
+        let was_alive = state.peers.is_alive(now, &gossip.gateway);
+        let receipt = state.peers.receive(now, gossip::greeting(gossip, from));
         let source = Source {
             gateway: gossip.gateway.clone(),
             incarnation: gossip.incarnation,
         };
         for reported in &gossip.usage {
-            known
+            state
                 .ledger
                 .merge(reported.window, &source, &reported.begun);
         }
         for (window, source, begun) in gossip::received_forwarded(gossip) {
-            known.ledger.merge(window, &source, begun);
+            state.ledger.merge(window, &source, begun);
         }
         for reported in gossip.evidence.iter().flatten() {
-            known.rollouts.receive_evidence(&source, reported);
+            state.rollouts.receive_evidence(&source, reported);
         }
         if receipt == Receipt::Stale {
             return;
         }
-        known.engines.receive(now, gossip);
+        state.engines.receive(now, gossip);
         if let Some(offset_us) = gossip::received_day(now, gossip) {
-            known.day.receive(now, &gossip.gateway, offset_us);
+            state.day.receive(now, &gossip.gateway, offset_us);
         }
-        if known.should_contact_addresses(now) {
+        if state.should_contact_addresses(now) {
             for address in gossip::received_addresses(gossip) {
-                known.peers.add_address(now, address);
+                state.peers.add_address(now, address);
             }
         }
         if gossip.lease_epoch > 0 {
-            known.peers.receive_lease(now, gossip.lease_epoch, from);
+            state.peers.receive_lease(now, gossip.lease_epoch, from);
         }
         let mut actions = Vec::new();
         if let Some(head) = gossip::received_lease(gossip) {
-            actions.extend(known.lease.step(now, LeaseEvent::HeadReported(head)));
+            actions.extend(state.lease.step(now, LeaseEvent::HeadReported(head)));
         }
         if let Some(epoch) = gossip.lease_given_up {
-            known.peers.receive_give_up(now, epoch);
-            actions.extend(known.lease.step(now, LeaseEvent::GiveUpReported(epoch)));
+            state.peers.receive_give_up(now, epoch);
+            actions.extend(state.lease.step(now, LeaseEvent::GiveUpReported(epoch)));
         }
         if gossip.stopping {
-            known.peers.remove(&gossip.gateway);
+            state.peers.remove(&gossip.gateway);
             if was_alive {
                 info!(self.log, "gateway stops"; "gateway" => &gossip.gateway);
             }
         }
-        let measured = known.measured_round_trip(now, &self.source.gateway, gossip);
+        let measured = state.measured_round_trip(now, &self.source.gateway, gossip);
         let dispatches = gossip.dispatches.iter();
         let dispatches: Vec<_> = dispatches
             .map(|d| gossip::received_dispatch(now, d))
             .collect();
         for dispatch in &dispatches {
             let (at, tokens) = (dispatch.sent_at, dispatch.unread_tokens);
-            known.demand.add(at, dispatch.endpoint, tokens);
+            state.demand.add(at, dispatch.endpoint, tokens);
         }
         let hall = gossip.hall.as_deref().unwrap_or_default();
-        let is_far = known.topology.distance(hall) == Distance::OtherRegion;
-        drop(known);
+        let is_far = state.topology.distance(hall) == Distance::OtherRegion;
+        drop(state);
         if let Some((hall, round_trip)) = measured {
             self.update(Update::WayMeasured { hall, round_trip });
         }
@@ -332,7 +332,7 @@
     }
 }
 
-impl Known {
+impl ControlState {
     // The sender's hall and the round-trip time to it, if its message echoes one of this gateway.
     fn measured_round_trip(
         &mut self,
--- a/components/gateway/src/control/follow.rs
+++ b/components/gateway/src/control/follow.rs
@@ -85,7 +85,7 @@
 impl<S: Store + 'static, O: Orders + 'static> Shared<S, O> {
     /// Follows a topic until the process ends.
     pub async fn follow(self: Rc<Self>, topic: Topic) {
-        let wake = Arc::clone(&self.known.borrow().followed[&topic].wake);
+        let wake = Arc::clone(&self.state.borrow().followed[&topic].wake);
         loop {
             if topic == Topic::Endpoints && !self.needs_endpoints() {
                 self.forget_endpoints();
@@ -115,11 +115,11 @@
 
     fn next_step(&self, topic: Topic) -> Step {
         let now = self.clock.now();
-        let mut known = self.known.borrow_mut();
-        let reads_store = known.is_store_reader(now);
-        let is_far = known.is_far_from_store();
-        let readers_start = known.readers_start(now);
-        let followed = known.followed_mut(topic);
+        let mut state = self.state.borrow_mut();
+        let reads_store = state.is_store_reader(now);
+        let is_far = state.is_far_from_store();
+        let readers_start = state.readers_start(now);
+        let followed = state.followed_mut(topic);
         match is_far {
             true => {
                 followed.follower.delegate_store_reads(now, self.jitter);
@@ -144,9 +144,9 @@
         topic: Topic,
         call: impl Future<Output = Result<T, StoreError>>,
     ) -> Result<T, StoreError> {
-        let wake = Arc::clone(&self.known.borrow().followed[&topic].wake);
+        let wake = Arc::clone(&self.state.borrow().followed[&topic].wake);
         tokio::pin!(call);
-        while !self.known.borrow().followed[&topic].follower.can_pull() {
+        while !self.state.borrow().followed[&topic].follower.can_pull() {
             tokio::select! {
                 result = &mut call => return result,
                 () = wake.notified() => {}
@@ -159,7 +159,7 @@
     // Across the link between regions a call may just be slower than that of the region's other reader.
     // Counting it as failed would make a third gateway a reader, which would load the link further.
     fn overtaken(&self) -> StoreError {
-        match self.known.borrow().is_far_from_store() {
+        match self.state.borrow().is_far_from_store() {
             true => StoreError::Overtaken,
             false => StoreError::Unanswered,
         }
@@ -167,8 +167,8 @@
 
     async fn poll_changes(&self, topic: Topic, hold: Duration) {
         let (after, response_timeout) = {
-            let known = self.known.borrow();
-            let followed = &known.followed[&topic];
+            let state = self.state.borrow();
+            let followed = &state.followed[&topic];
             let after = followed.table.known_to().unwrap_or_default();
             (after, followed.follower.response_timeout())
         };
@@ -203,10 +203,10 @@
         let received = self.clock.now();
         self.count_bytes(topic, rows.bytes);
         let (made_at, was_failing) = {
-            let mut known = self.known.borrow_mut();
-            let made_at = known.store_clock.earliest(sent, received, rows.stamp);
-            known.record_store_call(received.saturating_sub(sent));
-            let followed = known.followed_mut(topic);
+            let mut state = self.state.borrow_mut();
+            let made_at = state.store_clock.earliest(sent, received, rows.stamp);
+            state.record_store_call(received.saturating_sub(sent));
+            let followed = state.followed_mut(topic);
             followed.follower.store_answered(rows.revision);
             if !whole {
                 followed.follower.history_available();
@@ -221,7 +221,7 @@
         let changed = self.apply_changes(topic, changes, rows.revision, rows.stamp, whole);
         // Changes must be in force before they are confirmed. The answer may be of another era than the known
         // rows.
-        let is_current = self.known.borrow().followed[&topic].is_current_at(rows.revision);
+        let is_current = self.state.borrow().followed[&topic].is_current_at(rows.revision);
         if is_current {
             self.confirm(topic, rows.stamp, made_at);
         }
@@ -242,8 +242,8 @@
         whole: bool,
     ) -> bool {
         let (gossip, is_first, is_restored) = {
-            let mut known = self.known.borrow_mut();
-            let followed = known.followed_mut(topic);
+            let mut state = self.state.borrow_mut();
+            let followed = state.followed_mut(topic);
             let is_first = followed.table.known_to().is_none();
             let is_restored = whole && followed.is_older_than_era(Some(known_to.era));
             if is_restored {
@@ -288,11 +288,11 @@
     // Records that the rows known here were current at the store's time `stamp`, which is `at` on this
     // gateway's clock.
     fn confirm(&self, topic: Topic, stamp: Duration, at: Duration) {
-        let mut known = self.known.borrow_mut();
-        let followed = known.followed_mut(topic);
+        let mut state = self.state.borrow_mut();
+        let followed = state.followed_mut(topic);
         followed.confirmed = followed.confirmed.max(stamp);
         followed.follower.confirmed(at);
-        let in_force = known.configuration.is_some() && known.is_configuration_current;
+        let in_force = state.configuration.is_some() && state.is_configuration_current;
         if topic == Topic::Configuration && in_force {
             // Sent after the configuration that it confirms. Until the traffic thread has applied that one, it
             // uses the previous configuration, whose keys must not count as confirmed.
@@ -304,8 +304,8 @@
     /// region.
     pub fn receive_digest(&self, topic: Topic, reported: Digest, from: SocketAddr, is_far: bool) {
         let now = self.clock.now();
-        let mut known = self.known.borrow_mut();
-        let followed = known.followed_mut(topic);
+        let mut state = self.state.borrow_mut();
+        let followed = state.followed_mut(topic);
         if !followed.table.has_changes_up_to(reported.changed_at) {
             if is_far && !followed.follower.can_pull_from_other_region(now) {
                 return;
@@ -316,22 +316,22 @@
             followed.wake.notify_one();
             return;
         }
-        drop(known);
+        drop(state);
         self.confirm_digest(topic, reported);
     }
 
     /// Confirms the rows known here by another gateway's report, unless a change is missing here.
     pub fn confirm_digest(&self, topic: Topic, reported: Digest) {
         let now = self.clock.now();
-        let mut known = self.known.borrow_mut();
-        let moment = known.store_clock.moment(reported.confirmed, now);
-        let followed = known.followed_mut(topic);
+        let mut state = self.state.borrow_mut();
+        let moment = state.store_clock.moment(reported.confirmed, now);
+        let followed = state.followed_mut(topic);
         if !followed.table.is_confirmed_by(&reported) {
             return;
         }
         followed.table.advance(reported.known_to);
         let is_newer = reported.confirmed > followed.confirmed;
-        drop(known);
+        drop(state);
         if let Some(at) = moment.filter(|_| is_newer) {
             self.confirm(topic, reported.confirmed, at);
         }
@@ -339,8 +339,8 @@
 
     fn record_failure(&self, topic: Topic, error: &StoreError) {
         let now = self.clock.now();
-        let mut known = self.known.borrow_mut();
-        let followed = known.followed_mut(topic);
+        let mut state = self.state.borrow_mut();
+        let followed = state.followed_mut(topic);
         if *error == StoreError::Overtaken {
             return;
         }
--- a/components/gateway/src/control/forwarding.rs
+++ b/components/gateway/src/control/forwarding.rs
@@ -8,7 +8,7 @@
 use tokio::net::UdpSocket;
 
 use crate::control::messages::Content;
-use crate::control::{Known, Shared};
+use crate::control::{ControlState, Shared};
 use crate::gossip;
 use crate::ports::{Orders, Store};
 
@@ -27,10 +27,10 @@
     /// Sends the answers that this gateway saw to the gateway that carries out their roll-out.
     pub async fn send_evidence(&self, socket: &UdpSocket, now: Duration) {
         let messages: Vec<_> = {
-            let mut known = self.known.borrow_mut();
-            let due = known.rollouts.evidence_due(now, self.peer_address);
+            let mut state = self.state.borrow_mut();
+            let due = state.rollouts.evidence_due(now, self.peer_address);
             let message = |(holder, reported): (SocketAddr, EvidenceReport)| {
-                let mut message = self.build_message(&mut known, now, Content::Usage);
+                let mut message = self.build_message(&mut state, now, Content::Usage);
                 message.evidence = Some(vec![Box::new(reported)]);
                 (holder, schema::encode(&message).unwrap_or_default())
             };
@@ -42,33 +42,38 @@
     }
 
     fn usage_messages(&self, now: Duration) -> Option<(SocketAddr, Vec<Vec<u8>>)> {
-        let mut known = self.known.borrow_mut();
-        let (epoch, holder) = known.peers.lease_holder()?;
-        if !known.peers.is_coordinator(now) || known.lease.order_epoch(now).is_some() {
+        let mut state = self.state.borrow_mut();
+        let (epoch, holder) = state.peers.lease_holder()?;
+        if !state.peers.is_coordinator(now) || state.lease.order_epoch(now).is_some() {
             return None;
         }
-        let windows = known.forwarding.due(self.clock.wall(), epoch);
+        let windows = state.forwarding.due(self.clock.wall(), epoch);
         if windows.is_empty() {
             return None;
         }
-        let reported = self.usage_to_pass_on(&known, now, &windows);
+        let reported = self.usage_to_pass_on(&state, now, &windows);
         info!(self.log, "usage passed on"; "windows" => ?windows, "sources" => reported.len(),
             "holder" => %holder, "epoch" => epoch);
         let mut messages = Vec::new();
         for some in reported.chunks(gossip::MOST_FORWARDED) {
-            let mut message = self.build_message(&mut known, now, Content::Usage);
+            let mut message = self.build_message(&mut state, now, Content::Usage);
             message.forwarded = Some(some.iter().cloned().map(Box::new).collect());
             messages.push(schema::encode(&message).unwrap_or_default());
         }
         Some((holder, messages))
     }
 
-    fn usage_to_pass_on(&self, known: &Known, now: Duration, windows: &[i64]) -> Vec<SourceUsage> {
+    fn usage_to_pass_on(
+        &self,
+        state: &ControlState,
+        now: Duration,
+        windows: &[i64],
+    ) -> Vec<SourceUsage> {
         let mut reported = Vec::new();
         for window in windows.iter().copied() {
-            let sources = known.ledger.sources(window);
+            let sources = state.ledger.sources(window);
             let passed_on = sources
-                .filter(|(source, _)| known.peers.should_forward_usage_of(now, &source.gateway));
+                .filter(|(source, _)| state.peers.should_forward_usage_of(now, &source.gateway));
             reported.extend(passed_on.map(|(s, counts)| gossip::forwarded_of(window, s, counts)));
         }
         reported
--- a/components/gateway/src/control/lease.rs
+++ b/components/gateway/src/control/lease.rs
@@ -9,7 +9,7 @@
 use slog::info;
 use state::{LeaseAction, LeaseEvent, Reply, TableCall};
 
-use crate::control::{Known, Shared};
+use crate::control::{ControlState, Shared};
 use crate::listing::may_decide_unlisted;
 use crate::ports::{DutyHolder, OrderReply, Orders, ReadRow, Store, StoreError, Topic};
 
@@ -54,23 +54,23 @@
 impl<S: Store + 'static, O: Orders + 'static> Shared<S, O> {
     /// Renews, acquires or releases the lease as needed.
     pub fn tick_lease(self: &Rc<Self>, now: Duration) {
-        let mut known = self.known.borrow_mut();
-        let settings = &known.settings;
-        let has_rollouts = !known.rollouts.orders.is_empty();
+        let mut state = self.state.borrow_mut();
+        let settings = &state.settings;
+        let has_rollouts = !state.rollouts.orders.is_empty();
         let has_duties = settings.reports_usage || settings.orders_endpoints || has_rollouts;
         if !has_duties {
             return;
         }
-        if self.should_release_lease(now, &known) {
-            let actions = known.lease.step(now, LeaseEvent::GiveUp);
-            drop(known);
+        if self.should_release_lease(now, &state) {
+            let actions = state.lease.step(now, LeaseEvent::GiveUp);
+            drop(state);
             info!(self.log, "lease given up"; "stopping" => self.freshness.is_stopping());
             self.perform_lease_actions(actions);
             self.urgent.notify_one();
             return;
         }
-        let holds = known.lease.order_epoch(now).is_some();
-        if self.freshness.is_stopping() || (!holds && !self.is_candidate(now, &known)) {
+        let holds = state.lease.order_epoch(now).is_some();
+        if self.freshness.is_stopping() || (!holds && !self.is_candidate(now, &state)) {
             return;
         }
         let write_id = format!("{}-{}", self.source.incarnation, now.as_micros());
@@ -78,32 +78,32 @@
             write_id,
             is_candidate: true,
         };
-        let actions = known.lease.step(now, event);
-        drop(known);
+        let actions = state.lease.step(now, event);
+        drop(state);
         self.perform_lease_actions(actions);
     }
 
     // Whether another gateway should hold the lease: this one stops, or the store answers others but not this
     // one. Never while an order may still take effect.
-    fn should_release_lease(&self, now: Duration, known: &Known) -> bool {
-        let Some(renewal_age) = known.lease.time_since_renewal(now) else {
+    fn should_release_lease(&self, now: Duration, state: &ControlState) -> bool {
+        let Some(renewal_age) = state.lease.time_since_renewal(now) else {
             return false;
         };
-        let is_cut_off = renewal_age >= MAX_RENEWAL_AGE && known.peers.can_others_reach_store(now);
-        (self.freshness.is_stopping() || is_cut_off) && known.orders.is_settled(now)
+        let is_cut_off = renewal_age >= MAX_RENEWAL_AGE && state.peers.can_others_reach_store(now);
+        (self.freshness.is_stopping() || is_cut_off) && state.orders.is_settled(now)
     }
 
     // The gateways that read the store try to acquire the lease once its holder is silent. The other
     // coordinators wait longer, so that not all write at once. Gateways that are not coordinators try only if
     // no coordinator is alive.
-    fn is_candidate(&self, now: Duration, known: &Known) -> bool {
-        let peers = &known.peers;
+    fn is_candidate(&self, now: Duration, state: &ControlState) -> bool {
+        let peers = &state.peers;
         let is_eligible = match peers.is_coordinator(now) {
             // When all gateways start at once, each regards itself as a coordinator until it has read the list.
-            true => peers.has_own_hall_list() || may_decide_unlisted(now, known.list_refused, true),
+            true => peers.has_own_hall_list() || may_decide_unlisted(now, state.list_refused, true),
             false => !peers.has_live_coordinator(now),
         };
-        let reads_store = known.is_store_reader(now);
+        let reads_store = state.is_store_reader(now);
         let must_wait = peers.was_given_up_within(now, STORE_READERS_HEAD_START)
             || peers.is_holder_alive(now, HOLDER_TIMEOUT + STORE_READERS_HEAD_START)
             || !peers.has_waited_for_coordinators(now);
@@ -115,13 +115,13 @@
             match action {
                 LeaseAction::Gained(epoch) => {
                     info!(self.log, "lease gained"; "epoch" => epoch);
-                    let mut known = self.known.borrow_mut();
-                    known.lease_held_since = Some(self.clock.wall());
-                    known.scalers.values_mut().for_each(Scaler::forget_orders);
+                    let mut state = self.state.borrow_mut();
+                    state.lease_held_since = Some(self.clock.wall());
+                    state.scalers.values_mut().for_each(Scaler::forget_orders);
                 }
                 LeaseAction::Lost => {
                     info!(self.log, "lease lost");
-                    self.known.borrow_mut().lease_held_since = None;
+                    self.state.borrow_mut().lease_held_since = None;
                 }
                 LeaseAction::Call { call, table } => {
                     let shared = Rc::clone(self);
@@ -129,7 +129,7 @@
                         let (era, reply) = shared.call_table(&table).await;
                         let now = shared.clock.now();
                         let event = LeaseEvent::Replied { call, era, reply };
-                        let actions = shared.known.borrow_mut().lease.step(now, event);
+                        let actions = shared.state.borrow_mut().lease.step(now, event);
                         shared.perform_lease_actions(actions);
                     });
                 }
@@ -172,8 +172,8 @@
 
     // The holder with the fencing token for an order sent now, if this gateway may send one.
     pub fn holder(&self) -> Option<DutyHolder> {
-        let known = self.known.borrow();
-        let fence = known.lease.order_epoch(self.clock.now())?;
+        let state = self.state.borrow();
+        let fence = state.lease.order_epoch(self.clock.now())?;
         Some(DutyHolder {
             gateway: self.source.gateway.clone(),
             fence,
@@ -183,7 +183,7 @@
     pub fn record_order_end(&self, reply: OrderReply) {
         let now = self.clock.now();
         let answered = reply != OrderReply::Unanswered;
-        self.known.borrow_mut().orders.ended(now, answered);
+        self.state.borrow_mut().orders.ended(now, answered);
     }
 }
 
--- a/components/gateway/src/control/messages.rs
+++ b/components/gateway/src/control/messages.rs
@@ -10,7 +10,7 @@
 use routing::placement::Sight;
 use schema::messages::{self, Dispatch, Echo, Gossip, HallCount, TopicHead, WindowUsage};
 
-use crate::control::{Known, Shared};
+use crate::control::{ControlState, Shared};
 use crate::gossip;
 use crate::ports::{Orders, Store};
 use crate::sights::{sight_of, MOST_TOLD};
@@ -87,29 +87,34 @@
 impl<S: Store + 'static, O: Orders + 'static> Shared<S, O> {
     /// Messages to send now. `changed` is set if the state of the store or the lease changed.
     pub fn due(&self, now: Duration, changed: bool, long_prompt: bool) -> Due {
-        let mut known = self.known.borrow_mut();
+        let mut state = self.state.borrow_mut();
         // A stopping gateway sends its last counts as often as it can.
         let changed = changed || self.freshness.is_stopping();
-        let has_observations = known.observations.take_has_new();
-        match known.should_report_to_all_halls(now) {
-            true => known.due_of_coordinator(now, changed, long_prompt || has_observations),
-            false => known.due_of_member(now, changed || has_observations),
+        let has_observations = state.observations.take_has_new();
+        match state.should_report_to_all_halls(now) {
+            true => state.due_of_coordinator(now, changed, long_prompt || has_observations),
+            false => state.due_of_member(now, changed || has_observations),
         }
     }
 
     /// Builds and encodes a message.
     pub fn encoded_message(&self, now: Duration, content: Content) -> Vec<u8> {
-        let mut known = self.known.borrow_mut();
-        let message = self.build_message(&mut known, now, content);
+        let mut state = self.state.borrow_mut();
+        let message = self.build_message(&mut state, now, content);
         schema::encode(&message).unwrap_or_default()
     }
 
     /// Builds a message.
-    pub fn build_message(&self, known: &mut Known, now: Duration, content: Content) -> Gossip {
-        known.sending.sequence += 1;
+    pub fn build_message(
+        &self,
+        state: &mut ControlState,
+        now: Duration,
+        content: Content,
+    ) -> Gossip {
+        state.sending.sequence += 1;
         let has_state = content.has_state();
-        let coordinates = known.should_report_to_all_halls(now);
-        let count = known.peers.hall_count(now);
+        let coordinates = state.should_report_to_all_halls(now);
+        let count = state.peers.hall_count(now);
         let reported_count = HallCount {
             alive: count.alive as i32,
             silent: count.silent as i32,
@@ -117,31 +122,31 @@
         Gossip {
             gateway: self.source.gateway.clone(),
             incarnation: self.source.incarnation,
-            sequence: known.sending.sequence,
-            dispatches: known.dispatches(now, content),
-            usage: self.usage_to_send(known, content),
-            taken: known.totals_to_send(content),
-            lease_epoch: known.lease.order_epoch(now).unwrap_or(0),
+            sequence: state.sending.sequence,
+            dispatches: state.dispatches(now, content),
+            usage: self.usage_to_send(state, content),
+            taken: state.totals_to_send(content),
+            lease_epoch: state.lease.order_epoch(now).unwrap_or(0),
             peers: match has_state {
-                true => known.addresses_to_send(now),
+                true => state.addresses_to_send(now),
                 false => Vec::new(),
             },
             stopping: self.freshness.is_stopping(),
-            heads: has_state.then(|| heads_of(known)),
-            reaches_store: Some(known.reaches_store()),
+            heads: has_state.then(|| heads_of(state)),
+            reaches_store: Some(state.reaches_store()),
             uptime_ms: Some(now.as_millis() as i64),
-            lease: known.lease.head().map(|head| gossip::lease_of(&head)),
-            lease_given_up: known.lease.given_up(),
-            hall: Some(known.settings.zone.clone()),
-            cores_milli: Some(known.settings.cores_milli),
+            lease: state.lease.head().map(|head| gossip::lease_of(&head)),
+            lease_given_up: state.lease.given_up(),
+            hall: Some(state.settings.zone.clone()),
+            cores_milli: Some(state.settings.cores_milli),
             coordinates: Some(coordinates),
             decisions_port: Some(i32::from(self.decisions_port)),
             hall_count: coordinates.then(|| Box::new(reported_count)),
-            gateways: coordinates.then(|| known.peers.count(now).gateways() as i32),
-            asks: known.peers.preferred_coordinator(now).map(str::to_string),
+            gateways: coordinates.then(|| state.peers.count(now).gateways() as i32),
+            asks: state.peers.preferred_coordinator(now).map(str::to_string),
             forwarded: None,
             rollouts: has_state.then(|| {
-                known
+                state
                     .rollouts
                     .stage_reports(now)
                     .into_iter()
@@ -149,52 +154,52 @@
                     .collect()
             }),
             evidence: None,
-            echo: known.echo_to_send(now, content),
+            echo: state.echo_to_send(now, content),
             engines: match content {
-                Content::Full => boxed(known.engine_reports()),
+                Content::Full => boxed(state.engine_reports()),
                 _ => None,
             },
             contents: match content.has_requests() {
-                true => boxed(known.observations.next()),
+                true => boxed(state.observations.next()),
                 false => None,
             },
             held: match has_state {
-                true => boxed(known.held_to_send(now)),
+                true => boxed(state.held_to_send(now)),
                 false => None,
             },
-            sights: known.sights_to_send(now, content),
+            sights: state.sights_to_send(now, content),
             limits: match content.has_requests() {
-                true => known.limits.take(now),
+                true => state.limits.take(now),
                 false => None,
             },
             keeps_accounts: Some(true),
-            day_ms: has_state.then(|| (now.as_micros() as i64 + known.day.vote_us()) / 1000),
+            day_ms: has_state.then(|| (now.as_micros() as i64 + state.day.vote_us()) / 1000),
         }
     }
 
     // This gateway's usage in the newest windows.
-    fn usage_to_send(&self, known: &mut Known, content: Content) -> Vec<WindowUsage> {
+    fn usage_to_send(&self, state: &mut ControlState, content: Content) -> Vec<WindowUsage> {
         let is_turn = match content {
             Content::Report => true,
             Content::Full => {
-                known.sending.usage_turn += 1;
-                known.sending.usage_turn % USAGE_EVERY == 0
+                state.sending.usage_turn += 1;
+                state.sending.usage_turn % USAGE_EVERY == 0
             }
             Content::Requests | Content::Digest | Content::Usage => false,
         };
         if !is_turn && !self.freshness.is_stopping() {
             return Vec::new();
         }
-        let newest = known.reporter.window_at(self.clock.wall());
+        let newest = state.reporter.window_at(self.clock.wall());
         let windows = newest - REPORTED_WINDOWS + 1..=newest;
-        let usage = windows.map(|w| gossip::usage_of(w, known.ledger.counts_of(w, &self.source)));
+        let usage = windows.map(|w| gossip::usage_of(w, state.ledger.counts_of(w, &self.source)));
         usage
             .filter(|reported| !reported.begun.is_empty())
             .collect()
     }
 }
 
-impl Known {
+impl ControlState {
     /// Whether the coordinators of all halls must know what this gateway does.
     pub fn should_report_to_all_halls(&self, now: Duration) -> bool {
         self.peers.is_coordinator(now) || self.lease.order_epoch(now).is_some()
@@ -321,8 +326,8 @@
     Duration::from_secs_f64(targets as f64 / URGENT_DATAGRAMS_PER_S)
 }
 
-fn heads_of(known: &Known) -> Vec<TopicHead> {
-    let followed = known.followed.iter();
+fn heads_of(state: &ControlState) -> Vec<TopicHead> {
+    let followed = state.followed.iter();
     followed
         .filter_map(|(topic, followed)| gossip::head_of(*topic, followed.reported()?))
         .collect()
--- a/components/gateway/src/control/quarantine.rs
+++ b/components/gateway/src/control/quarantine.rs
@@ -9,7 +9,7 @@
 use schema::messages::{ContentReport, Gossip, HeldContent};
 use slog::warn;
 
-use crate::control::{Known, Shared};
+use crate::control::{ControlState, Shared};
 use crate::ports::{Orders, Store};
 use crate::update::Update;
 
@@ -66,40 +66,44 @@
 
 impl<S: Store + 'static, O: Orders + 'static> Shared<S, O> {
     /// Records observations of the traffic thread.
-    pub fn record_own_observations(&self, known: &mut Known, observations: Vec<Observation>) {
+    pub fn record_own_observations(
+        &self,
+        state: &mut ControlState,
+        observations: Vec<Observation>,
+    ) {
         let now = self.clock.now();
         for observation in observations {
-            if known.apply_observation(now, observation).changes_hold {
+            if state.apply_observation(now, observation).changes_hold {
                 self.urgent.notify_one();
             }
-            known.observations.add(observation);
+            state.observations.add(observation);
         }
     }
 
     /// Records another gateway's observations and quarantine.
     pub fn receive_contents(&self, gossip: &Gossip) {
         let now = self.clock.now();
-        let mut known = self.known.borrow_mut();
+        let mut state = self.state.borrow_mut();
         // Coordinators report to all others themselves, so only observations of other gateways are passed on.
         let should_forward = gossip.coordinates == Some(false);
         let mut new_observations = Vec::new();
         let mut is_urgent = false;
         for reported in gossip.contents.iter().flatten() {
             let observation = received_observation(reported);
-            let effect = known.apply_observation(now, observation);
+            let effect = state.apply_observation(now, observation);
             is_urgent |= effect.changes_hold;
             if effect.is_new {
                 new_observations.push(observation);
                 if should_forward {
-                    known.observations.add(observation);
+                    state.observations.add(observation);
                 }
             }
         }
         let held = gossip.held.iter().flatten().map(|held| received_held(held));
         let changed: Vec<Held> = held
-            .filter(|held| known.quarantine.merge_held(now, *held))
+            .filter(|held| state.quarantine.merge_held(now, *held))
             .collect();
-        drop(known);
+        drop(state);
         if is_urgent || !changed.is_empty() {
             self.urgent.notify_one();
         }
@@ -126,7 +130,7 @@
     changes_hold: bool,
 }
 
-impl Known {
+impl ControlState {
     fn apply_observation(&mut self, now: Duration, observation: Observation) -> ObservationEffect {
         let (Observation::Ended { content, .. } | Observation::Completed(content)) = observation;
         let was_held = self.quarantine.remaining_hold(now, content).is_some();
--- a/components/gateway/src/control/quarantine_row.rs
+++ b/components/gateway/src/control/quarantine_row.rs
@@ -46,9 +46,9 @@
             tokio::time::sleep(CHECK_PAUSE).await;
             let now = self.clock.now();
             let is_first = {
-                let known = self.known.borrow();
-                known.peers.has_complete_list()
-                    && known.peers.is_among_first_coordinators(now, STORE_READERS)
+                let state = self.state.borrow();
+                state.peers.has_complete_list()
+                    && state.peers.is_among_first_coordinators(now, STORE_READERS)
             };
             row = match row {
                 _ if !is_first => None,
@@ -76,11 +76,11 @@
 
     // Whether other gateways that cannot reach this one may have written the row.
     fn is_stale(&self, row: &StoredQuarantine, now: Duration) -> bool {
-        let known = self.known.borrow();
-        let others = known.peers.count(now);
+        let state = self.state.borrow();
+        let others = state.peers.count(now);
         let is_cut_off = others.silent > 0 || others.alive == 0;
         // A store restored from an older copy may lack the latest write.
-        let is_restored = Some(row.revision.era) < known.newest_era;
+        let is_restored = Some(row.revision.era) < state.newest_era;
         (is_restored || is_cut_off) && now >= row.read_at + REREAD_INTERVAL
     }
 
@@ -120,14 +120,14 @@
         let kept = row
             .as_ref()
             .map_or_else(Vec::new, |row| self.decode_row(row));
-        let mut known = self.known.borrow_mut();
+        let mut state = self.state.borrow_mut();
         let held: Vec<Held> = kept.iter().map(|k| held_content(k, store_now)).collect();
         let changed: Vec<Held> = held
             .iter()
             .copied()
-            .filter(|held| known.quarantine.merge_held(now, *held))
+            .filter(|held| state.quarantine.merge_held(now, *held))
             .collect();
-        drop(known);
+        drop(state);
         if !changed.is_empty() {
             info!(self.log, "quarantine taken from the store"; "contents" => changed.len());
             self.urgent.notify_one();
@@ -156,9 +156,9 @@
     async fn write_if_changed(&self, row: StoredQuarantine) -> Option<StoredQuarantine> {
         let now = self.clock.now();
         let (held, store_now) = {
-            let known = self.known.borrow();
-            let held: Vec<Held> = known.quarantine.all_held(now).collect();
-            (held, known.store_clock.time_at(now))
+            let state = self.state.borrow();
+            let held: Vec<Held> = state.quarantine.all_held(now).collect();
+            (held, state.store_clock.time_at(now))
         };
         let kept: BTreeMap<_, _> = held.iter().map(summary_of).collect();
         let Some(store_now) = store_now.filter(|_| kept != row.kept) else {
--- a/components/gateway/src/control/rollout_execution.rs
+++ b/components/gateway/src/control/rollout_execution.rs
@@ -12,7 +12,7 @@
 use slog::{info, warn};
 
 use crate::control::rollouts::{Execution, StageReport, Status};
-use crate::control::{Known, Shared};
+use crate::control::{ControlState, Shared};
 use crate::gossip;
 use crate::ports::{Orders, ReadRow, Row, Store, StoreError, Topic};
 use crate::update::Update;
@@ -39,8 +39,8 @@
         loop {
             tokio::time::sleep(ROLLOUT_CHECK_PAUSE).await;
             let services: Vec<String> = {
-                let known = self.known.borrow();
-                known.rollouts.orders.keys().cloned().collect()
+                let state = self.state.borrow();
+                state.rollouts.orders.keys().cloned().collect()
             };
             for service in services {
                 self.execute(&service).await;
@@ -50,8 +50,8 @@
 
     async fn execute(&self, service: &str) {
         if self.holder().is_none() {
-            let mut known = self.known.borrow_mut();
-            if let Some(rollout) = known.rollouts.orders.get_mut(service) {
+            let mut state = self.state.borrow_mut();
+            if let Some(rollout) = state.rollouts.orders.get_mut(service) {
                 rollout.execution = None;
             }
             return;
@@ -69,8 +69,8 @@
 
     fn next_work(&self, service: &str) -> Option<Work> {
         let now = self.clock.now();
-        let known = &mut *self.known.borrow_mut();
-        let rollout = known.rollouts.orders.get(service)?;
+        let state = &mut *self.state.borrow_mut();
+        let rollout = state.rollouts.orders.get(service)?;
         let Some(execution) = &rollout.execution else {
             return Some(Work::Load);
         };
@@ -89,11 +89,11 @@
             let report = Work::Step(Step::Tell(Stage::Decided(decision)));
             return (!is_reported).then_some(report);
         }
-        let ordered_at = known.store_clock.moment(execution.ordered_stamp, now);
+        let ordered_at = state.store_clock.moment(execution.ordered_stamp, now);
         let ordered_at = ordered_at.unwrap_or(now);
-        let (runs, slots) = known.running_and_new_slots(&rollout.order);
+        let (runs, slots) = state.running_and_new_slots(&rollout.order);
         let evidence = rollout.evidence();
-        let answers_at_risk = known.answers_lost_when_cut(&evidence) as f64;
+        let answers_at_risk = state.answers_lost_when_cut(&evidence) as f64;
         let elapsed = now.saturating_sub(ordered_at).as_secs_f64();
         let progress = Progress {
             ordered_at,
@@ -101,15 +101,15 @@
             call_time: execution.call_time,
             can_carry: slots > 0 && slots >= runs,
         };
-        let rollout = known.rollouts.orders.get_mut(service)?;
+        let rollout = state.rollouts.orders.get_mut(service)?;
         let plan = &mut rollout.execution.as_mut()?.plan;
         Some(Work::Step(plan.step(now, &evidence, progress)))
     }
 
     fn set_stage(&self, service: &str, stage: Stage) {
         let now = self.clock.now();
-        let mut known = self.known.borrow_mut();
-        let Some(rollout) = known.rollouts.orders.get(service) else {
+        let mut state = self.state.borrow_mut();
+        let Some(rollout) = state.rollouts.orders.get(service) else {
             return;
         };
         let revision = rollout.order.revision;
@@ -118,10 +118,10 @@
             at: now,
             holder: self.peer_address,
         };
-        let is_new = known
+        let is_new = state
             .rollouts
             .receive_stage(service, revision, stage_report);
-        drop(known);
+        drop(state);
         self.update_traffic(service, revision, stage, now);
         if is_new {
             info!(self.log, "roll-out stage"; "service" => service, "revision" => revision, "stage" => %stage);
@@ -143,14 +143,14 @@
             let at = now.saturating_sub(age);
             let stage_report = StageReport { stage, at, holder };
             let revision = reported.revision.max(0) as u64;
-            let mut known = self.known.borrow_mut();
+            let mut state = self.state.borrow_mut();
             let is_new =
-                known
+                state
                     .rollouts
                     .receive_stage(&reported.service_name, revision, stage_report);
-            let rollout = known.rollouts.orders.get(&reported.service_name);
+            let rollout = state.rollouts.orders.get(&reported.service_name);
             let newest = rollout.and_then(|rollout| rollout.stage_report);
-            drop(known);
+            drop(state);
             if newest.is_some_and(|newest| newest.at == at) {
                 self.update_traffic(&reported.service_name, revision, stage, at);
             }
@@ -224,11 +224,11 @@
             .decision
             .and_then(gossip::received_stage)
             .and_then(Stage::decision);
-        let mut known = self.known.borrow_mut();
-        let settings = known.settings.clone();
+        let mut state = self.state.borrow_mut();
+        let settings = state.settings.clone();
         // The store was restored while the rows were read.
-        let is_outdated = Some(revision.era) < known.newest_era;
-        let Some(rollout) = known.rollouts.orders.get_mut(service) else {
+        let is_outdated = Some(revision.era) < state.newest_era;
+        let Some(rollout) = state.rollouts.orders.get_mut(service) else {
             return;
         };
         if rollout.order.revision != order.revision || is_outdated {
@@ -269,8 +269,8 @@
         decision: Decision,
         written: Result<Revision, StoreError>,
     ) -> bool {
-        let mut known = self.known.borrow_mut();
-        let Some(rollout) = known.rollouts.orders.get_mut(service) else {
+        let mut state = self.state.borrow_mut();
+        let Some(rollout) = state.rollouts.orders.get_mut(service) else {
             return false;
         };
         match (written, &mut rollout.execution) {
@@ -291,8 +291,8 @@
 
     // Name of the route on which the decision is based.
     fn route_name(&self, hash: Option<u64>) -> Option<String> {
-        let known = self.known.borrow();
-        let mut routes = known.configuration.as_ref()?.routes.iter();
+        let state = self.state.borrow();
+        let mut routes = state.configuration.as_ref()?.routes.iter();
         let route = routes.find(|route| Some(route_hash(&route.name)) == hash)?;
         Some(route.name.clone())
     }
@@ -302,8 +302,8 @@
         service: &str,
         decision: Decision,
     ) -> Option<(Order, RolloutRow, Revision)> {
-        let known = self.known.borrow();
-        let rollout = known.rollouts.orders.get(service)?;
+        let state = self.state.borrow();
+        let rollout = state.rollouts.orders.get(service)?;
         let execution = rollout.execution.as_ref()?;
         let row = RolloutRow {
             revision: rollout.order.revision as i64,
@@ -347,8 +347,8 @@
         if written.is_err() {
             tokio::time::sleep(FAILED_PAUSE).await;
         }
-        let mut known = self.known.borrow_mut();
-        let rollout = known.rollouts.orders.get_mut(service);
+        let mut state = self.state.borrow_mut();
+        let rollout = state.rollouts.orders.get_mut(service);
         let Some(execution) = rollout.and_then(|rollout| rollout.execution.as_mut()) else {
             return;
         };
@@ -366,20 +366,20 @@
 
     // Revision of the operator's status row, if this gateway carries out the order and has read the row.
     fn status_revision(&self, service: &str) -> Option<Revision> {
-        let known = self.known.borrow();
-        let rollout = known.rollouts.orders.get(service)?;
+        let state = self.state.borrow();
+        let rollout = state.rollouts.orders.get(service)?;
         let status = rollout.execution.as_ref()?.status.as_ref()?;
         Some(status.revision)
     }
 
     fn decision_of(&self, service: &str) -> Option<Decision> {
-        let known = self.known.borrow();
-        known.rollouts.orders.get(service)?.decision()
+        let state = self.state.borrow();
+        state.rollouts.orders.get(service)?.decision()
     }
 
     fn order_of(&self, service: &str) -> Option<(Order, Duration)> {
-        let known = self.known.borrow();
-        let rollout = known.rollouts.orders.get(service)?;
+        let state = self.state.borrow();
+        let rollout = state.rollouts.orders.get(service)?;
         Some((rollout.order.clone(), rollout.stamp))
     }
 
@@ -392,8 +392,8 @@
         let began = self.clock.now();
         let result = call.await;
         let took = self.clock.now().saturating_sub(began);
-        let mut known = self.known.borrow_mut();
-        let rollout = known.rollouts.orders.get_mut(service);
+        let mut state = self.state.borrow_mut();
+        let rollout = state.rollouts.orders.get_mut(service);
         if let Some(execution) = rollout.and_then(|rollout| rollout.execution.as_mut()) {
             execution.call_time = took.max(execution.call_time.mul_f64(CALL_TIME_DECAY));
         }
@@ -401,7 +401,7 @@
     }
 }
 
-impl Known {
+impl ControlState {
     // Count of answers on routes whose requests are lost when their endpoint ends.
     fn answers_lost_when_cut(&self, evidence: &Evidence) -> u64 {
         let configuration = self.configuration.iter();
--- a/components/gateway/src/control/row_transfer.rs
+++ b/components/gateway/src/control/row_transfer.rs
@@ -66,12 +66,12 @@
     /// Pulls the changes of a topic from the gateway that reported them.
     pub async fn pull(&self, topic: Topic) {
         let (newer, after, by_pages) = {
-            let known = self.known.borrow();
-            let followed = &known.followed[&topic];
+            let state = self.state.borrow();
+            let followed = &state.followed[&topic];
             let after = followed.table.known_to().unwrap_or_default();
             // Near the store, its link is wider than a gateway's, so large reads go to the store unless it
             // refuses this gateway.
-            let by_pages = known.is_far_from_store() || !followed.follower.reaches_store();
+            let by_pages = state.is_far_from_store() || !followed.follower.reaches_store();
             (followed.newer, after, by_pages)
         };
         let Some((from, reported)) = newer else {
@@ -98,8 +98,8 @@
         }
         self.confirm_digest(topic, reported);
         let has_reported_changes = {
-            let known = self.known.borrow();
-            known.followed[&topic]
+            let state = self.state.borrow();
+            state.followed[&topic]
                 .table
                 .has_changes_up_to(reported.changed_at)
         };
@@ -110,17 +110,17 @@
 
     fn record_pull_failure(&self, topic: Topic, from: Option<SocketAddr>) {
         let now = self.clock.now();
-        let mut known = self.known.borrow_mut();
-        known.followed_mut(topic).follower.pull_failed(now);
+        let mut state = self.state.borrow_mut();
+        state.followed_mut(topic).follower.pull_failed(now);
         let from = from.map(|from| from.to_string()).unwrap_or_default();
         info!(self.log, "rows not passed on"; "topic" => ?topic, "from" => from);
     }
 
     fn record_pull(&self, topic: Topic, from: SocketAddr, pulled: &PulledRows) {
         let is_far = {
-            let known = self.known.borrow();
-            let hall = known.peers.hall_at(from);
-            hall.is_some_and(|hall| known.topology.distance(hall) == Distance::OtherRegion)
+            let state = self.state.borrow();
+            let hall = state.peers.hall_at(from);
+            hall.is_some_and(|hall| state.topology.distance(hall) == Distance::OtherRegion)
         };
         let counter = match is_far {
             true => Counter::RowsBytesOtherRegion,
@@ -169,8 +169,8 @@
     }
 
     fn reply_to(&self, topic: Topic, query: &RowsQuery) -> Option<RowsReply> {
-        let known = self.known.borrow();
-        let table = &known.followed.get(&topic)?.table;
+        let state = self.state.borrow();
+        let table = &state.followed.get(&topic)?.table;
         let known_to = table.known_to()?;
         let max_bytes = query
             .most_bytes
--- a/components/gateway/src/control/rows.rs
+++ b/components/gateway/src/control/rows.rs
@@ -29,17 +29,17 @@
     pub fn apply_restored_operator_row(&self, change: &Change, stamp: Duration) {
         let now = self.clock.now();
         let service = self.store.rollout_service(&change.key);
-        let mut known = self.known.borrow_mut();
-        let known_order = service.and_then(|service| known.rollouts.orders.get(&service));
+        let mut state = self.state.borrow_mut();
+        let known_order = service.and_then(|service| state.rollouts.orders.get(&service));
         let is_different =
             known_order.is_some_and(|known| !self.matches_order(change, &known.order));
         if is_different {
-            known
+            state
                 .departures
                 .defer_row(now, Topic::Configuration, &change.key);
             return;
         }
-        drop(known);
+        drop(state);
         self.apply_operator_row(change, stamp);
     }
 
@@ -52,7 +52,7 @@
 
     fn apply_rollout_order(&self, service: &str, change: &Change, stamp: Duration) {
         let Some(value) = &change.value else {
-            self.known.borrow_mut().rollouts.orders.remove(service);
+            self.state.borrow_mut().rollouts.orders.remove(service);
             info!(self.log, "roll-out withdrawn"; "service" => service, "revision" => change.revision.number);
             let _ = self
                 .updates
@@ -62,9 +62,9 @@
         match self.store.rollout_order(value, change.revision.number) {
             Ok(order) => {
                 let era = change.revision.era;
-                let mut known = self.known.borrow_mut();
-                let order_change = known.rollouts.apply_order(order.clone(), era, stamp);
-                drop(known);
+                let mut state = self.state.borrow_mut();
+                let order_change = state.rollouts.apply_order(order.clone(), era, stamp);
+                drop(state);
                 if order_change == OrderChange::Unchanged {
                     return;
                 }
@@ -89,8 +89,8 @@
     }
 
     fn apply_configuration(&self, change: &Change) {
-        let mut known = self.known.borrow_mut();
-        known.is_configuration_current = false;
+        let mut state = self.state.borrow_mut();
+        state.is_configuration_current = false;
         let Some(value) = &change.value else {
             return;
         };
@@ -102,19 +102,19 @@
                 return;
             }
         };
-        let in_force = known.configuration.as_ref().map(|c| c.version);
+        let in_force = state.configuration.as_ref().map(|c| c.version);
         if in_force.is_some_and(|version| version > configuration.version) {
             info!(self.log, "configuration older than the one in force; ignored and not confirmed";
                 "version" => configuration.version, "in_force" => in_force,
                 "era" => change.revision.era, "revision" => change.revision.number);
             return;
         }
-        known.is_configuration_current = true;
+        state.is_configuration_current = true;
         if in_force == Some(configuration.version) {
             return;
         }
         let configuration = Arc::new(configuration);
-        known.configuration = Some(Arc::clone(&configuration));
+        state.configuration = Some(Arc::clone(&configuration));
         let _ = self.updates.send(Update::Configuration(configuration));
     }
 
@@ -127,18 +127,18 @@
     /// missing while the endpoint is running.
     pub fn apply_restored_endpoint(&self, change: &Change) {
         let now = self.clock.now();
-        let mut known = self.known.borrow_mut();
-        let is_ready = known
+        let mut state = self.state.borrow_mut();
+        let is_ready = state
             .endpoints
             .get(&change.key)
             .is_some_and(Endpoint::is_ready);
         if change.value.is_none() && is_ready {
-            known
+            state
                 .departures
                 .defer_row(now, Topic::Endpoints, &change.key);
             return;
         }
-        drop(known);
+        drop(state);
         self.apply_endpoint_row(change, true);
     }
 
@@ -161,17 +161,17 @@
             }
         };
         let now = self.clock.now();
-        let mut known = self.known.borrow_mut();
+        let mut state = self.state.borrow_mut();
         if !endpoint.is_ready() {
-            known.departures.record_draining(now, &endpoint, era);
+            state.departures.record_draining(now, &endpoint, era);
         }
-        let endpoint = known
+        let endpoint = state
             .departures
             .apply_departure(now, endpoint, era, is_from_restored_list);
-        if known.endpoints.get(&change.key) == Some(&endpoint) {
+        if state.endpoints.get(&change.key) == Some(&endpoint) {
             return;
         }
-        let known_start = known.endpoints.get(&change.key);
+        let known_start = state.endpoints.get(&change.key);
         let is_new_start = known_start.is_some_and(|known| !known.is_same_start(&endpoint));
         info!(self.log, "endpoint changed"; "endpoint" => &change.key,
             "service" => &endpoint.service, "state" => ?endpoint.state, "born_ms" => endpoint.born_ms,
@@ -179,15 +179,15 @@
         if !endpoint.is_ready() {
             self.endpoint_lost.notify_one();
         }
-        known.endpoints.insert(change.key.clone(), endpoint.clone());
+        state.endpoints.insert(change.key.clone(), endpoint.clone());
         let _ = self.updates.send(Update::Endpoint(endpoint));
     }
 
     fn drop_endpoint(&self, id: &str, era: u64) {
         let now = self.clock.now();
-        let mut known = self.known.borrow_mut();
-        if let Some(endpoint) = known.endpoints.remove(id) {
-            known.departures.record_dropped(now, &endpoint, era);
+        let mut state = self.state.borrow_mut();
+        if let Some(endpoint) = state.endpoints.remove(id) {
+            state.departures.record_dropped(now, &endpoint, era);
             info!(self.log, "endpoint gone"; "endpoint" => id);
             self.endpoint_lost.notify_one();
             let _ = self.updates.send(Update::EndpointGone(id.to_string()));
--- a/components/gateway/src/control/scaling.rs
+++ b/components/gateway/src/control/scaling.rs
@@ -11,7 +11,7 @@
 use telemetry::Counter;
 use topology::Topology;
 
-use crate::control::{Known, Shared};
+use crate::control::{ControlState, Shared};
 use crate::ports::{OrderReply, Orders, Store, Topic};
 use crate::tally::ServiceLoad;
 
@@ -75,7 +75,7 @@
     }
 
     async fn order_endpoints(&self) {
-        if !self.known.borrow().settings.orders_endpoints {
+        if !self.state.borrow().settings.orders_endpoints {
             return;
         }
         let asked = self.observe_load();
@@ -95,7 +95,7 @@
                 let Some(holder) = self.holder() else {
                     return false;
                 };
-                self.known.borrow_mut().orders.sent();
+                self.state.borrow_mut().orders.sent();
                 let reply = self.orders.scale(&holder, &service, &order).await;
                 self.record_order_end(reply);
                 info!(self.log, "endpoints ordered"; "service" => &service,
@@ -109,9 +109,9 @@
 
     fn apply_reply(&self, service: &str, order: &ScalingOrder, reply: OrderReply) -> bool {
         let now = self.clock.now();
-        let mut known = self.known.borrow_mut();
-        let region = known.topology.region_of(&order.hall).to_string();
-        let Some(scaler) = known.scalers.get_mut(&(service.to_string(), region)) else {
+        let mut state = self.state.borrow_mut();
+        let region = state.topology.region_of(&order.hall).to_string();
+        let Some(scaler) = state.scalers.get_mut(&(service.to_string(), region)) else {
             return false;
         };
         match reply {
@@ -128,13 +128,13 @@
 
     fn observe_load(&self) -> Vec<RegionLoad> {
         let now = self.clock.now();
-        let mut known = self.known.borrow_mut();
-        let followed = known.followed.get(&Topic::Endpoints);
+        let mut state = self.state.borrow_mut();
+        let followed = state.followed.get(&Topic::Endpoints);
         let confirmed = followed.and_then(|followed| followed.follower.confirmed_at());
         let as_of = confirmed.unwrap_or_default();
-        let loads = known.region_loads(now);
+        let loads = state.region_loads(now);
         for asked in &loads {
-            let scaler = known.scalers.entry(asked.key.clone());
+            let scaler = state.scalers.entry(asked.key.clone());
             let scaler = scaler.or_insert_with(|| Scaler::for_regions(asked.regions));
             match asked.load.endpoints_needed() {
                 Some(needed) => scaler.observe_as_of(now, as_of, &asked.held, needed),
@@ -149,24 +149,24 @@
 
     fn plan(&self, asked: &[RegionLoad]) -> Vec<(String, Vec<ScalingOrder>)> {
         let now = self.clock.now();
-        let mut known = self.known.borrow_mut();
+        let mut state = self.state.borrow_mut();
         let asked = asked.iter();
         asked
-            .filter_map(|asked| self.plan_region(now, &mut known, asked))
+            .filter_map(|asked| self.plan_region(now, &mut state, asked))
             .collect()
     }
 
     fn plan_region(
         &self,
         now: Duration,
-        known: &mut Known,
+        state: &mut ControlState,
         asked: &RegionLoad,
     ) -> Option<(String, Vec<ScalingOrder>)> {
         let (service, region) = &asked.key;
-        if known.rollouts.has_open_order(service) {
+        if state.rollouts.has_open_order(service) {
             return None;
         }
-        let scaler = known.scalers.get_mut(&asked.key)?;
+        let scaler = state.scalers.get_mut(&asked.key)?;
         let block_reason = scaler.scale_down_block_reason(now);
         let orders = scaler.plan(now, &asked.spec);
         if orders.is_empty() {
@@ -187,7 +187,7 @@
     }
 }
 
-impl Known {
+impl ControlState {
     /// Requests that run at a service's endpoints, and the slots of its ready endpoints that run the ordered
     /// version.
     pub fn running_and_new_slots(&self, order: &Order) -> (u32, u32) {
@@ -297,12 +297,12 @@
     }
 }
 
-fn held_by(known: &Known, service: &str, halls: RegionHalls) -> Fleet {
+fn held_by(state: &ControlState, service: &str, halls: RegionHalls) -> Fleet {
     let mut held = Fleet::new();
-    let counted = known
+    let counted = state
         .endpoints
         .values()
-        .filter(|e| known.rollouts.is_counted(e));
+        .filter(|e| state.rollouts.is_counted(e));
     for endpoint in counted.filter(|e| e.service == service && e.is_ready() && halls.has(&e.zone)) {
         let hall = held.entry(endpoint.zone.clone()).or_default();
         match endpoint.reclaimable {
@@ -314,7 +314,7 @@
 }
 
 fn load_of(
-    known: &Known,
+    state: &ControlState,
     service: &str,
     halls: RegionHalls,
     tokens: &HashMap<u64, f64>,
@@ -324,14 +324,14 @@
         bearing,
         ..Load::default()
     };
-    let occupied = known.loads.get(service).into_iter().flat_map(|l| &l.halls);
+    let occupied = state.loads.get(service).into_iter().flat_map(|l| &l.halls);
     for (_, hall) in occupied.filter(|(hall, _)| halls.has(hall)) {
         load.requests += hall.requests;
         load.endpoints += hall.endpoints;
         load.slots = hall.slots / hall.endpoints.max(1);
         load.limited_endpoints += f64::from(hall.limited_milli) / 1000.0;
     }
-    let of_service = known.endpoints.values().filter(|e| e.service == service);
+    let of_service = state.endpoints.values().filter(|e| e.service == service);
     let read = of_service.filter(|e| halls.has(&e.zone));
     let read = read.filter_map(|e| tokens.get(&incarnation(&e.id, e.born_ms)));
     load.prompt_tokens_per_s = read.sum();
--- a/components/gateway/src/control/store_readers.rs
+++ b/components/gateway/src/control/store_readers.rs
@@ -5,7 +5,7 @@
 use routing::weight;
 
 use crate::control::follow::STORE_READERS;
-use crate::control::Known;
+use crate::control::ControlState;
 
 /// A store that answers a call within this time is in this gateway's region; a round trip between regions takes
 /// longer. A store that is near but slow is treated as far, so only a few gateways read it.
@@ -16,7 +16,7 @@
 /// region's other halls in parallel, the topic, and one retry of a page.
 const CALLS_BEFORE_READ: u32 = 3;
 
-impl Known {
+impl ControlState {
     /// Whether this gateway keeps long polls open at the store, for all gateways or for those of its region.
     pub fn is_store_reader(&self, now: Duration) -> bool {
         match self.topology.has_several_halls() {
--- a/components/gateway/src/control/usage_reports.rs
+++ b/components/gateway/src/control/usage_reports.rs
@@ -7,7 +7,7 @@
 use slog::info;
 use usage::{Report, Step};
 
-use crate::control::{Known, Shared};
+use crate::control::{ControlState, Shared};
 use crate::ports::{OrderReply, Orders, Row, Store, StoreError, Topic};
 
 /// Pause between checks of what is due.
@@ -23,23 +23,23 @@
     }
 
     async fn report_usage(&self) {
-        if self.holder().is_none() || !self.known.borrow().settings.reports_usage {
+        if self.holder().is_none() || !self.state.borrow().settings.reports_usage {
             return;
         }
         let wall = self.clock.wall();
         let step = {
-            let mut known = self.known.borrow_mut();
-            let oldest = known.reporter.oldest_window(wall);
-            known.ledger.forget_before(oldest - 1);
-            let Known {
+            let mut state = self.state.borrow_mut();
+            let oldest = state.reporter.oldest_window(wall);
+            state.ledger.forget_before(oldest - 1);
+            let ControlState {
                 reporter, ledger, ..
-            } = &*known;
+            } = &*state;
             reporter.next_step(wall, ledger)
         };
         match step {
             None => {}
             Some(Step::Settle(report)) if self.predates_process(&report) => {
-                self.known
+                self.state
                     .borrow_mut()
                     .reporter
                     .record_finished(report.window);
@@ -54,21 +54,21 @@
 
     // Whether the window is older than this process and no other gateway reported counts for it.
     fn predates_process(&self, report: &Report) -> bool {
-        let first = self.known.borrow().reporter.window_at(self.started_wall);
+        let first = self.state.borrow().reporter.window_at(self.started_wall);
         report.counts.is_empty() && report.window < first
     }
 
     // Whether another gateway may have reported the window before a restore that lost its row. Settling the
     // window again could report it twice with different counts.
     fn may_have_been_reported(&self, report: &Report) -> bool {
-        let known = self.known.borrow();
-        let was_restored = known.newest_era.unwrap_or_default() > 0;
-        let settles_at = known.reporter.settles_at(report.window);
+        let state = self.state.borrow();
+        let was_restored = state.newest_era.unwrap_or_default() > 0;
+        let settles_at = state.reporter.settles_at(report.window);
         // No other gateway settles windows while this one holds the lease.
-        let is_only_settler = known
+        let is_only_settler = state
             .lease_held_since
             .is_some_and(|since| since < settles_at);
-        was_restored && !is_only_settler && settles_at < known.newest_era_seen_at
+        was_restored && !is_only_settler && settles_at < state.newest_era_seen_at
     }
 
     // Reports the window as its row says, or not at all if the store has no readable row for it.
@@ -80,10 +80,10 @@
         let settled = read.row.and_then(|row| stored_report(report.window, row));
         info!(self.log, "usage window due before the store restore was seen";
             "window" => report.window, "found" => settled.is_some());
-        let mut known = self.known.borrow_mut();
+        let mut state = self.state.borrow_mut();
         match settled {
-            Some(report) => known.reporter.record_settled(report),
-            None => known.reporter.record_finished(report.window),
+            Some(report) => state.reporter.record_settled(report),
+            None => state.reporter.record_finished(report.window),
         }
     }
 
@@ -97,13 +97,13 @@
             .store
             .write(Topic::Usage, &key, value, Some(Revision::ABSENT))
             .await;
-        let sources = self.known.borrow().ledger.sources(report.window).count();
+        let sources = self.state.borrow().ledger.sources(report.window).count();
         info!(self.log, "usage settled"; "window" => report.window, "sources" => sources,
             "requests" => report.counts.values().sum::<i64>(), "written" => written.is_ok());
         let settled = match written {
-            Ok(revision) if revision.era > self.known.borrow().newest_era.unwrap_or_default() => {
+            Ok(revision) if revision.era > self.state.borrow().newest_era.unwrap_or_default() => {
                 // The row that the window had before the restore may be lost.
-                self.known
+                self.state
                     .borrow_mut()
                     .reporter
                     .record_finished(report.window);
@@ -114,7 +114,7 @@
             Err(_) => None,
         };
         if let Some(report) = settled {
-            self.known.borrow_mut().reporter.record_settled(report);
+            self.state.borrow_mut().reporter.record_settled(report);
         }
     }
 
@@ -122,16 +122,16 @@
         let Some(holder) = self.holder() else {
             return;
         };
-        self.known.borrow_mut().orders.sent();
+        self.state.borrow_mut().orders.sent();
         let reply = self.orders.report(&holder, report).await;
         self.record_order_end(reply);
         info!(self.log, "usage reported"; "window" => report.window, "fence" => holder.fence,
             "reply" => ?reply);
-        let mut known = self.known.borrow_mut();
-        let is_overdue = report.window < known.reporter.oldest_window(wall);
+        let mut state = self.state.borrow_mut();
+        let is_overdue = report.window < state.reporter.oldest_window(wall);
         let is_final = matches!(reply, OrderReply::Done | OrderReply::Rejected(_));
         if is_final || is_overdue {
-            known.reporter.record_finished(report.window);
+            state.reporter.record_finished(report.window);
         }
     }
 }
