--- a/components/gateway/src/control.rs
+++ b/components/gateway/src/control.rs
@@ -105,7 +105,7 @@
     /// Fraction from 0 to 1, derived from this gateway's name, that staggers actions which all gateways would
     /// otherwise take at the same time.
     pub jitter: f64,
-    /// Signals that the other gateways are to be told something at once.
+    /// Triggers an immediate report to the other gateways.
     pub urgent: Notify,
     /// Signals that an endpoint no longer takes work.
     pub endpoint_lost: Notify,
@@ -148,7 +148,7 @@
         let runtime = match Builder::new_current_thread().enable_all().build() {
             Ok(runtime) => runtime,
             Err(error) => {
-                warn!(self.parts.log, "no control runtime; raise the limits of the process";
+                warn!(self.parts.log, "runtime of the control thread not created; raise the limits of the process";
                     "cause" => %error);
                 return;
             }
@@ -201,14 +201,14 @@
     tokio::task::spawn_local(async move { ordering.run_autoscaling().await });
     tokio::task::spawn_local(Rc::clone(&shared).run_rollouts());
     tokio::task::spawn_local(Rc::clone(&shared).run_quarantine_row());
-    if let Err(error) = exchange(&shared, sockets, tallies) {
-        warn!(shared.log, "no exchange with other gateways; raise the limit of descriptors";
+    if let Err(error) = spawn_exchange(&shared, sockets, tallies) {
+        warn!(shared.log, "sockets for other gateways not usable; raise the limit of file descriptors";
             "cause" => %error);
     }
     shared.tick(signals, read_settings).await;
 }
 
-fn exchange<S: Store + 'static, O: Orders + 'static>(
+fn spawn_exchange<S: Store + 'static, O: Orders + 'static>(
     shared: &Rc<Shared<S, O>>,
     sockets: PeerSockets,
     tallies: flume::Receiver<Tally>,
@@ -278,7 +278,7 @@
             if asked {
                 warn!(
                     self.log,
-                    "settings cannot be read; the old ones stay in force"
+                    "settings not readable; the previous ones stay in force"
                 );
             }
             return;
--- a/components/gateway/src/control/endpoint_need.rs
+++ b/components/gateway/src/control/endpoint_need.rs
@@ -68,7 +68,7 @@
         }
         state.endpoints.clear();
         state.reset_topic(Topic::Endpoints);
-        info!(self.log, "endpoints forgotten, coordinators decide");
+        info!(self.log, "endpoints discarded; coordinators decide");
         let _ = self.updates.send(Update::EndpointsForgotten);
     }
 }
--- a/components/gateway/src/control/exchange.rs
+++ b/components/gateway/src/control/exchange.rs
@@ -327,7 +327,10 @@
     /// Sends an update to the traffic thread.
     pub fn update(&self, update: Update) {
         if self.updates.send(update).is_err() {
-            warn!(self.log, "the traffic thread is gone");
+            warn!(
+                self.log,
+                "update not delivered; the traffic thread has ended"
+            );
         }
     }
 }
--- a/components/gateway/src/control/quarantine.rs
+++ b/components/gateway/src/control/quarantine.rs
@@ -117,7 +117,10 @@
         ];
         for update in updates.into_iter().flatten() {
             if self.updates.send(update).is_err() {
-                warn!(self.log, "the traffic thread is gone");
+                warn!(
+                    self.log,
+                    "update not delivered; the traffic thread has ended"
+                );
             }
         }
     }
--- a/components/gateway/src/control/quarantine_row.rs
+++ b/components/gateway/src/control/quarantine_row.rs
@@ -145,7 +145,7 @@
         match schema::decode::<QuarantineRow>(value) {
             Ok(read) => read.held,
             Err(error) => {
-                warn!(self.log, "quarantine not readable, it is written anew"; "cause" => ?error,
+                warn!(self.log, "quarantine row not readable; it will be overwritten"; "cause" => ?error,
                     "revision" => row.revision.number);
                 Vec::new()
             }
--- a/components/gateway/src/control/rollout_execution.rs
+++ b/components/gateway/src/control/rollout_execution.rs
@@ -135,7 +135,7 @@
         for reported in gossip.rollouts.iter().flatten() {
             let stage = gossip::received_stage(reported.stage);
             let (Some(stage), Ok(holder)) = (stage, reported.holder.parse()) else {
-                warn!(self.log, "roll-out of another gateway not readable; its version is newer than this one";
+                warn!(self.log, "roll-out report of another gateway not readable; it runs a newer version";
                     "service" => &reported.service_name);
                 continue;
             };
@@ -169,7 +169,10 @@
             at,
         };
         if self.updates.send(update).is_err() {
-            warn!(self.log, "the traffic thread is gone");
+            warn!(
+                self.log,
+                "update not delivered; the traffic thread has ended"
+            );
         }
     }
 
@@ -186,7 +189,7 @@
             .measure_call(service, self.store.read(Topic::RolloutStatus, &status_key))
             .await;
         let (Ok(read), Ok(status)) = (row, status) else {
-            info!(self.log, "roll-out not read, the store does not answer"; "service" => service);
+            info!(self.log, "rows of a roll-out not read; the store does not answer"; "service" => service);
             tokio::time::sleep(FAILED_PAUSE).await;
             return;
         };
@@ -213,7 +216,7 @@
                 match self.write_row(service, &first_row, expected).await {
                     Ok(revision) => (first_row, revision),
                     Err(error) => {
-                        info!(self.log, "roll-out not begun"; "service" => service, "cause" => %error);
+                        info!(self.log, "first row of a roll-out not written"; "service" => service, "cause" => %error);
                         tokio::time::sleep(FAILED_PAUSE).await;
                         return;
                     }
--- a/components/gateway/src/control/rows.rs
+++ b/components/gateway/src/control/rows.rs
@@ -82,7 +82,7 @@
                 self.update(Update::RolloutOrdered(order));
             }
             Err(fault) => {
-                warn!(self.log, "order of a roll-out not readable, it is not carried out";
+                warn!(self.log, "roll-out order not readable; it is not carried out";
                 "service" => service, "revision" => change.revision.number, "cause" => fault.0)
             }
         }
@@ -97,7 +97,7 @@
         let configuration = match self.store.configuration(value) {
             Ok(configuration) => configuration,
             Err(fault) => {
-                warn!(self.log, "configuration not readable; the old one stays in force and is not confirmed";
+                warn!(self.log, "configuration not readable; the previous one stays in force and is not confirmed";
                     "revision" => change.revision.number, "cause" => fault.0);
                 return;
             }
--- a/components/gateway/src/peers.rs
+++ b/components/gateway/src/peers.rs
@@ -175,12 +175,12 @@
         if !self.is_coordinator(now) {
             return false;
         }
-        let heard = self.peers.iter().filter(|(_, peer)| {
+        let live = self.peers.iter().filter(|(_, peer)| {
             let status = peer.recent_status(now);
             status.is_some_and(|g| g.is_coordinator && g.reaches_store)
         });
         let own = self.own.name.as_str();
-        let names = heard.map(|(name, _)| name.as_str());
+        let names = live.map(|(name, _)| name.as_str());
         rank(READER_RANK_KEY, names.chain([own]), count).contains(&own)
     }
 
@@ -248,18 +248,18 @@
 
     /// Whether another live gateway reaches the store.
     pub fn can_others_reach_store(&self, now: Duration) -> bool {
-        let mut heard = self
+        let mut live = self
             .peers
             .values()
             .filter_map(|peer| peer.recent_status(now));
-        heard.any(|status| status.reaches_store)
+        live.any(|status| status.reaches_store)
     }
 
     /// Forgets gateways that were silent for too long and addresses from which no message came.
     pub fn tick(&mut self, now: Duration) {
         self.peers.retain(|_, peer| {
-            let heard = peer.last_status.as_ref();
-            heard.is_none_or(|(_, at)| now < *at + FORGET_AFTER)
+            let last_status = peer.last_status.as_ref();
+            last_status.is_none_or(|(_, at)| now < *at + FORGET_AFTER)
         });
         self.addresses
             .retain(|_, since| now < *since + ADDRESS_LIFETIME);
@@ -278,8 +278,8 @@
         turn: usize,
         most: usize,
     ) -> Vec<SocketAddr> {
-        let heard = self.peers.values().filter(|peer| peer.is_coordinator(now));
-        let all: Vec<SocketAddr> = heard.map(|peer| peer.address).collect();
+        let live = self.peers.values().filter(|peer| peer.is_coordinator(now));
+        let all: Vec<SocketAddr> = live.map(|peer| peer.address).collect();
         let count = all.len().min(most);
         let at = |i: usize| all[(turn * most + i) % all.len()];
         (0..count).map(at).collect()
--- a/components/gateway/src/peers/halls.rs
+++ b/components/gateway/src/peers/halls.rs
@@ -264,11 +264,11 @@
     // Live coordinators of this gateway's hall, in an order that differs between gateways.
     fn decider_names(&self, now: Duration) -> Vec<&str> {
         let first = self.first_in_hall(&self.own.hall, now, COORDINATORS_PER_HALL);
-        let heard = first.into_iter().filter(|name| {
+        let live = first.into_iter().filter(|name| {
             let status = self.peers[*name].recent_status(now);
             status.is_some_and(|g| g.is_coordinator && g.decisions.is_some())
         });
-        rank(weight(0, &self.own.name), heard, COORDINATORS_PER_HALL)
+        rank(weight(0, &self.own.name), live, COORDINATORS_PER_HALL)
     }
 
     fn keepers(&self, now: Duration) -> Vec<AccountKeeper> {
