--- a/components/gateway/src/control/control_state.rs
+++ b/components/gateway/src/control/control_state.rs
@@ -67,8 +67,8 @@
     pub engines: Engines,
     pub demand: Demand,
     pub loads: BTreeMap<String, ServiceLoad>,
-    pub taken: BTreeMap<String, u64>,
-    pub unsent: Vec<Sent>,
+    pub team_totals: BTreeMap<String, u64>,
+    pub unsent_requests: Vec<Sent>,
     /// Observations from answers that are not yet reported to the other coordinators.
     pub sights: Vec<Sight>,
     /// Limits of endpoints that are not yet reported to the other coordinators.
@@ -131,8 +131,8 @@
             engines: Engines::default(),
             demand: Demand::default(),
             loads: BTreeMap::new(),
-            taken: BTreeMap::new(),
-            unsent: Vec::new(),
+            team_totals: BTreeMap::new(),
+            unsent_requests: Vec::new(),
             sights: Vec::new(),
             limits: UntoldLimits::default(),
             sending: SendState::default(),
--- a/components/gateway/src/control/exchange.rs
+++ b/components/gateway/src/control/exchange.rs
@@ -221,10 +221,10 @@
             state.rollouts.record_answer(reported);
         }
         self.record_own_observations(&mut state, tally.observations);
-        state.unsent.extend(tally.sent);
+        state.unsent_requests.extend(tally.sent);
         state.queue_sights(tally.sights);
         state.limits.extend(tally.limits);
-        state.taken = tally.taken;
+        state.team_totals = tally.taken;
         state.loads = tally.loads;
         urgent
     }
--- a/components/gateway/src/control/messages.rs
+++ b/components/gateway/src/control/messages.rs
@@ -257,8 +257,8 @@
         if !content.has_requests() {
             return Vec::new();
         }
-        let count = self.unsent.len().min(gossip::MOST_DISPATCHES);
-        let dispatches = self.unsent.drain(..count);
+        let count = self.unsent_requests.len().min(gossip::MOST_DISPATCHES);
+        let dispatches = self.unsent_requests.drain(..count);
         dispatches.map(|s| gossip::dispatch_of(now, &s)).collect()
     }
 
@@ -289,7 +289,7 @@
             self.sending.totals_turn += 1;
         }
         let mut reported = BTreeMap::new();
-        for (i, (team, total)) in self.taken.iter().enumerate() {
+        for (i, (team, total)) in self.team_totals.iter().enumerate() {
             let is_turn = content != Content::Requests && i % TOTALS_ROUNDS == in_turn;
             if is_turn || self.sending.totals.get(team) != Some(total) {
                 reported.insert(team.clone(), *total as i64);
--- a/components/gateway/src/control/scaling.rs
+++ b/components/gateway/src/control/scaling.rs
@@ -78,19 +78,19 @@
         if !self.state.borrow().settings.orders_endpoints {
             return;
         }
-        let asked = self.observe_load();
+        let region_loads = self.observe_load();
         // A hall that turns out to have no capacity changes the plan for the others.
         for _ in 0..MAX_PLANS {
-            if self.holder().is_none() || !self.carry_out_plan(&asked).await {
+            if self.holder().is_none() || !self.carry_out_plan(&region_loads).await {
                 return;
             }
         }
     }
 
     // Returns whether a hall refused an order that was thought to have capacity.
-    async fn carry_out_plan(&self, asked: &[RegionLoad]) -> bool {
+    async fn carry_out_plan(&self, region_loads: &[RegionLoad]) -> bool {
         let mut hall_closed = false;
-        for (service, orders) in self.plan(asked) {
+        for (service, orders) in self.plan(region_loads) {
             for order in orders {
                 let Some(holder) = self.holder() else {
                     return false;
@@ -133,26 +133,26 @@
         let confirmed = followed.and_then(|followed| followed.follower.confirmed_at());
         let as_of = confirmed.unwrap_or_default();
         let loads = state.region_loads(now);
-        for asked in &loads {
-            let scaler = state.scalers.entry(asked.key.clone());
-            let scaler = scaler.or_insert_with(|| Scaler::for_regions(asked.regions));
-            match asked.load.endpoints_needed() {
-                Some(needed) => scaler.observe_as_of(now, as_of, &asked.held, needed),
+        for region_load in &loads {
+            let scaler = state.scalers.entry(region_load.key.clone());
+            let scaler = scaler.or_insert_with(|| Scaler::for_regions(region_load.regions));
+            match region_load.load.endpoints_needed() {
+                Some(needed) => scaler.observe_as_of(now, as_of, &region_load.held, needed),
                 None => {
                     self.metrics.count(Counter::PlansUnknown);
-                    scaler.observe_unknown_load(as_of, &asked.held);
+                    scaler.observe_unknown_load(as_of, &region_load.held);
                 }
             }
         }
         loads
     }
 
-    fn plan(&self, asked: &[RegionLoad]) -> Vec<(String, Vec<ScalingOrder>)> {
+    fn plan(&self, region_loads: &[RegionLoad]) -> Vec<(String, Vec<ScalingOrder>)> {
         let now = self.clock.now();
         let mut state = self.state.borrow_mut();
-        let asked = asked.iter();
-        asked
-            .filter_map(|asked| self.plan_region(now, &mut state, asked))
+        let region_loads = region_loads.iter();
+        region_loads
+            .filter_map(|region_load| self.plan_region(now, &mut state, region_load))
             .collect()
     }
 
@@ -160,28 +160,28 @@
         &self,
         now: Duration,
         state: &mut ControlState,
-        asked: &RegionLoad,
+        region_load: &RegionLoad,
     ) -> Option<(String, Vec<ScalingOrder>)> {
-        let (service, region) = &asked.key;
+        let (service, region) = &region_load.key;
         if state.rollouts.has_open_order(service) {
             return None;
         }
-        let scaler = state.scalers.get_mut(&asked.key)?;
+        let scaler = state.scalers.get_mut(&region_load.key)?;
         let block_reason = scaler.scale_down_block_reason(now);
-        let orders = scaler.plan(now, &asked.spec);
+        let orders = scaler.plan(now, &region_load.spec);
         if orders.is_empty() {
             return None;
         }
         let scale_downs = orders.iter().filter(|order| scaler.is_scale_down(order));
         self.metrics
             .add(Counter::GivenBack, scale_downs.count() as u64);
-        let parts = asked.load.parts().unwrap_or_default();
+        let parts = region_load.load.parts().unwrap_or_default();
         info!(self.log, "endpoints planned"; "service" => service, "region" => region,
             "load_milli" => milli(scaler.latest_load()),
-            "highest_milli" => milli(scaler.peak_load(now, &asked.spec)),
+            "highest_milli" => milli(scaler.peak_load(now, &region_load.spec)),
             "reading_milli" => milli(parts.prefill), "making_milli" => milli(parts.decode),
-            "limited_milli" => milli(asked.load.limited_endpoints), "most_running" => parts.max_running, "running" => asked.load.requests,
-            "bearing" => ?asked.load.bearing, "held" => ?scaler.held(),
+            "limited_milli" => milli(region_load.load.limited_endpoints), "most_running" => parts.max_running, "running" => region_load.load.requests,
+            "bearing" => ?region_load.load.bearing, "held" => ?scaler.held(),
             "keeps" => block_reason.unwrap_or("nothing"));
         Some((service.clone(), orders))
     }
@@ -209,7 +209,7 @@
         };
         let topology = self.topology.clone();
         let tokens = self.demand.tokens_per_s(now);
-        let mut asked = Vec::new();
+        let mut region_loads = Vec::new();
         for (service, scaling) in autoscaled_services(&configuration) {
             let bearing = self.bearing_of(service);
             let regions = regions_of(&topology, scaling);
@@ -219,7 +219,7 @@
                     topology: &topology,
                     region: &region,
                 };
-                asked.push(RegionLoad {
+                region_loads.push(RegionLoad {
                     load: load_of(self, service, halls, &tokens, bearing),
                     held: held_by(self, service, halls),
                     spec: scaling_spec_of(scaling, halls),
@@ -228,7 +228,7 @@
                 });
             }
         }
-        asked
+        region_loads
     }
 
     // What an endpoint of the service can sustain, from the engine statistics of all gateways.
