--- a/components/gateway/src/control/quarantine.rs
+++ b/components/gateway/src/control/quarantine.rs
@@ -36,7 +36,8 @@
         if self.waiting.len() >= MAX_WAITING {
             self.waiting.pop_back();
         }
-        // New observations go first: behind thousands of old ones they would arrive too late.
+        // New observations go first: behind thousands of old ones they would arrive after the time within which
+        // all gateways must know of them.
         self.waiting
             .push_front((observation, SENDS_PER_OBSERVATION));
         self.has_new = true;
--- a/components/gateway/src/control/scaling.rs
+++ b/components/gateway/src/control/scaling.rs
@@ -25,7 +25,7 @@
 const MIN_SPAN: Duration = Duration::from_secs(1);
 /// Share of streams whose limits on pauses and duration must hold under the planned load.
 const IN_TIME_SHARE: f64 = 0.95;
-/// Upper limit of samples that are kept for the count, about the requests of one second.
+/// Upper limit of samples that are kept for the count: the requests of one second.
 const MAX_SAMPLES: usize = 20_000;
 
 /// Prompt tokens that all gateways sent to endpoints within the demand window.
