--- a/components/gateway/src/control.rs
+++ b/components/gateway/src/control.rs
@@ -1,27 +1,27 @@
-//! The control thread: what it knows, and the tasks that work on it.
+//! The control thread of a gateway: its state and the tasks that share it.
 
-mod accounts;
-mod carrying;
-mod deflated;
+mod control_state;
+mod deflate;
 mod departures;
 mod echoes;
+mod endpoint_need;
 mod engines;
-mod era;
 mod exchange;
 mod follow;
 mod forwarding;
-mod kept;
-mod known;
 mod lease;
 mod messages;
-mod need;
-mod passing;
 mod quarantine;
-mod region;
-mod reporting;
+mod quarantine_row;
+mod rollout_execution;
 mod rollouts;
+mod row_transfer;
 mod rows;
 mod scaling;
+mod store_era;
+mod store_metrics;
+mod store_readers;
+mod usage_reports;
 
 use std::cell::RefCell;
 use std::net::{SocketAddr, TcpListener, UdpSocket};
@@ -39,12 +39,12 @@
 use usage::Source;
 
 use crate::clock::{Clock, SuspensionDetector};
-pub use crate::control::deflated::{inflate, Encoded, LastDeflated};
+pub(crate) use crate::control::control_state::ControlState;
+use crate::control::control_state::{change_due, PeerAddresses};
+pub use crate::control::deflate::{inflate, DeflatedReplyCache, EncodedReply};
 pub use crate::control::echoes::{round_trip, Echoes};
-pub(crate) use crate::control::known::Known;
-use crate::control::known::{change_due, PeerAddresses};
-pub(crate) use crate::control::passing::{name_of, topic_of, PASSED_ON};
-use crate::control::region::spread_of;
+pub(crate) use crate::control::row_transfer::{topic_by_name, topic_name, SHARED_TOPICS};
+use crate::control::store_readers::jitter_of;
 use crate::coordinator_contact::CoordinatorContact;
 use crate::freshness::Freshness;
 use crate::ports::{Orders, Store};
@@ -52,22 +52,22 @@
 use crate::tally::Tally;
 use crate::update::Update;
 
-/// Pause between looks at signals, peers and the lease.
-const TICK: Duration = Duration::from_millis(100);
-/// Pause between looks at the settings file when no signal says that it changed.
-const SETTINGS_LOOK: Duration = Duration::from_secs(1);
+/// Pause between checks of signals, peers and the lease.
+const TICK_PAUSE: Duration = Duration::from_millis(100);
+/// Pause between reads of the settings file when no signal asks for one.
+const SETTINGS_POLL_PAUSE: Duration = Duration::from_secs(1);
 
-/// Sockets over which gateways talk to each other.
+/// Sockets for the exchange with other gateways.
 pub(crate) struct PeerSockets {
-    /// For gossip.
+    /// Gossip datagrams.
     pub gossip: UdpSocket,
-    /// For rows.
+    /// Queries for rows.
     pub rows: TcpListener,
-    /// Address of both.
+    /// Address of both sockets.
     pub address: SocketAddr,
 }
 
-/// What a control thread is made of.
+/// Inputs of a control thread.
 pub(crate) struct ControlParts {
     pub sockets: PeerSockets,
     pub settings: Arc<GatewaySettings>,
@@ -80,18 +80,18 @@
     pub log: Logger,
     pub updates: flume::Sender<Update>,
     pub tallies: flume::Receiver<Tally>,
-    /// Port at which the traffic thread decides for others.
+    /// Port on which the traffic thread answers placement queries of other gateways.
     pub decisions_port: u16,
 }
 
-/// The control thread before it runs.
+/// A control thread that does not run yet.
 pub(crate) struct Control {
     parts: ControlParts,
     source: Source,
-    known: Known,
+    state: ControlState,
 }
 
-/// What the tasks of the control thread share.
+/// State that the tasks of the control thread share.
 pub(crate) struct Shared<S, O> {
     pub clock: Clock,
     pub freshness: Arc<Freshness>,
@@ -102,17 +102,18 @@
     pub source: Source,
     pub peer_address: SocketAddr,
     pub decisions_port: u16,
-    /// Point of this gateway, 0 to 1, where all would do the same at once.
-    pub spread: f64,
-    /// Something is to be reported to the other gateways at once.
+    /// Fraction from 0 to 1, derived from this gateway's name, that staggers actions which all gateways would
+    /// otherwise take at the same time.
+    pub jitter: f64,
+    /// Triggers an immediate report to the other gateways.
     pub urgent: Notify,
-    /// An endpoint does not take work any more.
+    /// Signals that an endpoint no longer takes work.
     pub endpoint_lost: Notify,
-    /// The store answered with rows.
+    /// Signals that the store answered with rows.
     pub store_answers: Notify,
     pub started_wall: Duration,
-    pub known: RefCell<Known>,
-    pub last_deflated: RefCell<LastDeflated>,
+    pub state: RefCell<ControlState>,
+    pub reply_cache: RefCell<DeflatedReplyCache>,
     pub store: S,
     pub orders: O,
 }
@@ -130,15 +131,15 @@
             peers,
             decisions: SocketAddr::new(peers.ip(), parts.decisions_port),
         };
-        let known = Known::new(settings, listening, day_us);
+        let state = ControlState::new(settings, listening, day_us);
         Control {
             parts,
             source,
-            known,
+            state,
         }
     }
 
-    /// Runs until the process ends.
+    /// Runs the tasks until the process ends.
     pub fn run<S: Store + 'static, O: Orders + 'static>(
         self,
         store: impl FnOnce() -> S,
@@ -147,7 +148,7 @@
         let runtime = match Builder::new_current_thread().enable_all().build() {
             Ok(runtime) => runtime,
             Err(error) => {
-                warn!(self.parts.log, "no control runtime; raise the limits of the process";
+                warn!(self.parts.log, "runtime of the control thread not created; raise the limits of the process";
                     "cause" => %error);
                 return;
             }
@@ -161,7 +162,7 @@
             metrics: parts.metrics,
             log: parts.log,
             updates: parts.updates,
-            spread: spread_of(&self.source.gateway),
+            jitter: jitter_of(&self.source.gateway),
             source: self.source,
             peer_address: parts.sockets.address,
             decisions_port: parts.decisions_port,
@@ -169,8 +170,8 @@
             endpoint_lost: Notify::new(),
             store_answers: Notify::new(),
             started_wall: parts.clock.wall_time(),
-            known: RefCell::new(self.known),
-            last_deflated: RefCell::default(),
+            state: RefCell::new(self.state),
+            reply_cache: RefCell::default(),
             store: store(),
             orders: orders(),
         });
@@ -192,29 +193,29 @@
     signals: Signals,
     read_settings: ReadSettings,
 ) {
-    for topic in PASSED_ON {
+    for topic in SHARED_TOPICS {
         tokio::task::spawn_local(Rc::clone(&shared).follow(topic));
     }
     let (reporting, ordering) = (Rc::clone(&shared), Rc::clone(&shared));
-    tokio::task::spawn_local(async move { reporting.keep_reporting().await });
-    tokio::task::spawn_local(async move { ordering.keep_endpoints().await });
-    tokio::task::spawn_local(Rc::clone(&shared).keep_rollouts());
-    tokio::task::spawn_local(Rc::clone(&shared).keep_quarantine());
-    if let Err(error) = exchange(&shared, sockets, tallies) {
-        warn!(shared.log, "no exchange with other gateways; raise the limit of descriptors";
+    tokio::task::spawn_local(async move { reporting.run_usage_reports().await });
+    tokio::task::spawn_local(async move { ordering.run_autoscaling().await });
+    tokio::task::spawn_local(Rc::clone(&shared).run_rollouts());
+    tokio::task::spawn_local(Rc::clone(&shared).run_quarantine_row());
+    if let Err(error) = spawn_exchange(&shared, sockets, tallies) {
+        warn!(shared.log, "sockets for other gateways not usable; raise the limit of file descriptors";
             "cause" => %error);
     }
     shared.tick(signals, read_settings).await;
 }
 
-fn exchange<S: Store + 'static, O: Orders + 'static>(
+fn spawn_exchange<S: Store + 'static, O: Orders + 'static>(
     shared: &Rc<Shared<S, O>>,
     sockets: PeerSockets,
     tallies: flume::Receiver<Tally>,
 ) -> std::io::Result<()> {
     let rows = tokio::net::TcpListener::from_std(sockets.rows)?;
     let gossip = Rc::new(tokio::net::UdpSocket::from_std(sockets.gossip)?);
-    tokio::task::spawn_local(Rc::clone(shared).pass_on(rows));
+    tokio::task::spawn_local(Rc::clone(shared).serve_rows(rows));
     tokio::task::spawn_local(Rc::clone(shared).announce());
     tokio::task::spawn_local(Rc::clone(shared).receive(Rc::clone(&gossip)));
     tokio::task::spawn_local(Rc::clone(shared).report(gossip, tallies));
@@ -223,34 +224,35 @@
 
 impl<S: Store + 'static, O: Orders + 'static> Shared<S, O> {
     async fn tick(self: Rc<Self>, signals: Signals, read_settings: ReadSettings) {
-        let mut looked_at = Duration::ZERO;
+        let mut settings_read_at = Duration::ZERO;
         let mut suspensions = SuspensionDetector::new(self.clock);
         loop {
-            tokio::time::sleep(TICK).await;
+            tokio::time::sleep(TICK_PAUSE).await;
             if let Some(time) = suspensions.poll() {
-                self.note_suspension(time);
+                self.handle_suspension(time);
             }
             let now = self.clock.now();
-            self.look_at_day(now);
+            self.correct_wall_clock(now);
             self.check_store_era();
             self.recheck_rows(now);
             if signals.stop.load(Ordering::Relaxed) {
                 self.freshness.stop(now);
             }
             let asked = signals.reload.swap(false, Ordering::Relaxed);
-            if asked || now >= looked_at + SETTINGS_LOOK {
-                looked_at = now;
-                self.take_settings(read_settings(), asked);
+            if asked || now >= settings_read_at + SETTINGS_POLL_PAUSE {
+                settings_read_at = now;
+                self.apply_settings(read_settings(), asked);
             }
-            self.count_peers(now);
+            self.update_peers(now);
             self.tick_lease(now);
         }
     }
 
-    // Without this four windows of usage were missed on a day on which half of the clocks jumped (one run), with it none.
-    fn look_at_day(&self, now: Duration) {
+    // Corrects jumps of the wall clock. In a run without this correction, with half of the clocks jumping
+    // within a day, four usage windows were missed; with it, none.
+    fn correct_wall_clock(&self, now: Duration) {
         let reading_us = self.clock.read_wall_offset_us();
-        let look = self.known.borrow_mut().day.observe_reading(now, reading_us);
+        let look = self.state.borrow_mut().day.observe_reading(now, reading_us);
         self.clock.set_wall_offset(look.estimated_us);
         if let Some(jumped_us) = look.jumped_us {
             self.metrics.count(Counter::DayJumps);
@@ -260,59 +262,60 @@
         }
     }
 
-    // What is known here is older than the runtime's timers say.
-    fn note_suspension(&self, time: Duration) {
+    // During a suspension the runtime's timers stand still, so all state is older than they show: every topic
+    // is polled and the peers are informed at once.
+    fn handle_suspension(&self, time: Duration) {
         self.metrics.count(Counter::Suspensions);
         warn!(self.log, "the VM was suspended"; "ms" => time.as_millis() as u64);
-        let known = self.known.borrow();
-        let followed = known.followed.values();
+        let state = self.state.borrow();
+        let followed = state.followed.values();
         followed.for_each(|followed| followed.wake.notify_one());
         self.urgent.notify_one();
     }
 
-    fn take_settings(&self, read: Option<GatewaySettings>, asked: bool) {
+    fn apply_settings(&self, read: Option<GatewaySettings>, asked: bool) {
         let Some(settings) = read else {
             if asked {
                 warn!(
                     self.log,
-                    "settings cannot be read; the old ones stay in force"
+                    "settings not readable; the previous ones stay in force"
                 );
             }
             return;
         };
-        let mut known = self.known.borrow_mut();
-        if *known.settings == settings {
+        let mut state = self.state.borrow_mut();
+        if *state.settings == settings {
             return;
         }
         info!(self.log, "settings reloaded"; "asked" => asked);
         let due = change_due(&settings);
-        for followed in known.followed.values_mut() {
+        for followed in state.followed.values_mut() {
             followed.follower.set_change_due(due);
         }
-        known.settings = Arc::new(settings);
+        state.settings = Arc::new(settings);
         let _ = self
             .updates
-            .send(Update::Settings(Arc::clone(&known.settings)));
+            .send(Update::Settings(Arc::clone(&state.settings)));
     }
 
-    fn count_peers(&self, now: Duration) {
-        let mut known = self.known.borrow_mut();
-        known.peers.tick(now);
-        let fleet = known.peers.fleet(now);
-        if fleet != known.fleet {
-            let count = known.peers.count(now);
-            info!(self.log, "gateways changed"; "heard" => count.heard, "silent" => count.silent,
+    fn update_peers(&self, now: Duration) {
+        let mut state = self.state.borrow_mut();
+        state.peers.tick(now);
+        let fleet = state.peers.fleet(now);
+        if fleet != state.fleet {
+            let count = state.peers.count(now);
+            info!(self.log, "gateways changed"; "heard" => count.alive, "silent" => count.silent,
                 "gateways" => fleet.gateways, "part_milli" => (fleet.part * 1000.0) as u64,
-                "coordinators" => fleet.coordinators.len(), "coordinates" => known.peers.coordinates(now));
-            known.fleet = fleet.clone();
+                "coordinators" => fleet.coordinators.len(), "coordinates" => state.peers.is_coordinator(now));
+            state.fleet = fleet.clone();
             let _ = self.updates.send(Update::Fleet(fleet));
         }
-        self.check_need(&mut known, now);
-        let watches = known.watches_store(now);
-        if watches != known.watches {
-            known.watches = watches;
-            // A rest is as long as others are to bring changes; now this gateway is.
-            let followed = known.followed.values();
+        self.update_endpoint_need(&mut state, now);
+        let reads_store = state.is_store_reader(now);
+        if reads_store != state.reads_store {
+            state.reads_store = reads_store;
+            // The current wait is long because other gateways read the store; now this one does.
+            let followed = state.followed.values();
             followed.for_each(|followed| followed.wake.notify_one());
         }
     }
--- a/components/gateway/src/control/known.rs
+++ b/components/gateway/src/control/control_state.rs
@@ -1,4 +1,4 @@
-//! What the control thread knows, and what it begins with.
+//! State of the control thread, and its initial values.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -17,34 +17,34 @@
 
 use crate::control::departures::Departures;
 use crate::control::engines::Engines;
-use crate::control::follow::Followed;
-use crate::control::lease::OrdersUnderWay;
+use crate::control::follow::FollowedTopic;
+use crate::control::lease::OrdersInFlight;
 use crate::control::messages::SendState;
 use crate::control::quarantine::ObservationQueue;
 use crate::control::rollouts::Rollouts;
 use crate::control::scaling::Demand;
-use crate::control::{Echoes, PASSED_ON};
+use crate::control::{Echoes, SHARED_TOPICS};
 use crate::limit_reports::PendingLimits;
-use crate::peers::{Fleet, Listed, Peers};
+use crate::peers::{GatewayFleet, ListedGateway, Peers};
 use crate::ports::{StoreEra, Topic};
 use crate::tally::{SentRequest, ServiceLoad};
 use crate::wall_clock::WallClockEstimate;
 
 /// Key of the lease's row.
 const LEASE_KEY: &str = "duties";
-/// A renewal holds this much longer than the bound on its holders.
+/// Margin for which a lease outlasts the configured bound on its holders.
 const LEASE_MARGIN: Duration = Duration::from_millis(500);
 /// Pause between renewals of the lease.
-const LEASE_PAUSE: Duration = Duration::from_secs(1);
-/// Part of the time within which usage is due after which a window is settled.
-const SETTLE_PART: f64 = 0.45;
-/// Everything the control thread knows.
-pub(crate) struct Known {
+const LEASE_RENEWAL_PAUSE: Duration = Duration::from_secs(1);
+/// Fraction of the deadline for usage reports after which a window is settled.
+const SETTLE_FRACTION: f64 = 0.45;
+/// State of the control thread.
+pub(crate) struct ControlState {
     pub settings: Arc<GatewaySettings>,
     pub configuration: Option<Arc<Configuration>>,
     // Whether the store's row holds the configuration in force. An unreadable or older row confirms nothing.
     pub is_configuration_current: bool,
-    pub followed: BTreeMap<Topic, Followed>,
+    pub followed: BTreeMap<Topic, FollowedTopic>,
     pub endpoints: BTreeMap<String, Endpoint>,
     pub departures: Departures,
     pub store_clock: StoreClock,
@@ -59,7 +59,7 @@
     pub lease: Lease,
     /// Wall-clock time since which this gateway holds the lease.
     pub lease_held_since: Option<Duration>,
-    pub orders: OrdersUnderWay,
+    pub orders: OrdersInFlight,
     pub ledger: UsageLedger,
     pub reporter: Reporter,
     // By service and region.
@@ -67,53 +67,53 @@
     pub engines: Engines,
     pub demand: Demand,
     pub loads: BTreeMap<String, ServiceLoad>,
-    pub taken: BTreeMap<String, u64>,
-    pub unsent: Vec<SentRequest>,
-    /// What answers showed that the other coordinators were not told yet.
+    pub team_totals: BTreeMap<String, u64>,
+    pub unsent_requests: Vec<SentRequest>,
+    /// Observations from answers that are not yet reported to the other coordinators.
     pub sights: Vec<Sight>,
-    /// Limits of endpoints that the other coordinators were not told yet.
+    /// Limits of endpoints that are not yet reported to the other coordinators.
     pub limits: PendingLimits,
     pub sending: SendState,
-    // Only kept where there are several regions.
+    // `None` if there is only one region.
     pub echoes: Option<Echoes>,
     pub forwarding: Forwarding,
-    pub fleet: Fleet,
-    // Whether this gateway holds calls at the store.
-    pub watches: bool,
-    // Shortest time of a call of the store.
-    pub store_time: Option<Duration>,
-    // Whether the store turned this gateway away when it asked for the list of gateways last.
+    pub fleet: GatewayFleet,
+    // Whether this gateway keeps long polls open at the store.
+    pub reads_store: bool,
+    // Shortest time that a store call took.
+    pub min_store_call_time: Option<Duration>,
+    // Whether the store refused the last request for the list of gateways.
     pub list_refused: bool,
-    // When the endpoints were needed last, while they are followed.
+    // Time of the last need for the endpoints; `None` while they are not followed.
     pub endpoints_needed_at: Option<Duration>,
     pub rollouts: Rollouts,
     pub quarantine: Quarantine,
     pub observations: ObservationQueue,
-    /// What is believed of the time of day.
+    /// Estimate of the time of day.
     pub day: WallClockEstimate,
 }
 
-/// Where other gateways reach this one.
+/// Addresses at which other gateways reach this one.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct PeerAddresses {
-    /// For gossip.
+    /// Gossip and rows.
     pub peers: SocketAddr,
-    /// For decisions.
+    /// Placement queries.
     pub decisions: SocketAddr,
 }
 
-impl Known {
-    /// Nothing known but the settings.
-    pub fn new(settings: Arc<GatewaySettings>, listening: PeerAddresses, day_us: i64) -> Self {
+impl ControlState {
+    /// The initial state, which contains only the settings.
+    pub fn new(settings: Arc<GatewaySettings>, own_addresses: PeerAddresses, day_us: i64) -> Self {
         let topology = Topology::new(&settings.zone, &settings.region, &settings.halls);
-        let peers = first_peers(&settings, &topology, listening);
+        let peers = initial_peers(&settings, &topology, own_addresses);
         let echoes = topology.has_several_regions().then(Echoes::default);
-        Known {
+        ControlState {
             lease: Lease::new(lease_terms(&settings)),
             lease_held_since: None,
-            orders: OrdersUnderWay::default(),
-            reporter: Reporter::new(usage_terms(&settings)),
-            forwarding: Forwarding::new(usage_terms(&settings)),
+            orders: OrdersInFlight::default(),
+            reporter: Reporter::new(window_timing(&settings)),
+            forwarding: Forwarding::new(window_timing(&settings)),
             followed: followed_topics(&settings),
             settings,
             configuration: None,
@@ -131,15 +131,15 @@
             engines: Engines::default(),
             demand: Demand::default(),
             loads: BTreeMap::new(),
-            taken: BTreeMap::new(),
-            unsent: Vec::new(),
+            team_totals: BTreeMap::new(),
+            unsent_requests: Vec::new(),
             sights: Vec::new(),
             limits: PendingLimits::default(),
             sending: SendState::default(),
             echoes,
-            fleet: Fleet::default(),
-            watches: false,
-            store_time: None,
+            fleet: GatewayFleet::default(),
+            reads_store: false,
+            min_store_call_time: None,
             list_refused: false,
             endpoints_needed_at: None,
             rollouts: Rollouts::default(),
@@ -149,66 +149,70 @@
         }
     }
 
-    /// How a topic that is passed on is followed.
-    pub fn followed_mut(&mut self, topic: Topic) -> &mut Followed {
+    /// The copy of a topic; it is created if it does not exist.
+    pub fn followed_mut(&mut self, topic: Topic) -> &mut FollowedTopic {
         let settings = &self.settings;
         let followed = self.followed.entry(topic);
-        followed.or_insert_with(|| follow(topic, settings))
+        followed.or_insert_with(|| new_followed_topic(topic, settings))
     }
 
-    /// Forgets what is known of a topic, as at the start.
-    pub fn forget_rows(&mut self, topic: Topic) {
-        let followed = follow(topic, &self.settings);
+    /// Discards the copy of a topic.
+    pub fn reset_topic(&mut self, topic: Topic) {
+        let followed = new_followed_topic(topic, &self.settings);
         let old = self.followed.insert(topic, followed);
-        // Whoever waits for changes of the topic goes on waiting.
+        // The task that waits for changes of the topic must still be woken.
         if let (Some(old), Some(new)) = (old, self.followed.get_mut(&topic)) {
             new.wake = old.wake;
         }
     }
 
-    /// Whether the store answered the last call.
+    /// Whether the store answered the last call for every topic.
     pub fn reaches_store(&self) -> bool {
         let mut followed = self.followed.values();
         followed.all(|followed| followed.follower.reaches_store())
     }
 }
 
-// The gateways that the settings name.
-fn first_peers(settings: &GatewaySettings, topology: &Topology, listening: PeerAddresses) -> Peers {
-    let mut peers = Peers::new(Listed {
+// Peers with the addresses that the settings name.
+fn initial_peers(
+    settings: &GatewaySettings,
+    topology: &Topology,
+    own_addresses: PeerAddresses,
+) -> Peers {
+    let mut peers = Peers::new(ListedGateway {
         name: settings.name.clone(),
-        address: listening.peers,
+        address: own_addresses.peers,
         hall: settings.zone.clone(),
         cores_milli: settings.cores_milli,
-        decisions: Some(listening.decisions),
+        decisions: Some(own_addresses.decisions),
     });
     peers.set_topology(topology.clone());
     if topology.has_several_halls() {
-        peers.expect_halls(topology.halls());
+        peers.set_halls(topology.halls());
     }
     for seed in settings.seeds.iter().filter_map(|seed| seed.parse().ok()) {
-        peers.learn(Duration::ZERO, seed);
+        peers.add_address(Duration::ZERO, seed);
     }
     peers
 }
 
-fn followed_topics(settings: &GatewaySettings) -> BTreeMap<Topic, Followed> {
-    let topics = PASSED_ON.into_iter();
+fn followed_topics(settings: &GatewaySettings) -> BTreeMap<Topic, FollowedTopic> {
+    let topics = SHARED_TOPICS.into_iter();
     topics
-        .map(|topic| (topic, follow(topic, settings)))
+        .map(|topic| (topic, new_followed_topic(topic, settings)))
         .collect()
 }
 
-// Until its size is known, a configuration is taken to be large.
-fn follow(topic: Topic, settings: &GatewaySettings) -> Followed {
+// A configuration is assumed to be large until its size is known.
+fn new_followed_topic(topic: Topic, settings: &GatewaySettings) -> FollowedTopic {
     let first = match topic {
         Topic::Configuration => PreferredSource::Store,
         _ => PreferredSource::Peer,
     };
-    Followed::new(Follower::new(first, change_due(settings)))
+    FollowedTopic::new(Follower::new(first, change_due(settings)))
 }
 
-/// Time within which a change is to be in force.
+/// Time within which a change must be in force.
 pub(super) fn change_due(settings: &GatewaySettings) -> Duration {
     Duration::from_millis(settings.change_due_ms.max(0) as u64)
 }
@@ -220,15 +224,15 @@
         node: settings.name.clone(),
         duration: bound + 2 * LEASE_MARGIN,
         margin: LEASE_MARGIN,
-        interval: LEASE_PAUSE,
+        interval: LEASE_RENEWAL_PAUSE,
     }
 }
 
-fn usage_terms(settings: &GatewaySettings) -> WindowTiming {
+fn window_timing(settings: &GatewaySettings) -> WindowTiming {
     let due = Duration::from_millis(settings.usage_due_ms.max(0) as u64);
     WindowTiming {
         window: Duration::from_millis(settings.usage_window_ms.max(1) as u64),
-        settle_delay: due.mul_f64(SETTLE_PART),
+        settle_delay: due.mul_f64(SETTLE_FRACTION),
         due,
     }
 }
--- a/components/gateway/src/control/engines.rs
+++ b/components/gateway/src/control/engines.rs
@@ -1,6 +1,7 @@
-//! What coordinators tell each other of the engines that they saw.
+//! Exchange of engine statistics between coordinators.
 //!
-//! Whoever takes the lease has heard of all of them, and knows the law of the engines at once.
+//! The next holder of the lease already has the statistics of all coordinators and can estimate the engines'
+//! performance at once.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -8,14 +9,15 @@
 use engine::{EngineStats, PaceHistogram, PeerReports, StepMoments};
 use schema::messages::{EngineReport, Gossip};
 
-use crate::control::Known;
+use crate::control::ControlState;
 
-/// Messages to coordinators of which one holds what was seen of engines: some 300 bytes for a service.
+/// One in this many messages to coordinators holds engine statistics, which take some 300 bytes per service.
 const REPORT_EVERY: u32 = 3;
-/// Services of one message at most, so that it fits into one datagram.
-const MOST_SERVICES: usize = 2;
+/// Upper limit of services in one message, so that it fits into one datagram.
+const MAX_SERVICES: usize = 2;
 
-/// What other coordinators saw of engines, and when it is this one's turn to tell.
+/// Engine statistics of the other coordinators, and the count of messages that decides when this one's are
+/// sent.
 #[derive(Debug, Default)]
 pub(crate) struct Engines {
     reports: PeerReports,
@@ -23,28 +25,28 @@
 }
 
 impl Engines {
-    /// Takes what another gateway said.
+    /// Records the statistics in another gateway's message.
     pub fn receive(&mut self, now: Duration, gossip: &Gossip) {
         let Some(reports) = &gossip.engines else {
             return;
         };
-        let services = reports.iter().take(MOST_SERVICES);
-        let services = services.map(|report| (report.service_name.clone(), learnt_of(report)));
+        let services = reports.iter().take(MAX_SERVICES);
+        let services = services.map(|report| (report.service_name.clone(), stats_of(report)));
         let services: BTreeMap<String, EngineStats> = services.collect();
         self.reports.receive(now, &gossip.gateway, services);
     }
 }
 
-impl Known {
-    /// What all gateways together saw of a service's engines, as far as it is known here.
-    pub fn learnt_of(&self, service: &str) -> EngineStats {
+impl ControlState {
+    /// Statistics of a service's engines, merged over all gateways that reported any.
+    pub fn engine_stats_of(&self, service: &str) -> EngineStats {
         let own = self.loads.get(service).map(|load| load.engine_stats);
         self.engines
             .reports
             .merged_with(own.unwrap_or_default(), service)
     }
 
-    /// What was seen here, for a message to coordinators; nothing in most of them.
+    /// This gateway's statistics for a message to coordinators; `None` for most messages.
     pub fn engine_reports(&mut self) -> Option<Vec<EngineReport>> {
         self.engines.messages = self.engines.messages.wrapping_add(1);
         if self.engines.messages % REPORT_EVERY != 1 {
@@ -52,7 +54,7 @@
         }
         let seen = self.loads.iter();
         let seen = seen.filter(|(_, load)| load.engine_stats.steps.count > 0.0);
-        let reports = seen.take(MOST_SERVICES);
+        let reports = seen.take(MAX_SERVICES);
         let reports = reports.map(|(service, load)| report_of(service, &load.engine_stats));
         Some(reports.collect())
     }
@@ -67,7 +69,7 @@
     }
 }
 
-fn learnt_of(report: &EngineReport) -> EngineStats {
+fn stats_of(report: &EngineReport) -> EngineStats {
     let steps: Vec<f64> = report.steps.iter().map(|moment| moment.0).collect();
     let allowed: Vec<f64> = report.allowed.iter().map(|count| count.0).collect();
     EngineStats {
--- a/components/gateway/src/control/exchange.rs
+++ b/components/gateway/src/control/exchange.rs
@@ -1,4 +1,4 @@
-//! Messages between gateways, and how they find each other.
+//! Gossip with the other gateways, and the discovery of their addresses.
 
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -13,45 +13,45 @@
 use usage::Source;
 
 use crate::control::messages::Content;
-use crate::control::{round_trip, Known, Shared};
+use crate::control::{round_trip, ControlState, Shared};
 use crate::gossip;
 use crate::limit_reports::received_limits;
 use crate::listing::read_all;
-use crate::peers::{is_recent, Receipt};
+use crate::peers::{has_started_recently, Receipt};
 use crate::ports::{Orders, Store, StoreError, Topic};
 use crate::sights::received_sight;
 use crate::tally::Tally;
 use crate::traffic::LONG_PROMPT_TOKENS;
 use crate::update::Update;
 
-/// Largest datagram that is read, in bytes.
-const MAX_DATAGRAM: usize = 8192;
-/// Pause after a failed call of the store; it doubles twice.
+/// Size limit of a received datagram, in bytes.
+const MAX_DATAGRAM_BYTES: usize = 8192;
+/// Pause after a failed store call; it doubles up to twice.
 const FAILED_PAUSE: Duration = Duration::from_millis(300);
 /// Rate at which all gateways together rewrite their rows after a restore: half of the store's write capacity.
 const ROW_REWRITES_PER_S: f64 = 200.0;
-/// Pause between looks at whether further parts of the list are needed.
-const LIST_LOOK: Duration = Duration::from_millis(100);
+/// Pause between checks of whether further parts of the list are needed.
+const LIST_CHECK_PAUSE: Duration = Duration::from_millis(100);
 
 impl<S: Store + 'static, O: Orders + 'static> Shared<S, O> {
-    /// Writes this gateway's row and learns of the others'.
+    /// Writes this gateway's row and reads the list of the others.
     pub async fn announce(self: Rc<Self>) {
         self.write_own_row().await;
-        let by_halls = self.known.borrow().topology.has_several_halls();
+        let by_halls = self.state.borrow().topology.has_several_halls();
         match by_halls {
             true => self.list_halls().await,
             false => self.list_gateways(None).await,
         }
     }
 
-    /// Rewrites this gateway's row, which a restored store may lack: gateways that start later would not find this one.
-    /// The rewrites of all gateways are spread over a period proportional to their number.
+    /// Rewrites this gateway's row, which a restored store may lack: gateways that start later would not find
+    /// this one. The rewrites of all gateways are spread over a period proportional to their number.
     pub async fn rewrite_own_row(self: Rc<Self>) {
-        let gateways = self.known.borrow().fleet.gateways;
+        let gateways = self.state.borrow().fleet.gateways;
         let period = Duration::from_secs_f64(gateways as f64 / ROW_REWRITES_PER_S);
-        let era = self.known.borrow().newest_era;
-        tokio::time::sleep(period.mul_f64(self.spread)).await;
-        if self.known.borrow().newest_era != era {
+        let era = self.state.borrow().newest_era;
+        tokio::time::sleep(period.mul_f64(self.jitter)).await;
+        if self.state.borrow().newest_era != era {
             // The rewrite for the later era replaces this one.
             return;
         }
@@ -60,7 +60,7 @@
     }
 
     async fn write_own_row(&self) {
-        let settings = self.known.borrow().settings.clone();
+        let settings = self.state.borrow().settings.clone();
         let row = GatewayRow {
             address: self.peer_address.to_string(),
             incarnation: self.source.incarnation,
@@ -69,7 +69,7 @@
             decisions_port: Some(i32::from(self.decisions_port)),
         };
         let value = schema::encode(&row).unwrap_or_default();
-        let by_halls = self.known.borrow().topology.has_several_halls();
+        let by_halls = self.state.borrow().topology.has_several_halls();
         let hall = by_halls.then_some(settings.zone.as_str());
         let mut failures = 0;
         while let Err(error) = self
@@ -77,23 +77,23 @@
             .announce(hall, &settings.name, value.clone())
             .await
         {
-            self.note_unlisted(&error);
-            tokio::time::sleep(self.pause_after(failures)).await;
+            self.record_list_failure(&error);
+            tokio::time::sleep(self.backoff_after(failures)).await;
             failures += 1;
         }
     }
 
     // Reads the halls' parts of the list as they are needed.
     async fn list_halls(&self) {
-        while !self.known.borrow().peers.is_listed() {
+        while !self.state.borrow().peers.has_complete_list() {
             let now = self.clock.now();
             let next = {
-                let known = self.known.borrow();
-                known.peers.next_hall(now, &known.topology)
+                let state = self.state.borrow();
+                state.peers.next_hall_to_list(now, &state.topology)
             };
             match next {
                 Some(hall) => self.list_gateways(Some(&hall)).await,
-                None => tokio::time::sleep(LIST_LOOK).await,
+                None => tokio::time::sleep(LIST_CHECK_PAUSE).await,
             }
         }
     }
@@ -103,15 +103,15 @@
         let mut failures = 0;
         let (sent, list) = loop {
             let sent = self.clock.now();
-            match read_all(&self.store, Topic::Gateways, hall, self.spread).await {
+            match read_all(&self.store, Topic::Gateways, hall, self.jitter).await {
                 Ok(list) => {
-                    self.note_list(Topic::Gateways, sent, &list);
+                    self.record_list(Topic::Gateways, sent, &list);
                     self.count_bytes(Topic::Gateways, list.rows.bytes);
                     break (sent, list);
                 }
                 Err(error) => {
-                    self.note_unlisted(&error);
-                    tokio::time::sleep(self.pause_after(failures)).await;
+                    self.record_list_failure(&error);
+                    tokio::time::sleep(self.backoff_after(failures)).await;
                     failures += 1;
                 }
             }
@@ -120,45 +120,46 @@
         let now = self.clock.now();
         let rows = list.rows.rows.iter();
         let listed = rows.filter_map(|row| gossip::listed_of(&row.key, row.value.as_deref()?));
-        let mut known = self.known.borrow_mut();
-        // Whoever does not read the other topics itself needs the store's time, to take confirmations of others.
-        let _ = known.store_clock.earliest(sent, now, list.rows.stamp);
-        known.note_store_call(now.saturating_sub(sent));
+        let mut state = self.state.borrow_mut();
+        // A gateway that does not read the other topics from the store needs the store's time to apply
+        // confirmations of other gateways.
+        let _ = state.store_clock.earliest(sent, now, list.rows.stamp);
+        state.record_store_call(now.saturating_sub(sent));
         match hall {
-            Some(hall) => known.peers.listed_hall(now, hall, listed),
-            None => known.peers.listed(now, listed),
+            Some(hall) => state.peers.apply_hall_list(now, hall, listed),
+            None => state.peers.apply_list(now, listed),
         }
-        self.check_need(&mut known, now);
-        // Whoever finds the store near asks it now.
-        let followed = known.followed.values();
+        self.update_endpoint_need(&mut state, now);
+        // If the store turns out to be near, the topics are read from it now.
+        let followed = state.followed.values();
         followed.for_each(|followed| followed.wake.notify_one());
     }
 
-    fn note_unlisted(&self, error: &StoreError) {
+    fn record_list_failure(&self, error: &StoreError) {
         self.metrics.count(Counter::PlatformUnanswered);
-        self.known.borrow_mut().list_refused = *error == StoreError::Refused;
+        self.state.borrow_mut().list_refused = *error == StoreError::Refused;
     }
 
-    fn pause_after(&self, failures: u32) -> Duration {
+    fn backoff_after(&self, failures: u32) -> Duration {
         let pause = FAILED_PAUSE * (1 << failures.min(2));
-        pause.mul_f64(0.75 + self.spread / 2.0)
+        pause.mul_f64(0.75 + self.jitter / 2.0)
     }
 
-    /// Takes tallies of the traffic thread and reports to the other gateways.
+    /// Processes tallies of the traffic thread and sends reports to the other gateways.
     pub async fn report(self: Rc<Self>, socket: Rc<UdpSocket>, tallies: flume::Receiver<Tally>) {
         loop {
             let mut changed = false;
             let mut long_prompt = false;
             tokio::select! {
                 tally = tallies.recv_async() => match tally {
-                    Ok(tally) => long_prompt = self.take_tally(tally),
+                    Ok(tally) => long_prompt = self.apply_tally(tally),
                     Err(_) => return,
                 },
                 () = self.urgent.notified() => changed = true,
             };
             let now = self.clock.now();
             for (content, targets) in self.due(now, changed, long_prompt) {
-                let bytes = self.message(now, content);
+                let bytes = self.encoded_message(now, content);
                 for target in targets {
                     self.send(&socket, &bytes, target).await;
                 }
@@ -168,9 +169,9 @@
         }
     }
 
-    /// Takes the messages of the other gateways.
+    /// Processes messages of the other gateways.
     pub async fn receive(self: Rc<Self>, socket: Rc<UdpSocket>) {
-        let mut buffer = vec![0; MAX_DATAGRAM];
+        let mut buffer = vec![0; MAX_DATAGRAM_BYTES];
         loop {
             let Ok((length, from)) = socket.recv_from(&mut buffer).await else {
                 tokio::time::sleep(FAILED_PAUSE).await;
@@ -179,10 +180,10 @@
             match schema::decode::<Gossip>(&buffer[..length]) {
                 Ok(gossip) => {
                     let now = self.clock.now();
-                    let was_alive = self.known.borrow().peers.is_alive(now, &gossip.gateway);
+                    let was_alive = self.state.borrow().peers.is_alive(now, &gossip.gateway);
                     self.receive_gossip(&gossip, from);
                     if !was_alive && !gossip.stopping && gossip.gateway != self.source.gateway {
-                        let answer = self.message(now, Content::Digest);
+                        let answer = self.encoded_message(now, Content::Digest);
                         self.send(&socket, &answer, from).await;
                     }
                 }
@@ -191,7 +192,7 @@
         }
     }
 
-    /// Sends one datagram; what is lost is made good by the next one.
+    /// Sends one datagram. A lost datagram is compensated by later ones.
     pub async fn send(&self, socket: &UdpSocket, bytes: &[u8], target: SocketAddr) {
         match socket.send_to(bytes, target).await {
             Ok(_) => {
@@ -202,29 +203,29 @@
         }
     }
 
-    // Whether something in the tally is to be reported at once.
-    fn take_tally(&self, tally: Tally) -> bool {
-        let mut known = self.known.borrow_mut();
+    // Returns whether the tally holds a long prompt, which must be reported at once.
+    fn apply_tally(&self, tally: Tally) -> bool {
+        let mut state = self.state.borrow_mut();
         let urgent = tally
             .sent
             .iter()
             .any(|s| s.unread_tokens >= LONG_PROMPT_TOKENS);
         for (tenant, wall) in tally.begun {
-            let window = known.reporter.window_at(wall);
-            known.ledger.count(window, &self.source, &tenant);
+            let window = state.reporter.window_at(wall);
+            state.ledger.count(window, &self.source, &tenant);
         }
         for sent in &tally.sent {
-            known.demand.add(sent.at, sent.endpoint, sent.unread_tokens);
+            state.demand.add(sent.at, sent.endpoint, sent.unread_tokens);
         }
         for reported in &tally.rollout_answers {
-            known.rollouts.note(reported);
+            state.rollouts.record_answer(reported);
         }
-        self.take_own_observations(&mut known, tally.observations);
-        known.unsent.extend(tally.sent);
-        known.keep_sights(tally.sights);
-        known.limits.extend(tally.limits);
-        known.taken = tally.taken;
-        known.loads = tally.loads;
+        self.record_own_observations(&mut state, tally.observations);
+        state.unsent_requests.extend(tally.sent);
+        state.queue_sights(tally.sights);
+        state.limits.extend(tally.limits);
+        state.team_totals = tally.taken;
+        state.loads = tally.loads;
         urgent
     }
 
@@ -234,69 +235,69 @@
         }
         self.metrics.count(Counter::PacketsTaken);
         let now = self.clock.now();
-        let mut known = self.known.borrow_mut();
-        let was_alive = known.peers.is_alive(now, &gossip.gateway);
-        let heard = known.peers.receive(now, gossip::greeting(gossip, from));
+        let mut state = self.state.borrow_mut();
+        let was_alive = state.peers.is_alive(now, &gossip.gateway);
+        let receipt = state.peers.receive(now, gossip::greeting(gossip, from));
         let source = Source {
             gateway: gossip.gateway.clone(),
             incarnation: gossip.incarnation,
         };
         for reported in &gossip.usage {
-            known
+            state
                 .ledger
                 .merge(reported.window, &source, &reported.begun);
         }
         for (window, source, begun) in gossip::received_forwarded(gossip) {
-            known.ledger.merge(window, &source, begun);
+            state.ledger.merge(window, &source, begun);
         }
         for reported in gossip.evidence.iter().flatten() {
-            known.rollouts.receive_evidence(&source, reported);
+            state.rollouts.receive_evidence(&source, reported);
         }
-        if heard == Receipt::Stale {
+        if receipt == Receipt::Stale {
             return;
         }
-        known.engines.receive(now, gossip);
+        state.engines.receive(now, gossip);
         if let Some(offset_us) = gossip::received_day(now, gossip) {
-            known.day.receive(now, &gossip.gateway, offset_us);
+            state.day.receive(now, &gossip.gateway, offset_us);
         }
-        if known.looks_for_others(now) {
+        if state.should_contact_addresses(now) {
             for address in gossip::received_addresses(gossip) {
-                known.peers.learn(now, address);
+                state.peers.add_address(now, address);
             }
         }
         if gossip.lease_epoch > 0 {
-            known.peers.receive_lease(now, gossip.lease_epoch, from);
+            state.peers.receive_lease(now, gossip.lease_epoch, from);
         }
         let mut actions = Vec::new();
         if let Some(head) = gossip::received_lease(gossip) {
-            actions.extend(known.lease.step(now, LeaseEvent::HeadReported(head)));
+            actions.extend(state.lease.step(now, LeaseEvent::HeadReported(head)));
         }
         if let Some(epoch) = gossip.lease_given_up {
-            known.peers.receive_given_up(now, epoch);
-            actions.extend(known.lease.step(now, LeaseEvent::GiveUpReported(epoch)));
+            state.peers.receive_give_up(now, epoch);
+            actions.extend(state.lease.step(now, LeaseEvent::GiveUpReported(epoch)));
         }
         if gossip.stopping {
-            known.peers.leave(&gossip.gateway);
+            state.peers.remove(&gossip.gateway);
             if was_alive {
                 info!(self.log, "gateway stops"; "gateway" => &gossip.gateway);
             }
         }
-        let measured = known.way_shown(now, &self.source.gateway, gossip);
+        let measured = state.measured_round_trip(now, &self.source.gateway, gossip);
         let dispatches = gossip.dispatches.iter();
         let dispatches: Vec<_> = dispatches
             .map(|d| gossip::received_dispatch(now, d))
             .collect();
         for dispatch in &dispatches {
             let (at, tokens) = (dispatch.sent_at, dispatch.unread_tokens);
-            known.demand.add(at, dispatch.endpoint, tokens);
+            state.demand.add(at, dispatch.endpoint, tokens);
         }
         let hall = gossip.hall.as_deref().unwrap_or_default();
-        let is_far = known.topology.distance(hall) == Distance::OtherRegion;
-        drop(known);
+        let is_far = state.topology.distance(hall) == Distance::OtherRegion;
+        drop(state);
         if let Some((hall, round_trip)) = measured {
             self.update(Update::RoundTripMeasured { hall, round_trip });
         }
-        self.act(actions);
+        self.perform_lease_actions(actions);
         self.receive_rollouts(gossip);
         self.receive_contents(gossip);
         for (topic, reported) in gossip::received_heads(gossip) {
@@ -318,32 +319,35 @@
                 gateway: gossip.gateway.clone(),
                 incarnation: gossip.incarnation,
                 taken: gossip::received_totals(gossip),
-                recent: is_recent(now, gossip::uptime(gossip)),
+                recent: has_started_recently(now, gossip::uptime(gossip)),
             });
         }
     }
 
-    /// Passes a change on to the traffic thread.
+    /// Sends an update to the traffic thread.
     pub fn update(&self, update: Update) {
         if self.updates.send(update).is_err() {
-            warn!(self.log, "the traffic thread is gone");
+            warn!(
+                self.log,
+                "update not delivered; the traffic thread has ended"
+            );
         }
     }
 }
 
-impl Known {
-    // The sender's hall and the time to it and back, if its message echoes one of this gateway.
-    fn way_shown(
+impl ControlState {
+    // The sender's hall and the round-trip time to it, if its message echoes one of this gateway.
+    fn measured_round_trip(
         &mut self,
         now: Duration,
         own: &str,
         gossip: &Gossip,
     ) -> Option<(String, Duration)> {
-        let kept = self.echoes.as_mut()?;
+        let echoes = self.echoes.as_mut()?;
         if gossip.coordinates == Some(true) {
-            kept.receive(now, &gossip.gateway, gossip.uptime_ms?);
+            echoes.receive(now, &gossip.gateway, gossip.uptime_ms?);
         }
-        let took = round_trip(now, own, gossip.echo.as_ref()?)?;
-        Some((gossip.hall.clone()?, took))
+        let round_trip_time = round_trip(now, own, gossip.echo.as_ref()?)?;
+        Some((gossip.hall.clone()?, round_trip_time))
     }
 }
--- a/components/gateway/src/control/follow.rs
+++ b/components/gateway/src/control/follow.rs
@@ -1,4 +1,4 @@
-//! Following the store: the configuration and the endpoints, from the store or from other gateways.
+//! Keeps the configuration and the endpoints up to date, from the store or from other gateways.
 
 use std::future::Future;
 use std::net::SocketAddr;
@@ -11,54 +11,53 @@
 use telemetry::Counter;
 use tokio::sync::Notify;
 
-use crate::control::passing::MOST_PASSED_ON;
+use crate::control::row_transfer::MAX_REPLY_BYTES;
 use crate::control::Shared;
 use crate::listing::read_all;
 use crate::ports::{Orders, Row, Rows, Store, StoreError, Topic};
 use crate::update::Update;
 
-/// Pause after changes of endpoints: those that follow soon come with one answer. It is well within
-/// the time that a leaving endpoint goes on serving.
+/// Pause after changes of endpoints, so that changes in quick succession arrive in one answer. It is well
+/// within the time for which a leaving endpoint continues to serve.
 const GATHER_PAUSE: Duration = Duration::from_millis(250);
-/// Pause between looks at whether the endpoints are needed.
+/// Pause between checks of whether the endpoints are needed.
 const NEED_PAUSE: Duration = Duration::from_millis(500);
-/// A call of the store is given up so long after another gateway reported a change.
-const OVERTAKEN_TIME: Duration = Duration::from_millis(300);
-/// Rows of many like entries are passed on in so much less than their length.
-const SHRINKS_BY: usize = 3;
-/// Gateways that hold calls at the store: one may be cut off or die unnoticed.
-pub(crate) const WATCHERS: usize = 2;
+/// Time after which a pending store call is dropped once another gateway has reported a change.
+const OVERTAKEN_CALL_TIMEOUT: Duration = Duration::from_millis(300);
+/// Factor by which deflate is assumed to shrink rows of many similar entries.
+const ASSUMED_COMPRESSION_RATIO: usize = 3;
+/// Gateways that keep long polls open at the store. There are two, as one may be cut off or fail unnoticed.
+pub(crate) const STORE_READERS: usize = 2;
 
-/// One topic as it is known here.
+/// Local copy of one topic.
 #[derive(Debug)]
-pub(crate) struct Followed {
-    /// Its rows.
+pub(crate) struct FollowedTopic {
     pub table: Table,
-    /// How it is followed.
+    /// Schedules the reads of the topic.
     pub follower: Follower,
-    /// The store's steady time at which the rows were confirmed to be the newest.
+    /// Monotonic time of the store at which the rows were last confirmed to be current.
     pub confirmed: Duration,
-    /// The gateway that reported newer changes, and what it reported.
+    /// The gateway that reported newer changes, with its report.
     pub newer: Option<(SocketAddr, Digest)>,
-    /// Ends a rest.
+    /// Ends the current wait.
     pub wake: Arc<Notify>,
-    // Newest era for which the table was restarted, once each.
-    listed_for_era: Option<u64>,
-    // Whether the store's last answer was logged as missing.
-    reported_missing: bool,
+    // Newest era for which a full list was required, so that it is required once for each era.
+    list_required_for_era: Option<u64>,
+    // Whether it was logged that the store does not answer.
+    is_failure_logged: bool,
 }
 
-impl Followed {
-    /// Nothing known yet.
+impl FollowedTopic {
+    /// An empty copy.
     pub fn new(follower: Follower) -> Self {
-        Followed {
+        FollowedTopic {
             table: Table::default(),
             follower,
             confirmed: Duration::ZERO,
             newer: None,
             wake: Arc::new(Notify::new()),
-            listed_for_era: None,
-            reported_missing: false,
+            list_required_for_era: None,
+            is_failure_logged: false,
         }
     }
 
@@ -73,7 +72,7 @@
         self.table.is_same_era(revision) && self.table.has_changes_up_to(revision)
     }
 
-    /// What is reported to other gateways, once anything is known.
+    /// State that is reported to other gateways, once the topic was read.
     pub fn reported(&self) -> Option<Digest> {
         Some(Digest {
             known_to: self.table.known_to()?,
@@ -86,7 +85,7 @@
 impl<S: Store + 'static, O: Orders + 'static> Shared<S, O> {
     /// Follows a topic until the process ends.
     pub async fn follow(self: Rc<Self>, topic: Topic) {
-        let wake = Arc::clone(&self.known.borrow().followed[&topic].wake);
+        let wake = Arc::clone(&self.state.borrow().followed[&topic].wake);
         loop {
             if topic == Topic::Endpoints && !self.needs_endpoints() {
                 self.forget_endpoints();
@@ -99,90 +98,91 @@
                 }
                 Step::PullFromPeer => self.pull(topic).await,
                 Step::List => self.list(topic).await,
-                Step::PollChanges { hold } => self.ask_for_changes(topic, hold).await,
+                Step::PollChanges { hold } => self.poll_changes(topic, hold).await,
             }
         }
     }
 
     async fn list(&self, topic: Topic) {
         let sent = self.clock.now();
-        let read = read_all(&self.store, topic, None, self.spread);
+        let read = read_all(&self.store, topic, None, self.jitter);
         let result = self.unless_overtaken(topic, read).await;
         if let Ok(list) = &result {
-            self.note_list(topic, sent, list);
+            self.record_list(topic, sent, list);
         }
-        self.take_result(topic, sent, result.map(|list| list.rows), true);
+        self.handle_result(topic, sent, result.map(|list| list.rows), true);
     }
 
     fn next_step(&self, topic: Topic) -> Step {
         let now = self.clock.now();
-        let mut known = self.known.borrow_mut();
-        let watches = known.watches_store(now);
-        let is_far = known.is_far_from_store();
-        let others_begin = known.others_begin(now);
-        let followed = known.followed_mut(topic);
+        let mut state = self.state.borrow_mut();
+        let reads_store = state.is_store_reader(now);
+        let is_far = state.is_far_from_store();
+        let readers_start = state.readers_start(now);
+        let followed = state.followed_mut(topic);
         match is_far {
             true => {
-                followed.follower.delegate_store_reads(now, self.spread);
-                followed.follower.set_readers_start(others_begin);
+                followed.follower.delegate_store_reads(now, self.jitter);
+                followed.follower.set_readers_start(readers_start);
             }
             false => followed.follower.read_store_directly(),
         }
         let newest_era = self.store.era().newest;
-        if followed.is_older_than_era(newest_era) && followed.listed_for_era < newest_era {
+        if followed.is_older_than_era(newest_era) && followed.list_required_for_era < newest_era {
             // The known revision may denote a different change in the new era.
-            followed.listed_for_era = newest_era;
+            followed.list_required_for_era = newest_era;
             followed.table.require_list();
         }
         let can_poll_changes = followed.table.can_poll_changes();
-        followed.follower.step(now, watches, can_poll_changes)
+        followed.follower.step(now, reads_store, can_poll_changes)
     }
 
-    // A store that says nothing must not keep a change from here that others know.
+    // Drops the call if another gateway reports a change meanwhile, so that a store that does not answer does
+    // not delay the change.
     async fn unless_overtaken<T>(
         &self,
         topic: Topic,
         call: impl Future<Output = Result<T, StoreError>>,
     ) -> Result<T, StoreError> {
-        let wake = Arc::clone(&self.known.borrow().followed[&topic].wake);
+        let wake = Arc::clone(&self.state.borrow().followed[&topic].wake);
         tokio::pin!(call);
-        while !self.known.borrow().followed[&topic].follower.can_pull() {
+        while !self.state.borrow().followed[&topic].follower.can_pull() {
             tokio::select! {
                 result = &mut call => return result,
                 () = wake.notified() => {}
             }
         }
-        let answered = tokio::time::timeout(OVERTAKEN_TIME, call).await;
+        let answered = tokio::time::timeout(OVERTAKEN_CALL_TIMEOUT, call).await;
         answered.unwrap_or(Err(self.overtaken()))
     }
 
-    // Behind the link a call may just be slower than that of the region's other reader: whoever counted it as failed
-    // would be followed by a third one, and fill the link the more.
+    // Across the link between regions a call may just be slower than that of the region's other reader.
+    // Counting it as failed would make a third gateway a reader, which would load the link further.
     fn overtaken(&self) -> StoreError {
-        match self.known.borrow().is_far_from_store() {
+        match self.state.borrow().is_far_from_store() {
             true => StoreError::Overtaken,
             false => StoreError::Unanswered,
         }
     }
 
-    async fn ask_for_changes(&self, topic: Topic, hold: Duration) {
-        let (after, patience) = {
-            let known = self.known.borrow();
-            let followed = &known.followed[&topic];
+    async fn poll_changes(&self, topic: Topic, hold: Duration) {
+        let (after, response_timeout) = {
+            let state = self.state.borrow();
+            let followed = &state.followed[&topic];
             let after = followed.table.known_to().unwrap_or_default();
             (after, followed.follower.response_timeout())
         };
         let sent = self.clock.now();
-        let call = self.store.changes(topic, after, hold, patience);
+        let call = self.store.changes(topic, after, hold, response_timeout);
         let result = self.unless_overtaken(topic, call).await;
-        let changed = self.take_result(topic, sent, result, false);
+        let changed = self.handle_result(topic, sent, result, false);
         if changed && topic == Topic::Endpoints {
             tokio::time::sleep(GATHER_PAUSE).await;
         }
     }
 
     // Returns whether anything changed.
-    fn take_result(
+    fn handle_result(
         &self,
         topic: Topic,
         sent: Duration,
@@ -191,38 +191,39 @@
     ) -> bool {
         self.metrics.count(Counter::TableCalls);
         match result {
-            Ok(rows) => self.take_rows(topic, sent, rows, whole),
+            Ok(rows) => self.apply_rows(topic, sent, rows, whole),
             Err(error) => {
-                self.note_failure(topic, &error);
+                self.record_failure(topic, &error);
                 false
             }
         }
     }
 
-    fn take_rows(&self, topic: Topic, sent: Duration, rows: Rows, whole: bool) -> bool {
+    fn apply_rows(&self, topic: Topic, sent: Duration, rows: Rows, whole: bool) -> bool {
         let received = self.clock.now();
         self.count_bytes(topic, rows.bytes);
-        let (made, was_missing) = {
-            let mut known = self.known.borrow_mut();
-            let made = known.store_clock.earliest(sent, received, rows.stamp);
-            known.note_store_call(received.saturating_sub(sent));
-            let followed = known.followed_mut(topic);
+        let (made_at, was_failing) = {
+            let mut state = self.state.borrow_mut();
+            let made_at = state.store_clock.earliest(sent, received, rows.stamp);
+            state.record_store_call(received.saturating_sub(sent));
+            let followed = state.followed_mut(topic);
             followed.follower.store_answered(rows.revision);
             if !whole {
                 followed.follower.history_available();
             }
-            (made, std::mem::take(&mut followed.reported_missing))
+            (made_at, std::mem::take(&mut followed.is_failure_logged))
         };
         self.store_answers.notify_waiters();
-        if was_missing {
+        if was_failing {
             info!(self.log, "store answers again"; "topic" => ?topic);
         }
         let changes = rows.rows.into_iter().map(change_of).collect();
-        let changed = self.take_changes(topic, changes, rows.revision, rows.stamp, whole);
-        // Changes have to be in force before they are confirmed. The answer may be of another era than the known rows.
-        let is_current = self.known.borrow().followed[&topic].is_current_at(rows.revision);
+        let changed = self.apply_changes(topic, changes, rows.revision, rows.stamp, whole);
+        // Changes must be in force before they are confirmed. The answer may be of another era than the known
+        // rows.
+        let is_current = self.state.borrow().followed[&topic].is_current_at(rows.revision);
         if is_current {
-            self.confirm(topic, rows.stamp, made);
+            self.confirm(topic, rows.stamp, made_at);
         }
         if changed {
             self.urgent.notify_one();
@@ -230,9 +231,9 @@
         changed
     }
 
-    /// Takes rows of the store or of another gateway as they stood at `stamp` of the store, and returns whether
-    /// anything changed.
-    pub fn take_changes(
+    /// Applies rows of the store or of another gateway that were current at the store's monotonic time `stamp`.
+    /// Returns whether anything changed.
+    pub fn apply_changes(
         &self,
         topic: Topic,
         changes: Vec<Change>,
@@ -241,12 +242,12 @@
         whole: bool,
     ) -> bool {
         let (gossip, is_first, is_restored) = {
-            let mut known = self.known.borrow_mut();
-            let followed = known.followed_mut(topic);
+            let mut state = self.state.borrow_mut();
+            let followed = state.followed_mut(topic);
             let is_first = followed.table.known_to().is_none();
             let is_restored = whole && followed.is_older_than_era(Some(known_to.era));
             if is_restored {
-                // The store's steady time may have been reset by the restore.
+                // The restore may have reset the monotonic time of the store.
                 followed.confirmed = Duration::ZERO;
             }
             let gossip = match whole {
@@ -255,19 +256,21 @@
             };
             let known_to = followed.table.known_to().unwrap_or_default();
             followed.follower.caught_up(known_to);
-            if let Some(bytes) = largest(&gossip) {
-                followed.follower.set_preferred_source(first_asked(bytes));
+            if let Some(bytes) = largest_value(&gossip) {
+                followed
+                    .follower
+                    .set_preferred_source(preferred_source(bytes));
             }
             (gossip, is_first, is_restored)
         };
         for change in &gossip {
             match topic {
                 Topic::Configuration if is_restored => {
-                    self.take_restored_operator_row(change, stamp);
+                    self.apply_restored_operator_row(change, stamp);
                 }
-                Topic::Configuration => self.take_operator_row(change, stamp),
-                Topic::Endpoints if is_restored => self.take_restored_endpoint(change),
-                Topic::Endpoints => self.take_endpoint(change),
+                Topic::Configuration => self.apply_operator_row(change, stamp),
+                Topic::Endpoints if is_restored => self.apply_restored_endpoint(change),
+                Topic::Endpoints => self.apply_endpoint(change),
                 Topic::Gateways
                 | Topic::Lease
                 | Topic::Usage
@@ -282,25 +285,27 @@
         !gossip.is_empty()
     }
 
-    // The rows known here were the newest at `stamp` of the store, which is `at` here.
+    // Records that the rows known here were current at the store's time `stamp`, which is `at` on this
+    // gateway's clock.
     fn confirm(&self, topic: Topic, stamp: Duration, at: Duration) {
-        let mut known = self.known.borrow_mut();
-        let followed = known.followed_mut(topic);
+        let mut state = self.state.borrow_mut();
+        let followed = state.followed_mut(topic);
         followed.confirmed = followed.confirmed.max(stamp);
         followed.follower.confirmed(at);
-        let in_force = known.configuration.is_some() && known.is_configuration_current;
+        let in_force = state.configuration.is_some() && state.is_configuration_current;
         if topic == Topic::Configuration && in_force {
-            // Behind the configuration that it confirms: until that is in force there, requests go by the one before, and
-            // its keys may not be taken for confirmed.
+            // Sent after the configuration that it confirms. Until the traffic thread has applied that one, it
+            // uses the previous configuration, whose keys must not count as confirmed.
             self.update(Update::Confirmed(at));
         }
     }
 
-    /// Another gateway reported how far it knows a topic. `is_far` says that it lies in another region.
+    /// Handles another gateway's report of its copy of a topic. `is_far` is set if that gateway is in another
+    /// region.
     pub fn receive_digest(&self, topic: Topic, reported: Digest, from: SocketAddr, is_far: bool) {
         let now = self.clock.now();
-        let mut known = self.known.borrow_mut();
-        let followed = known.followed_mut(topic);
+        let mut state = self.state.borrow_mut();
+        let followed = state.followed_mut(topic);
         if !followed.table.has_changes_up_to(reported.changed_at) {
             if is_far && !followed.follower.can_pull_from_other_region(now) {
                 return;
@@ -311,35 +316,35 @@
             followed.wake.notify_one();
             return;
         }
-        drop(known);
+        drop(state);
         self.confirm_digest(topic, reported);
     }
 
-    /// What another gateway reported confirms the rows known here, unless a change is missing.
+    /// Confirms the rows known here by another gateway's report, unless a change is missing here.
     pub fn confirm_digest(&self, topic: Topic, reported: Digest) {
         let now = self.clock.now();
-        let mut known = self.known.borrow_mut();
-        let moment = known.store_clock.moment(reported.confirmed, now);
-        let followed = known.followed_mut(topic);
+        let mut state = self.state.borrow_mut();
+        let moment = state.store_clock.moment(reported.confirmed, now);
+        let followed = state.followed_mut(topic);
         if !followed.table.is_confirmed_by(&reported) {
             return;
         }
         followed.table.advance(reported.known_to);
         let is_newer = reported.confirmed > followed.confirmed;
-        drop(known);
+        drop(state);
         if let Some(at) = moment.filter(|_| is_newer) {
             self.confirm(topic, reported.confirmed, at);
         }
     }
 
-    fn note_failure(&self, topic: Topic, error: &StoreError) {
+    fn record_failure(&self, topic: Topic, error: &StoreError) {
         let now = self.clock.now();
-        let mut known = self.known.borrow_mut();
-        let followed = known.followed_mut(topic);
+        let mut state = self.state.borrow_mut();
+        let followed = state.followed_mut(topic);
         if *error == StoreError::Overtaken {
             return;
         }
-        // That is an answer: whoever reads for others goes on, with all rows.
+        // The store answered, so this gateway continues to read it for others, starting with a full list.
         if *error == StoreError::HistoryGone {
             info!(self.log, "history of the store is gone"; "topic" => ?topic,
                 "known_to" => followed.table.known_to().map(|known_to| known_to.number),
@@ -350,21 +355,22 @@
         }
         self.metrics.count(Counter::PlatformUnanswered);
         followed.follower.store_failed(now);
-        if !std::mem::replace(&mut followed.reported_missing, true) {
+        if !std::mem::replace(&mut followed.is_failure_logged, true) {
             warn!(self.log, "store does not answer"; "topic" => ?topic, "cause" => %error);
         }
     }
 }
 
-fn largest(changes: &[Change]) -> Option<usize> {
+fn largest_value(changes: &[Change]) -> Option<usize> {
     let values = changes.iter().filter_map(|change| change.value.as_ref());
     values.map(Vec::len).max()
 }
 
-// Large rows would fill the links between gateways; the next change is taken to be as large as the last one, and to shrink as
-// rows do that name the same fields over and over. Where it doesn't, the gateway that is asked refuses, and the store is.
-fn first_asked(bytes: usize) -> PreferredSource {
-    match bytes <= MOST_PASSED_ON * SHRINKS_BY {
+// Large rows would fill the links between gateways. The next change is assumed to be as large as the last one,
+// and to compress like rows that repeat the same field names. If it does not, the peer refuses to send it and
+// it is read from the store.
+fn preferred_source(bytes: usize) -> PreferredSource {
+    match bytes <= MAX_REPLY_BYTES * ASSUMED_COMPRESSION_RATIO {
         true => PreferredSource::Peer,
         false => PreferredSource::Store,
     }
--- a/components/gateway/src/control/lease.rs
+++ b/components/gateway/src/control/lease.rs
@@ -1,4 +1,5 @@
-//! Who carries out the duties: the lease, and how it is given up and followed.
+//! The lease of the duties (usage reports, endpoint orders, roll-outs): how it is acquired, renewed and
+//! released.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -8,28 +9,30 @@
 use slog::info;
 use state::{LeaseAction, LeaseEvent, Reply, TableCall};
 
-use crate::control::{Known, Shared};
+use crate::control::{ControlState, Shared};
 use crate::listing::can_decide_without_list;
 use crate::ports::{DutyHolder, OrderReply, Orders, ReadRow, Store, StoreError, Topic};
 
-/// Others look at the lease only if its holder was not heard for this long.
-const HOLDER_SILENCE: Duration = Duration::from_millis(2500);
-/// A holder whose last renewal is older than this gives the lease up if the store answers others: one
-/// renewal and one more try, by the pause between renewals (1 s) and the time of a call.
-const UNRENEWED: Duration = Duration::from_millis(1700);
-/// An order without an answer may be carried out for this long: the pages say "seconds" and give no figure.
-const LATE_ORDER: Duration = Duration::from_secs(5);
-/// For how long only those that read the store look at a lease that was given up, or whose holder is silent.
-const FIRST_FOLLOWERS_TIME: Duration = Duration::from_secs(1);
-
-/// Orders of this gateway that may not have ended yet.
+/// Time without a message of the holder after which other gateways try to acquire the lease.
+const HOLDER_TIMEOUT: Duration = Duration::from_millis(2500);
+/// Age of the last renewal after which the holder releases the lease if the store answers other gateways: the
+/// pause between renewals (1 s), one retry and the time of a call.
+const MAX_RENEWAL_AGE: Duration = Duration::from_millis(1700);
+/// Time for which an unanswered order may still be carried out. The platform documentation says "seconds" and
+/// gives no figure.
+const UNANSWERED_ORDER_LIFETIME: Duration = Duration::from_secs(5);
+/// Time after a release, or after the holder falls silent, in which only the gateways that read the store try
+/// to acquire the lease.
+const STORE_READERS_HEAD_START: Duration = Duration::from_secs(1);
+
+/// Orders of this gateway that may still take effect.
 #[derive(Debug, Default)]
-pub(crate) struct OrdersUnderWay {
+pub(crate) struct OrdersInFlight {
     count: u32,
     unanswered_at: Option<Duration>,
 }
 
-impl OrdersUnderWay {
+impl OrdersInFlight {
     pub fn sent(&mut self) {
         self.count += 1;
     }
@@ -41,33 +44,33 @@
         }
     }
 
-    // Whether none is under way, nor one without an answer that may yet be carried out.
-    fn are_settled(&self, now: Duration) -> bool {
-        let late = self.unanswered_at;
-        self.count == 0 && late.is_none_or(|at| now >= at + LATE_ORDER)
+    // Whether no order is in flight and no unanswered order can still be carried out.
+    fn is_settled(&self, now: Duration) -> bool {
+        let unanswered_at = self.unanswered_at;
+        self.count == 0 && unanswered_at.is_none_or(|at| now >= at + UNANSWERED_ORDER_LIFETIME)
     }
 }
 
 impl<S: Store + 'static, O: Orders + 'static> Shared<S, O> {
-    /// One step of the lease.
+    /// Renews, acquires or releases the lease as needed.
     pub fn tick_lease(self: &Rc<Self>, now: Duration) {
-        let mut known = self.known.borrow_mut();
-        let settings = &known.settings;
-        let has_rollouts = !known.rollouts.orders.is_empty();
+        let mut state = self.state.borrow_mut();
+        let settings = &state.settings;
+        let has_rollouts = !state.rollouts.orders.is_empty();
         let has_duties = settings.reports_usage || settings.orders_endpoints || has_rollouts;
         if !has_duties {
             return;
         }
-        if self.is_to_give_up(now, &known) {
-            let actions = known.lease.step(now, LeaseEvent::GiveUp);
-            drop(known);
+        if self.should_release_lease(now, &state) {
+            let actions = state.lease.step(now, LeaseEvent::GiveUp);
+            drop(state);
             info!(self.log, "lease given up"; "stopping" => self.freshness.is_stopping());
-            self.act(actions);
+            self.perform_lease_actions(actions);
             self.urgent.notify_one();
             return;
         }
-        let holds = known.lease.order_epoch(now).is_some();
-        if self.freshness.is_stopping() || (!holds && !self.is_candidate(now, &known)) {
+        let holds = state.lease.order_epoch(now).is_some();
+        if self.freshness.is_stopping() || (!holds && !self.is_candidate(now, &state)) {
             return;
         }
         let write_id = format!("{}-{}", self.source.incarnation, now.as_micros());
@@ -75,51 +78,52 @@
             write_id,
             is_candidate: true,
         };
-        let actions = known.lease.step(now, event);
-        drop(known);
-        self.act(actions);
+        let actions = state.lease.step(now, event);
+        drop(state);
+        self.perform_lease_actions(actions);
     }
 
-    // Whether another gateway should hold the lease: this one stops, or the store answers others and not
-    // this one. Never while an order may still be on its way.
-    fn is_to_give_up(&self, now: Duration, known: &Known) -> bool {
-        let Some(unrenewed) = known.lease.time_since_renewal(now) else {
+    // Whether another gateway should hold the lease: this one stops, or the store answers others but not this
+    // one. Never while an order may still take effect.
+    fn should_release_lease(&self, now: Duration, state: &ControlState) -> bool {
+        let Some(renewal_age) = state.lease.time_since_renewal(now) else {
             return false;
         };
-        let turned_away = unrenewed >= UNRENEWED && known.peers.others_reach_store(now);
-        (self.freshness.is_stopping() || turned_away) && known.orders.are_settled(now)
+        let is_cut_off = renewal_age >= MAX_RENEWAL_AGE && state.peers.can_others_reach_store(now);
+        (self.freshness.is_stopping() || is_cut_off) && state.orders.is_settled(now)
     }
 
-    // Those that read the store look at the lease once its holder is silent, the other coordinators a little later, so that
-    // not all write at once; gateways that do not coordinate only if there is no coordinator.
-    fn is_candidate(&self, now: Duration, known: &Known) -> bool {
-        let peers = &known.peers;
-        let may_lead = match peers.coordinates(now) {
-            // Until it has read who else runs, each of a fleet that starts at once takes itself for a coordinator.
+    // The gateways that read the store try to acquire the lease once its holder is silent. The other
+    // coordinators wait longer, so that not all write at once. Gateways that are not coordinators try only if
+    // no coordinator is alive.
+    fn is_candidate(&self, now: Duration, state: &ControlState) -> bool {
+        let peers = &state.peers;
+        let is_eligible = match peers.is_coordinator(now) {
+            // When all gateways start at once, each regards itself as a coordinator until it has read the list.
             true => {
-                peers.knows_own_hall() || can_decide_without_list(now, known.list_refused, true)
+                peers.has_own_hall_list() || can_decide_without_list(now, state.list_refused, true)
             }
             false => !peers.has_live_coordinator(now),
         };
-        let is_first = known.watches_store(now);
-        let waits = peers.given_up_within(now, FIRST_FOLLOWERS_TIME)
-            || peers.holder_alive(now, HOLDER_SILENCE + FIRST_FOLLOWERS_TIME)
+        let reads_store = state.is_store_reader(now);
+        let must_wait = peers.was_given_up_within(now, STORE_READERS_HEAD_START)
+            || peers.is_holder_alive(now, HOLDER_TIMEOUT + STORE_READERS_HEAD_START)
             || !peers.has_waited_for_coordinators(now);
-        may_lead && (is_first || !waits) && !peers.holder_alive(now, HOLDER_SILENCE)
+        is_eligible && (reads_store || !must_wait) && !peers.is_holder_alive(now, HOLDER_TIMEOUT)
     }
 
-    pub fn act(self: &Rc<Self>, actions: Vec<LeaseAction>) {
+    pub fn perform_lease_actions(self: &Rc<Self>, actions: Vec<LeaseAction>) {
         for action in actions {
             match action {
                 LeaseAction::Gained(epoch) => {
                     info!(self.log, "lease gained"; "epoch" => epoch);
-                    let mut known = self.known.borrow_mut();
-                    known.lease_held_since = Some(self.clock.wall_time());
-                    known.scalers.values_mut().for_each(Scaler::forget_orders);
+                    let mut state = self.state.borrow_mut();
+                    state.lease_held_since = Some(self.clock.wall_time());
+                    state.scalers.values_mut().for_each(Scaler::forget_orders);
                 }
                 LeaseAction::Lost => {
                     info!(self.log, "lease lost");
-                    self.known.borrow_mut().lease_held_since = None;
+                    self.state.borrow_mut().lease_held_since = None;
                 }
                 LeaseAction::Call { call, table } => {
                     let shared = Rc::clone(self);
@@ -127,8 +131,8 @@
                         let (era, reply) = shared.call_table(&table).await;
                         let now = shared.clock.now();
                         let event = LeaseEvent::Replied { call, era, reply };
-                        let actions = shared.known.borrow_mut().lease.step(now, event);
-                        shared.act(actions);
+                        let actions = shared.state.borrow_mut().lease.step(now, event);
+                        shared.perform_lease_actions(actions);
                     });
                 }
             }
@@ -146,7 +150,8 @@
                 let Some(write) = writes.first() else {
                     return (None, Reply::Refused);
                 };
-                // The store compares only numbers; `Lease` expects only versions of the era that it knows.
+                // The store compares only the numbers of revisions. `Lease` expects only versions of the era
+                // that it knows.
                 let expected = Revision::new(0, write.expect);
                 let written = self
                     .store
@@ -167,20 +172,20 @@
         }
     }
 
-    // The holder as it is named on an order sent now, if this gateway may give one.
+    // The holder with the fencing token for an order sent now, if this gateway may send one.
     pub fn holder(&self) -> Option<DutyHolder> {
-        let known = self.known.borrow();
-        let fence = known.lease.order_epoch(self.clock.now())?;
+        let state = self.state.borrow();
+        let fence = state.lease.order_epoch(self.clock.now())?;
         Some(DutyHolder {
             gateway: self.source.gateway.clone(),
             fence,
         })
     }
 
-    pub fn note_order_end(&self, reply: OrderReply) {
+    pub fn record_order_end(&self, reply: OrderReply) {
         let now = self.clock.now();
         let answered = reply != OrderReply::Unanswered;
-        self.known.borrow_mut().orders.ended(now, answered);
+        self.state.borrow_mut().orders.ended(now, answered);
     }
 }
 
--- a/components/gateway/src/control/quarantine.rs
+++ b/components/gateway/src/control/quarantine.rs
@@ -1,6 +1,6 @@
-//! Observations of contents that end their endpoints: heard and passed on.
+//! Exchange of the quarantine and of observations of contents that end their endpoints.
 //!
-//! Gateways that coordinate tell each other each end; all others hear what is held back.
+//! Coordinators report each observation to each other; all other gateways receive only what is quarantined.
 
 use std::collections::VecDeque;
 use std::time::Duration;
@@ -9,20 +9,21 @@
 use schema::messages::{ContentReport, Gossip, HeldContent};
 use slog::warn;
 
-use crate::control::{Known, Shared};
+use crate::control::{ControlState, Shared};
 use crate::ports::{Orders, Store};
 use crate::update::Update;
 
-/// Messages in which each observation is sent, so that a lost one is made good.
-const SENDS: u8 = 3;
-/// Observations in one message, so that it fits into one datagram: some 20 bytes each.
-const MOST_OBSERVATIONS: usize = 60;
-/// Observations that wait to be sent; those that were sent before give way. 100 endpoints that end at once leave some 2,000.
-const MOST_WAITING: usize = 2048;
-/// Contents held back that one message names: some 30 bytes each.
-const MOST_HELD: usize = 16;
-
-/// Observations on their way to the other gateways.
+/// Count of messages in which each observation is sent, to compensate for lost ones.
+const SENDS_PER_OBSERVATION: u8 = 3;
+/// Upper limit of observations in one message, so that it fits into one datagram; each takes some 20 bytes.
+const MAX_OBSERVATIONS: usize = 60;
+/// Upper limit of queued observations; those that were already sent are dropped first. 100 endpoints that end
+/// at once leave some 2,000 observations.
+const MAX_WAITING: usize = 2048;
+/// Upper limit of quarantined contents in one message; each takes some 30 bytes.
+const MAX_HELD: usize = 16;
+
+/// Observations that are to be sent to the other gateways.
 #[derive(Debug, Default)]
 pub(crate) struct ObservationQueue {
     waiting: VecDeque<(Observation, u8)>,
@@ -30,28 +31,33 @@
 }
 
 impl ObservationQueue {
-    /// Adds an observation that is to be sent.
+    /// Adds an observation.
     pub fn add(&mut self, observation: Observation) {
-        if self.waiting.len() >= MOST_WAITING {
+        if self.waiting.len() >= MAX_WAITING {
             self.waiting.pop_back();
         }
-        // New ones go first: behind thousands of old ones they would come after the time within which all are to know.
-        self.waiting.push_front((observation, SENDS));
+        // New observations go first: behind thousands of old ones they would arrive after the time within which
+        // all gateways must know of them.
+        self.waiting
+            .push_front((observation, SENDS_PER_OBSERVATION));
         self.has_new = true;
     }
 
-    /// Whether some were added since the last look.
-    pub fn take_new(&mut self) -> bool {
+    /// Whether observations were added since the last call.
+    pub fn take_has_new(&mut self) -> bool {
         std::mem::take(&mut self.has_new)
     }
 
-    /// The observations of the next message.
+    /// The observations for the next message; `None` if there are none.
     pub fn next(&mut self) -> Option<Vec<ContentReport>> {
-        let count = self.waiting.len().min(MOST_OBSERVATIONS);
+        let count = self.waiting.len().min(MAX_OBSERVATIONS);
         let sent: Vec<_> = self.waiting.drain(..count).collect();
-        let again = sent.iter().filter(|(_, left)| *left > 1);
-        self.waiting
-            .extend(again.map(|(observation, left)| (*observation, left - 1)));
+        let again = sent
+            .iter()
+            .filter(|(_, remaining_sends)| *remaining_sends > 1);
+        self.waiting.extend(
+            again.map(|(observation, remaining_sends)| (*observation, remaining_sends - 1)),
+        );
         let reports = sent
             .iter()
             .map(|(observation, _)| reported_observation(*observation));
@@ -60,83 +66,90 @@
 }
 
 impl<S: Store + 'static, O: Orders + 'static> Shared<S, O> {
-    /// Takes what the traffic thread saw.
-    pub fn take_own_observations(&self, known: &mut Known, observations: Vec<Observation>) {
+    /// Records observations of the traffic thread.
+    pub fn record_own_observations(
+        &self,
+        state: &mut ControlState,
+        observations: Vec<Observation>,
+    ) {
         let now = self.clock.now();
         for observation in observations {
-            if known.take_observation(now, observation).changes_hold {
+            if state.apply_observation(now, observation).changes_hold {
                 self.urgent.notify_one();
             }
-            known.observations.add(observation);
+            state.observations.add(observation);
         }
     }
 
-    /// Takes what another gateway saw and holds back.
+    /// Records another gateway's observations and quarantine.
     pub fn receive_contents(&self, gossip: &Gossip) {
         let now = self.clock.now();
-        let mut known = self.known.borrow_mut();
-        // Those that coordinate tell all others themselves.
-        let passes_on = gossip.coordinates == Some(false);
-        let mut news = Vec::new();
+        let mut state = self.state.borrow_mut();
+        // Coordinators report to all others themselves, so only observations of other gateways are passed on.
+        let should_forward = gossip.coordinates == Some(false);
+        let mut new_observations = Vec::new();
         let mut is_urgent = false;
         for reported in gossip.contents.iter().flatten() {
             let observation = received_observation(reported);
-            let taken = known.take_observation(now, observation);
-            is_urgent |= taken.changes_hold;
-            if taken.is_news {
-                news.push(observation);
-                if passes_on {
-                    known.observations.add(observation);
+            let effect = state.apply_observation(now, observation);
+            is_urgent |= effect.changes_hold;
+            if effect.is_new {
+                new_observations.push(observation);
+                if should_forward {
+                    state.observations.add(observation);
                 }
             }
         }
         let held = gossip.held.iter().flatten().map(|held| received_held(held));
         let changed: Vec<Held> = held
-            .filter(|held| known.quarantine.merge_held(now, *held))
+            .filter(|held| state.quarantine.merge_held(now, *held))
             .collect();
-        drop(known);
+        drop(state);
         if is_urgent || !changed.is_empty() {
             self.urgent.notify_one();
         }
-        self.tell_traffic(news, changed);
+        self.send_to_traffic(new_observations, changed);
     }
 
-    pub(super) fn tell_traffic(&self, observations: Vec<Observation>, held: Vec<Held>) {
+    pub(super) fn send_to_traffic(&self, observations: Vec<Observation>, held: Vec<Held>) {
         let updates = [
             (!observations.is_empty()).then_some(Update::Observations(observations)),
             (!held.is_empty()).then_some(Update::Held(held)),
         ];
         for update in updates.into_iter().flatten() {
             if self.updates.send(update).is_err() {
-                warn!(self.log, "the traffic thread is gone");
+                warn!(
+                    self.log,
+                    "update not delivered; the traffic thread has ended"
+                );
             }
         }
     }
 }
 
-// What an observation changed.
-struct Taken {
-    is_news: bool,
-    // Whether its content is held back since then, or let go.
+// Effect of an observation.
+struct ObservationEffect {
+    is_new: bool,
+    // Whether its content became quarantined, or is no longer.
     changes_hold: bool,
 }
 
-impl Known {
-    fn take_observation(&mut self, now: Duration, observation: Observation) -> Taken {
+impl ControlState {
+    fn apply_observation(&mut self, now: Duration, observation: Observation) -> ObservationEffect {
         let (Observation::Ended { content, .. } | Observation::Completed(content)) = observation;
         let was_held = self.quarantine.remaining_hold(now, content).is_some();
-        let is_news = self.quarantine.record(now, observation);
+        let is_new = self.quarantine.record(now, observation);
         let is_held = self.quarantine.remaining_hold(now, content).is_some();
-        Taken {
-            is_news,
+        ObservationEffect {
+            is_new,
             changes_hold: is_held != was_held,
         }
     }
 
-    /// What is held back, as it is reported.
+    /// Report of the quarantined contents; `None` if there are none.
     pub fn held_to_send(&self, now: Duration) -> Option<Vec<HeldContent>> {
         let turn = self.sending.turn();
-        let held = self.quarantine.held_to_report(now, turn, MOST_HELD);
+        let held = self.quarantine.held_to_report(now, turn, MAX_HELD);
         let reports = held.iter().map(held_report);
         (!held.is_empty()).then(|| reports.collect())
     }
@@ -164,7 +177,7 @@
 
 fn held_report(held: &Held) -> HeldContent {
     let left_ms = held.remaining.as_millis().min(i64::MAX as u128) as i64;
-    HeldContent::new(held.content.0 as i64, left_ms, times_of(held))
+    HeldContent::new(held.content.0 as i64, left_ms, reported_hold_count(held))
 }
 
 fn received_held(reported: &HeldContent) -> Held {
@@ -175,7 +188,7 @@
     }
 }
 
-/// How often a content was held back, as it is reported.
-pub(super) fn times_of(held: &Held) -> i32 {
+/// How often a content was quarantined, for a report.
+pub(super) fn reported_hold_count(held: &Held) -> i32 {
     held.hold_count.min(i32::MAX as u32) as i32
 }
--- a/components/gateway/src/control/rows.rs
+++ b/components/gateway/src/control/rows.rs
@@ -1,4 +1,4 @@
-//! Rows of the store, taken into force.
+//! Applies rows of the store.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -15,32 +15,32 @@
 use crate::update::Update;
 
 impl<S: Store + 'static, O: Orders + 'static> Shared<S, O> {
-    /// Takes a row that the operator wrote.
-    pub fn take_operator_row(&self, change: &Change, stamp: Duration) {
+    /// Applies a row that the operator wrote.
+    pub fn apply_operator_row(&self, change: &Change, stamp: Duration) {
         if change.key == self.store.configuration_key() {
-            self.take_configuration(change);
+            self.apply_configuration(change);
         } else if let Some(service) = self.store.rollout_service(&change.key) {
-            self.take_order(&service, change, stamp);
+            self.apply_rollout_order(&service, change, stamp);
         }
     }
 
-    /// Takes a row that the operator wrote, from the first list of a restored store. A row that lacks the known order of
-    /// its service, or holds another one, is deferred, as the operator may rewrite the order.
-    pub fn take_restored_operator_row(&self, change: &Change, stamp: Duration) {
+    /// Applies a row that the operator wrote, from the first list of a restored store. A row that lacks the
+    /// known order of its service, or holds another one, is deferred, as the operator may rewrite the order.
+    pub fn apply_restored_operator_row(&self, change: &Change, stamp: Duration) {
         let now = self.clock.now();
         let service = self.store.rollout_service(&change.key);
-        let mut known = self.known.borrow_mut();
-        let known_order = service.and_then(|service| known.rollouts.orders.get(&service));
+        let mut state = self.state.borrow_mut();
+        let known_order = service.and_then(|service| state.rollouts.orders.get(&service));
         let is_different =
             known_order.is_some_and(|known| !self.matches_order(change, &known.order));
         if is_different {
-            known
+            state
                 .departures
                 .defer_row(now, Topic::Configuration, &change.key);
             return;
         }
-        drop(known);
-        self.take_operator_row(change, stamp);
+        drop(state);
+        self.apply_operator_row(change, stamp);
     }
 
     // Whether a row holds the same request as a known order.
@@ -50,9 +50,9 @@
         read.is_some_and(|read| read.is_same_request(known))
     }
 
-    fn take_order(&self, service: &str, change: &Change, stamp: Duration) {
+    fn apply_rollout_order(&self, service: &str, change: &Change, stamp: Duration) {
         let Some(value) = &change.value else {
-            self.known.borrow_mut().rollouts.orders.remove(service);
+            self.state.borrow_mut().rollouts.orders.remove(service);
             info!(self.log, "roll-out withdrawn"; "service" => service, "revision" => change.revision.number);
             let _ = self
                 .updates
@@ -62,9 +62,9 @@
         match self.store.rollout_order(value, change.revision.number) {
             Ok(order) => {
                 let era = change.revision.era;
-                let mut known = self.known.borrow_mut();
-                let order_change = known.rollouts.order(order.clone(), era, stamp);
-                drop(known);
+                let mut state = self.state.borrow_mut();
+                let order_change = state.rollouts.apply_order(order.clone(), era, stamp);
+                drop(state);
                 if order_change == OrderChange::Unchanged {
                     return;
                 }
@@ -82,67 +82,67 @@
                 self.update(Update::RolloutOrdered(order));
             }
             Err(fault) => {
-                warn!(self.log, "order of a roll-out not readable, it is not carried out";
+                warn!(self.log, "roll-out order not readable; it is not carried out";
                 "service" => service, "revision" => change.revision.number, "cause" => fault.0)
             }
         }
     }
 
-    fn take_configuration(&self, change: &Change) {
-        let mut known = self.known.borrow_mut();
-        known.is_configuration_current = false;
+    fn apply_configuration(&self, change: &Change) {
+        let mut state = self.state.borrow_mut();
+        state.is_configuration_current = false;
         let Some(value) = &change.value else {
             return;
         };
         let configuration = match self.store.configuration(value) {
             Ok(configuration) => configuration,
             Err(fault) => {
-                warn!(self.log, "configuration not readable; the old one stays in force and is not confirmed";
+                warn!(self.log, "configuration not readable; the previous one stays in force and is not confirmed";
                     "revision" => change.revision.number, "cause" => fault.0);
                 return;
             }
         };
-        let in_force = known.configuration.as_ref().map(|c| c.version);
+        let in_force = state.configuration.as_ref().map(|c| c.version);
         if in_force.is_some_and(|version| version > configuration.version) {
             info!(self.log, "configuration older than the one in force; ignored and not confirmed";
                 "version" => configuration.version, "in_force" => in_force,
                 "era" => change.revision.era, "revision" => change.revision.number);
             return;
         }
-        known.is_configuration_current = true;
+        state.is_configuration_current = true;
         if in_force == Some(configuration.version) {
             return;
         }
         let configuration = Arc::new(configuration);
-        known.configuration = Some(Arc::clone(&configuration));
+        state.configuration = Some(Arc::clone(&configuration));
         let _ = self.updates.send(Update::Configuration(configuration));
     }
 
-    /// Takes the row of an endpoint.
-    pub fn take_endpoint(&self, change: &Change) {
-        self.take_endpoint_row(change, false);
+    /// Applies the row of an endpoint.
+    pub fn apply_endpoint(&self, change: &Change) {
+        self.apply_endpoint_row(change, false);
     }
 
-    /// Takes the row of an endpoint from the first list of a restored store. The row may be outdated, or missing while
-    /// the endpoint is running.
-    pub fn take_restored_endpoint(&self, change: &Change) {
+    /// Applies the row of an endpoint from the first list of a restored store. The row may be outdated, or
+    /// missing while the endpoint is running.
+    pub fn apply_restored_endpoint(&self, change: &Change) {
         let now = self.clock.now();
-        let mut known = self.known.borrow_mut();
-        let is_ready = known
+        let mut state = self.state.borrow_mut();
+        let is_ready = state
             .endpoints
             .get(&change.key)
             .is_some_and(Endpoint::is_ready);
         if change.value.is_none() && is_ready {
-            known
+            state
                 .departures
                 .defer_row(now, Topic::Endpoints, &change.key);
             return;
         }
-        drop(known);
-        self.take_endpoint_row(change, true);
+        drop(state);
+        self.apply_endpoint_row(change, true);
     }
 
-    fn take_endpoint_row(&self, change: &Change, is_from_restored_list: bool) {
+    fn apply_endpoint_row(&self, change: &Change, is_from_restored_list: bool) {
         let era = change.revision.era;
         let Some(value) = &change.value else {
             self.drop_endpoint(&change.key, era);
@@ -151,7 +151,8 @@
         let endpoint = match self.store.endpoint(&change.key, value) {
             Ok(endpoint) => endpoint,
             Err(fault) => {
-                // It may be another writer's: it names no endpoint, not even the one that it named before.
+                // Another writer may have written the row. It describes no endpoint, so the one that it
+                // described before is dropped too.
                 self.metrics.count(Counter::EntriesPassedOver);
                 warn!(self.log, "entry passed over"; "endpoint" => &change.key,
                     "revision" => change.revision.number, "cause" => fault.0);
@@ -160,17 +161,17 @@
             }
         };
         let now = self.clock.now();
-        let mut known = self.known.borrow_mut();
+        let mut state = self.state.borrow_mut();
         if !endpoint.is_ready() {
-            known.departures.record_draining(now, &endpoint, era);
+            state.departures.record_draining(now, &endpoint, era);
         }
-        let endpoint = known
+        let endpoint = state
             .departures
             .apply_departure(now, endpoint, era, is_from_restored_list);
-        if known.endpoints.get(&change.key) == Some(&endpoint) {
+        if state.endpoints.get(&change.key) == Some(&endpoint) {
             return;
         }
-        let known_start = known.endpoints.get(&change.key);
+        let known_start = state.endpoints.get(&change.key);
         let is_new_start = known_start.is_some_and(|known| !known.is_same_start(&endpoint));
         info!(self.log, "endpoint changed"; "endpoint" => &change.key,
             "service" => &endpoint.service, "state" => ?endpoint.state, "born_ms" => endpoint.born_ms,
@@ -178,15 +179,15 @@
         if !endpoint.is_ready() {
             self.endpoint_lost.notify_one();
         }
-        known.endpoints.insert(change.key.clone(), endpoint.clone());
+        state.endpoints.insert(change.key.clone(), endpoint.clone());
         let _ = self.updates.send(Update::Endpoint(endpoint));
     }
 
     fn drop_endpoint(&self, id: &str, era: u64) {
         let now = self.clock.now();
-        let mut known = self.known.borrow_mut();
-        if let Some(endpoint) = known.endpoints.remove(id) {
-            known.departures.record_dropped(now, &endpoint, era);
+        let mut state = self.state.borrow_mut();
+        if let Some(endpoint) = state.endpoints.remove(id) {
+            state.departures.record_dropped(now, &endpoint, era);
             info!(self.log, "endpoint gone"; "endpoint" => id);
             self.endpoint_lost.notify_one();
             let _ = self.updates.send(Update::EndpointGone(id.to_string()));
--- a/components/gateway/src/decisions.rs
+++ b/components/gateway/src/decisions.rs
@@ -17,7 +17,7 @@
 
 use crate::job::Job;
 use crate::limit_reports::received_limits;
-use crate::peers::Fleet;
+use crate::peers::GatewayFleet;
 use crate::pending_replies::PendingReplies;
 use crate::sights::slowdown_of;
 use crate::traffic::Traffic;
@@ -77,10 +77,10 @@
 
 impl DecisionQueries {
     // The coordinators in the order in which they are asked; those that did not reply recently come last.
-    fn query_order(&self, now: Duration, fleet: &Fleet) -> Vec<SocketAddr> {
+    fn query_order(&self, now: Duration, fleet: &GatewayFleet) -> Vec<SocketAddr> {
         let mut unresponsive_until = self.unresponsive_until.borrow_mut();
         unresponsive_until.retain(|_, until| now < *until);
-        let mut query_order = [fleet.coordinators.as_slice(), &fleet.others].concat();
+        let mut query_order = [fleet.coordinators.as_slice(), &fleet.fallback_deciders].concat();
         query_order.sort_by_key(|address| unresponsive_until.contains_key(address));
         query_order.truncate(MAX_COORDINATORS_ASKED);
         query_order
@@ -278,7 +278,12 @@
         coordinator: SocketAddr,
         query: DecisionQuery,
     ) -> Option<DecisionReply> {
-        let is_in_other_region = self.state.borrow().fleet.far.contains(&coordinator);
+        let is_in_other_region = self
+            .state
+            .borrow()
+            .fleet
+            .far_deciders
+            .contains(&coordinator);
         let reply_timeout = match is_in_other_region {
             true => OTHER_REGION_REPLY_TIMEOUT,
             false => REPLY_TIMEOUT,
--- a/components/gateway/src/handler.rs
+++ b/components/gateway/src/handler.rs
@@ -119,7 +119,7 @@
         let now = self.clock.now();
         let mut state = self.state.borrow_mut();
         let tenant = job.tenant.as_deref().unwrap_or_default();
-        let max_wait = match state.fleet.is_alone() {
+        let max_wait = match state.fleet.is_isolated() {
             true => MAX_ALONE_RETRY,
             false => Duration::MAX,
         };
--- a/components/gateway/src/lib.rs
+++ b/components/gateway/src/lib.rs
@@ -50,13 +50,14 @@
 mod wall_clock;
 
 pub use clock::Clock;
-pub use control::{inflate, round_trip, Echoes, Encoded, LastDeflated};
+pub use control::{inflate, round_trip, DeflatedReplyCache, Echoes, EncodedReply};
 pub use coordinator_contact::CoordinatorContact;
 pub use events::{Event, EventSplitter, SplitError};
 pub use freshness::Freshness;
 pub use link_parts::link_parts;
 pub use peers::{
-    is_recent, AccountKeeper, Fleet, Greeting, HallCount, Listed, PeerCount, Peers, Receipt,
+    has_started_recently, AccountKeeper, GatewayFleet, HallCount, ListedGateway, PeerCount,
+    PeerStatus, Peers, Receipt,
 };
 pub use run::{run, Gateway, GatewayError, Listening, Parts, ReadSettings, Signals};
 pub use wall_clock::{WallClockEstimate, WallClockReading};
--- a/components/gateway/src/link_parts.rs
+++ b/components/gateway/src/link_parts.rs
@@ -5,7 +5,7 @@
 use limits::{link_part_bytes_per_s, Decider};
 use topology::Topology;
 
-use crate::peers::COORDINATORS;
+use crate::peers::COORDINATORS_PER_HALL;
 
 /// Bytes per second by other region, for links of `kbit` kilobits per second in each direction; empty if that
 /// is 0 (not known), and then only the round trip counts as cost. `gateways` is the largest number ever known:
@@ -37,5 +37,5 @@
 // The number does not fall while the regions are disconnected.
 fn most_coordinators(topology: &Topology, region: &str) -> usize {
     let halls = topology.halls_of(topology.region()).len() + topology.halls_of(region).len();
-    halls * COORDINATORS
+    halls * COORDINATORS_PER_HALL
 }
--- a/components/gateway/src/peers.rs
+++ b/components/gateway/src/peers.rs
@@ -1,4 +1,4 @@
-//! The other gateways: who is heard, who is silent, and where they are. Pure.
+//! The other gateways: which are alive, which are silent, and their addresses. Does no I/O.
 
 mod halls;
 mod peer;
@@ -11,71 +11,72 @@
 use routing::rank;
 use topology::Topology;
 
-pub(crate) use crate::peers::halls::COORDINATORS;
-pub use crate::peers::halls::{AccountKeeper, Fleet, HallCount};
-pub use crate::peers::peer::{Greeting, Listed};
-use crate::peers::peer::{Peer, TRY_ADDRESS_FOR};
+pub(crate) use crate::peers::halls::COORDINATORS_PER_HALL;
+pub use crate::peers::halls::{AccountKeeper, GatewayFleet, HallCount};
+pub use crate::peers::peer::{ListedGateway, PeerStatus};
+use crate::peers::peer::{Peer, ADDRESS_LIFETIME};
 use crate::peers::regions::HallLists;
 
-/// A silent gateway is forgotten after this long.
+/// Time without a message after which a gateway is forgotten.
 const FORGET_AFTER: Duration = Duration::from_secs(20);
-/// Key of the order in which gateways hold calls at the store.
-const WATCH_KEY: u64 = 0x7761_7463;
+/// Hash key of the order in which coordinators keep long polls open at the store.
+const READER_RANK_KEY: u64 = 0x7761_7463;
 
-/// Others that may be running while nothing is known of them.
-const ASSUMED: usize = 100;
-/// A process that started at most this long before this one is recent: whatever it did since its start
-/// still counts.
-const RECENT: Duration = Duration::from_secs(3);
+/// Count of other gateways that is assumed while none is known.
+const ASSUMED_GATEWAYS: usize = 100;
+/// A process that started at most this long before this one counts as recently started: everything it did since
+/// its start still counts.
+const RECENT_START_TOLERANCE: Duration = Duration::from_secs(3);
 
-/// How many gateways there are.
+/// Counts of the other gateways.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct PeerCount {
-    /// Others that are heard.
-    pub heard: usize,
-    /// Others that were heard and are silent now, or were never heard and may be running.
+    /// Gateways from which a recent message was received.
+    pub alive: usize,
+    /// Gateways that fell silent, or that were never heard and may be running.
     pub silent: usize,
 }
 
 impl PeerCount {
-    /// Gateways that may be running, this one included.
+    /// Count of the gateways that may be running, this one included.
     pub fn gateways(self) -> usize {
-        1 + self.heard + self.silent
+        1 + self.alive + self.silent
     }
 
-    /// Part of all gateways that hear each other, this one included.
+    /// Share of all gateways that are alive, this one included.
     pub fn live_part(self) -> f64 {
-        (1 + self.heard) as f64 / self.gateways() as f64
+        (1 + self.alive) as f64 / self.gateways() as f64
     }
 }
 
-/// Whether what another process reported first is all of recent time, by how long each has run.
-pub fn is_recent(own_uptime: Duration, uptime: Duration) -> bool {
-    uptime <= own_uptime + RECENT
+/// Whether a process started so recently that the first totals it reports lie within recent time; both
+/// arguments are times since the start of a process.
+pub fn has_started_recently(own_uptime: Duration, uptime: Duration) -> bool {
+    uptime <= own_uptime + RECENT_START_TOLERANCE
 }
 
-/// What a message of another gateway means.
+/// Effect of a received message.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Receipt {
-    /// It is gossip.
-    Gossip,
-    /// It is older than what is known, or comes twice.
+    /// The message is newer than the known state.
+    Accepted,
+    /// The message is older than the known state, or a duplicate.
     Stale,
 }
 
 /// All other gateways.
 #[derive(Debug)]
 pub struct Peers {
-    own: Listed,
+    own: ListedGateway,
     topology: Topology,
     peers: BTreeMap<String, Peer>,
-    // Addresses learnt from the settings or others, and since when they are tried.
+    // Addresses from the settings or other gateways with no known gateway, and when they were added.
     addresses: BTreeMap<SocketAddr, Duration>,
-    // Whether the store's list of gateways was read, and what of it where it is read by halls.
+    // Whether the store's list of gateways is read; where it is read by halls, `lists` holds the progress.
     listed: bool,
     lists: HallLists,
     lease: Option<HeldLease>,
-    // Newest epoch that its holder gave up, and when that was heard first.
+    // Highest epoch that its holder released, and when the release was first reported.
     given_up: Option<(i64, Duration)>,
 }
 
@@ -83,12 +84,12 @@
 struct HeldLease {
     epoch: i64,
     holder: SocketAddr,
-    heard_at: Duration,
+    reported_at: Duration,
 }
 
 impl Peers {
-    /// Nobody known yet but the gateway itself.
-    pub fn new(own: Listed) -> Self {
+    /// Creates a set that contains no other gateway.
+    pub fn new(own: ListedGateway) -> Self {
         Peers {
             topology: Topology::new(&own.hall, "", &BTreeMap::new()),
             own,
@@ -101,26 +102,26 @@
         }
     }
 
-    /// Takes the regions of all halls.
+    /// Sets the regions of all halls.
     pub fn set_topology(&mut self, topology: Topology) {
         self.topology = topology;
     }
 
-    /// An address at which a gateway may be.
-    pub fn learn(&mut self, now: Duration, address: SocketAddr) {
+    /// Adds an address at which a gateway may run.
+    pub fn add_address(&mut self, now: Duration, address: SocketAddr) {
         let is_known = self.peers.values().any(|peer| peer.address == address);
         if address != self.own.address && !is_known {
             self.addresses.entry(address).or_insert(now);
         }
     }
 
-    /// The store's list of gateways was read.
-    pub fn listed(&mut self, now: Duration, gateways: impl Iterator<Item = Listed>) {
+    /// Applies the store's list of gateways.
+    pub fn apply_list(&mut self, now: Duration, gateways: impl Iterator<Item = ListedGateway>) {
         self.listed = true;
-        self.take_listed(now, gateways);
+        self.add_listed(now, gateways);
     }
 
-    fn take_listed(&mut self, now: Duration, gateways: impl Iterator<Item = Listed>) {
+    fn add_listed(&mut self, now: Duration, gateways: impl Iterator<Item = ListedGateway>) {
         for listed in gateways {
             let is_own = listed.name == self.own.name || listed.address == self.own.address;
             let is_known = self.peers.values().any(|p| p.address == listed.address);
@@ -128,34 +129,34 @@
                 self.addresses.remove(&listed.address);
                 let name = listed.name.clone();
                 let peer = self.peers.entry(name);
-                peer.or_insert_with(|| Peer::listed(now, listed));
+                peer.or_insert_with(|| Peer::from_list(now, listed));
             }
         }
     }
 
-    /// Whether the store's list of gateways was read.
-    pub fn is_listed(&self) -> bool {
+    /// Whether the store's list of gateways is read.
+    pub fn has_complete_list(&self) -> bool {
         self.listed
     }
 
-    /// A message came from a gateway.
-    pub fn receive(&mut self, now: Duration, greeting: Greeting) -> Receipt {
-        let name = greeting.name.clone();
+    /// Records a message of a gateway.
+    pub fn receive(&mut self, now: Duration, status: PeerStatus) -> Receipt {
+        let name = status.name.clone();
         let known = self.peers.get(&name);
-        if known.is_some_and(|known| known.is_past(now, &greeting)) {
+        if known.is_some_and(|known| known.is_outdated(now, &status)) {
             return Receipt::Stale;
         }
-        let address = greeting.address;
+        let address = status.address;
         self.addresses.remove(&address);
         self.peers.retain(|other, peer| {
-            *other == name || peer.address != address || peer.heard.is_some()
+            *other == name || peer.address != address || peer.last_status.is_some()
         });
         let peer = self.peers.entry(name).or_insert_with(|| {
-            let (name, hall) = (greeting.name.clone(), greeting.hall.clone());
-            let (cores_milli, decisions) = (greeting.cores_milli, greeting.decisions);
-            Peer::listed(
+            let (name, hall) = (status.name.clone(), status.hall.clone());
+            let (cores_milli, decisions) = (status.cores_milli, status.decisions);
+            Peer::from_list(
                 now,
-                Listed {
+                ListedGateway {
                     name,
                     address,
                     hall,
@@ -164,33 +165,33 @@
                 },
             )
         });
-        peer.receive(now, greeting);
-        Receipt::Gossip
+        peer.receive(now, status);
+        Receipt::Accepted
     }
 
-    /// Whether this gateway is among the first `count` of the coordinators that are heard and reach the
-    /// store, in an order that all of them agree on.
-    pub fn is_among_first(&self, now: Duration, count: usize) -> bool {
-        if !self.coordinates(now) {
+    /// Whether this gateway is among the first `count` of the live coordinators that reach the store, in an
+    /// order that all of them agree on.
+    pub fn is_among_first_coordinators(&self, now: Duration, count: usize) -> bool {
+        if !self.is_coordinator(now) {
             return false;
         }
-        let heard = self.peers.iter().filter(|(_, peer)| {
-            let greeting = peer.recent(now);
-            greeting.is_some_and(|g| g.coordinates && g.reaches_store)
+        let live = self.peers.iter().filter(|(_, peer)| {
+            let status = peer.recent_status(now);
+            status.is_some_and(|g| g.is_coordinator && g.reaches_store)
         });
         let own = self.own.name.as_str();
-        let names = heard.map(|(name, _)| name.as_str());
-        rank(WATCH_KEY, names.chain([own]), count).contains(&own)
+        let names = live.map(|(name, _)| name.as_str());
+        rank(READER_RANK_KEY, names.chain([own]), count).contains(&own)
     }
 
-    /// Whether a gateway is heard.
+    /// Whether a gateway is alive.
     pub fn is_alive(&self, now: Duration, name: &str) -> bool {
         self.peers.get(name).is_some_and(|peer| peer.is_alive(now))
     }
 
-    /// Whether any coordinator is heard.
+    /// Whether any other coordinator is alive.
     pub fn has_live_coordinator(&self, now: Duration) -> bool {
-        self.peers.values().any(|peer| peer.coordinates(now))
+        self.peers.values().any(|peer| peer.is_coordinator(now))
     }
 
     /// Data hall of the gateway at an address.
@@ -200,77 +201,85 @@
         peer.map(|peer| peer.hall.as_str())
     }
 
-    /// Whether a gateway was heard and has not stopped or been forgotten since.
-    pub fn knows(&self, name: &str) -> bool {
+    /// Whether a gateway is listed or was heard, and has neither stopped nor been forgotten since.
+    pub fn is_known(&self, name: &str) -> bool {
         self.peers.contains_key(name)
     }
 
-    /// A gateway says that it stops.
-    pub fn leave(&mut self, name: &str) {
+    /// Removes a gateway that stops.
+    pub fn remove(&mut self, name: &str) {
         self.peers.remove(name);
     }
 
-    /// Another gateway holds the lease under this epoch.
+    /// Records that another gateway holds the lease under this epoch.
     pub fn receive_lease(&mut self, now: Duration, epoch: i64, holder: SocketAddr) {
         if self.lease.is_none_or(|known| epoch >= known.epoch) {
             self.lease = Some(HeldLease {
                 epoch,
                 holder,
-                heard_at: now,
+                reported_at: now,
             });
         }
     }
 
-    /// Epoch of the lease that was heard last, and where its holder is reached.
+    /// Latest known epoch of the lease, and its holder's address.
     pub fn lease_holder(&self) -> Option<(i64, SocketAddr)> {
         self.lease.map(|lease| (lease.epoch, lease.holder))
     }
 
-    /// The holder of the lease under this epoch gave it up.
-    pub fn receive_given_up(&mut self, now: Duration, epoch: i64) {
+    /// Records that the holder of the lease under this epoch released it.
+    pub fn receive_give_up(&mut self, now: Duration, epoch: i64) {
         if self.given_up.is_none_or(|(known, _)| epoch > known) {
             self.given_up = Some((epoch, now));
         }
     }
 
-    /// Whether a holder of the lease was heard within `time` and has not given it up since.
-    pub fn holder_alive(&self, now: Duration, time: Duration) -> bool {
+    /// Whether a holder of the lease was heard within `time` and has not released it since.
+    pub fn is_holder_alive(&self, now: Duration, time: Duration) -> bool {
         let given_up = self.given_up.map_or(i64::MIN, |(epoch, _)| epoch);
         self.lease
-            .is_some_and(|lease| now < lease.heard_at + time && lease.epoch > given_up)
+            .is_some_and(|lease| now < lease.reported_at + time && lease.epoch > given_up)
     }
 
-    /// Whether the lease was given up within `time`.
-    pub fn given_up_within(&self, now: Duration, time: Duration) -> bool {
+    /// Whether a release of the lease was reported within `time`.
+    pub fn was_given_up_within(&self, now: Duration, time: Duration) -> bool {
         self.given_up.is_some_and(|(_, at)| now < at + time)
     }
 
-    /// Whether another gateway that is heard reaches the store.
-    pub fn others_reach_store(&self, now: Duration) -> bool {
-        let mut heard = self.peers.values().filter_map(|peer| peer.recent(now));
-        heard.any(|greeting| greeting.reaches_store)
+    /// Whether another live gateway reaches the store.
+    pub fn can_others_reach_store(&self, now: Duration) -> bool {
+        let mut live = self
+            .peers
+            .values()
+            .filter_map(|peer| peer.recent_status(now));
+        live.any(|status| status.reaches_store)
     }
 
-    /// Drops who was silent for too long and addresses that never answered.
+    /// Forgets gateways that were silent for too long and addresses from which no message came.
     pub fn tick(&mut self, now: Duration) {
         self.peers.retain(|_, peer| {
-            let heard = peer.heard.as_ref();
-            heard.is_none_or(|(_, at)| now < *at + FORGET_AFTER)
+            let last_status = peer.last_status.as_ref();
+            last_status.is_none_or(|(_, at)| now < *at + FORGET_AFTER)
         });
         self.addresses
-            .retain(|_, since| now < *since + TRY_ADDRESS_FOR);
+            .retain(|_, since| now < *since + ADDRESS_LIFETIME);
     }
 
-    /// Addresses that are tried and of which nothing else is known.
-    pub fn tried_addresses(&self) -> BTreeSet<SocketAddr> {
+    /// Addresses at which no gateway is known yet; messages are sent to them.
+    pub fn unconfirmed_addresses(&self) -> BTreeSet<SocketAddr> {
         self.addresses.keys().copied().collect()
     }
 
-    /// Addresses of coordinators that are heard, at most `most`, beginning at one by `turn`: whoever starts
-    /// finds all others through them.
-    pub fn addresses(&self, now: Duration, turn: usize, most: usize) -> Vec<SocketAddr> {
-        let heard = self.peers.values().filter(|peer| peer.coordinates(now));
-        let all: Vec<SocketAddr> = heard.map(|peer| peer.address).collect();
+    /// At most `most` addresses of live coordinators, starting at a position that advances with `turn`. Through
+    /// them a starting gateway finds all others.
+    pub fn coordinator_addresses(
+        &self,
+        now: Duration,
+        turn: usize,
+        most: usize,
+    ) -> Vec<SocketAddr> {
+        let live = self.peers.values().filter(|peer| peer.is_coordinator(now));
+        let all: Vec<SocketAddr> = live.map(|peer| peer.address).collect();
         let count = all.len().min(most);
         let at = |i: usize| all[(turn * most + i) % all.len()];
         (0..count).map(at).collect()
--- a/components/gateway/src/peers/halls.rs
+++ b/components/gateway/src/peers/halls.rs
@@ -1,8 +1,8 @@
-//! Who decides for the gateways of a data hall, and how many gateways there are.
+//! Selection of the coordinators of each data hall, and the count of gateways.
 //!
-//! In each hall a few gateways coordinate: they decide for all others of the hall and exchange with the
-//! coordinators of all halls what they decided. So what gateways say to each other grows with the requests
-//! and with the halls, not with pairs of gateways. Where a hall has no more gateways than coordinators, each
+//! A few gateways of each hall are coordinators: they decide for all others of the hall and report their
+//! decisions to the coordinators of all halls. So the traffic between gateways grows with the requests and with
+//! the halls, not with pairs of gateways. In a hall with no more gateways than coordinators, each gateway
 //! decides for itself.
 
 use std::collections::{BTreeMap, BTreeSet};
@@ -10,122 +10,124 @@
 use std::time::Duration;
 
 use crate::peers::peer::Peer;
-use crate::peers::{PeerCount, Peers, ASSUMED};
+use crate::peers::{PeerCount, Peers, ASSUMED_GATEWAYS};
 use routing::{rank, weight};
 use topology::Distance;
 
-/// Gateways of a hall that coordinate: two may be gone before the hall looks for others.
-pub(crate) const COORDINATORS: usize = 3;
-/// Gateways of its own hall to which one without any coordinator reports.
-const WIDER_SEARCH: usize = 8;
-/// Gateways that decide, while nothing is known of them.
-const ASSUMED_PLACING: usize = 100;
-/// Key of the order in which gateways of the same size coordinate.
+/// Count of coordinators in a hall: two may fail before the hall has to look for others.
+pub(crate) const COORDINATORS_PER_HALL: usize = 3;
+/// Count of gateways of its own hall to which a gateway without a live coordinator reports.
+const WIDER_REPORT_TARGETS: usize = 8;
+/// Count of deciding gateways that is assumed while none is known.
+const ASSUMED_DECIDERS: usize = 100;
+/// Hash key of the order in which gateways with the same CPU capacity become coordinators.
 const COORDINATION_KEY: u64 = 0x636f_6f72;
 
-/// Gateways of one hall.
+/// Counts of the gateways of one hall.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct HallCount {
-    /// Those that are heard.
-    pub heard: usize,
-    /// Those that were heard and are silent now, or were never heard and may be running.
+    /// Gateways from which a recent message was received.
+    pub alive: usize,
+    /// Gateways that fell silent, or that were never heard and may be running.
     pub silent: usize,
 }
 
-/// How this gateway decides about requests.
+/// The gateways that take decisions about requests, as this gateway sees them.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Fleet {
-    /// Gateways that may be running, this one included.
+pub struct GatewayFleet {
+    /// Count of the gateways that may be running, this one included.
     pub gateways: usize,
-    /// Part of what all gateways share that is used by what is decided here.
+    /// This gateway's part of what all gateways share, which its own decisions may use; from 0 to 1.
     pub part: f64,
     /// Whether this gateway decides, for itself and others.
     pub decides: bool,
-    /// Coordinators of the own hall that are heard, the one that is asked first before the others; empty if this
-    /// gateway decides itself.
+    /// Live coordinators of this gateway's hall in the order in which they are asked; empty if this gateway
+    /// decides itself.
     pub coordinators: Vec<SocketAddr>,
-    /// Gateways that decide, this one included, as far as it is known.
-    pub placing: usize,
-    /// Gateways that are asked when none of those decides, by what the store's list says: the own hall's coordinators
-    /// that were never heard, as after a start of all, then one coordinator of each other hall.
-    pub others: Vec<SocketAddr>,
-    /// Those of `others` that lie in another region.
-    pub far: Vec<SocketAddr>,
-    /// Coordinators of all halls that keep accounts of endpoints that name limits, this one included; empty if this
-    /// gateway does not decide.
+    /// Count of the gateways that decide, this one included, as far as known.
+    pub decider_count: usize,
+    /// Gateways that are asked when none of `coordinators` decides, taken from the store's list: the
+    /// coordinators of this gateway's hall that were never heard, as after a start of all gateways, then one
+    /// coordinator of each other hall.
+    pub fallback_deciders: Vec<SocketAddr>,
+    /// The gateways of `fallback_deciders` that are in another region.
+    pub far_deciders: Vec<SocketAddr>,
+    /// Coordinators of all halls that keep accounts of endpoints with a named limit, this gateway included;
+    /// empty if this gateway does not decide.
     pub keepers: Vec<AccountKeeper>,
 }
 
-/// A coordinator that keeps accounts of endpoints that name limits.
+/// A coordinator that keeps accounts of endpoints with a named limit.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct AccountKeeper {
-    /// Its name.
     pub name: String,
-    /// Its data hall.
     pub hall: String,
-    /// Where it is asked.
+    /// Address to which queries are sent.
     pub address: SocketAddr,
 }
 
-impl Default for Fleet {
+impl Default for GatewayFleet {
     fn default() -> Self {
-        Fleet {
+        GatewayFleet {
             gateways: 1,
             part: PeerCount::default().live_part(),
             decides: true,
             coordinators: Vec::new(),
-            placing: ASSUMED_PLACING,
-            others: Vec::new(),
-            far: Vec::new(),
+            decider_count: ASSUMED_DECIDERS,
+            fallback_deciders: Vec::new(),
+            far_deciders: Vec::new(),
             keepers: Vec::new(),
         }
     }
 }
 
-impl Fleet {
-    /// Whether this gateway decides with no more than its own part though there are others.
-    pub fn is_alone(&self) -> bool {
+impl GatewayFleet {
+    /// Whether this gateway decides with no more than its equal part although there are other gateways.
+    pub fn is_isolated(&self) -> bool {
         self.gateways > 1 && self.part <= 1.0 / self.gateways as f64
     }
 }
 
 impl Peers {
-    /// Whether this gateway decides for others of its hall.
-    pub fn coordinates(&self, now: Duration) -> bool {
+    /// Whether this gateway is a coordinator of its hall.
+    pub fn is_coordinator(&self, now: Duration) -> bool {
         let own = (self.own.cores_milli, self.own_weight());
         let before = |(name, peer): &(&String, &Peer)| {
-            peer.hall == self.own.hall && !peer.is_down(now) && place(name, peer) > own
+            peer.hall == self.own.hall && !peer.is_down(now) && rank_key(name, peer) > own
         };
-        self.peers.iter().filter(before).count() < COORDINATORS
+        self.peers.iter().filter(before).count() < COORDINATORS_PER_HALL
     }
 
-    /// Coordinators of all halls but this gateway, and those that may be coordinators.
+    /// Addresses of the coordinators of all halls except this gateway, and of gateways that may be
+    /// coordinators.
     pub fn coordinators(&self, now: Duration) -> BTreeSet<SocketAddr> {
         let halls: BTreeSet<&str> = self.peers.values().map(|p| p.hall.as_str()).collect();
-        // Also those not heard: a coordinator that waited to be addressed first might never be.
+        // Also those from which nothing was received: a coordinator that waited for the first message of the
+        // other side might never get one.
         let first = halls
             .into_iter()
-            .flat_map(|hall| self.first_of(hall, now, COORDINATORS));
+            .flat_map(|hall| self.first_in_hall(hall, now, COORDINATORS_PER_HALL));
         let first: BTreeSet<&str> = first.collect();
-        let is_meant = |(name, peer): &(&String, &Peer)| {
-            peer.coordinates(now) || first.contains(name.as_str())
+        let may_coordinate = |(name, peer): &(&String, &Peer)| {
+            peer.is_coordinator(now) || first.contains(name.as_str())
         };
-        let meant = self.peers.iter().filter(is_meant);
-        meant.map(|(_, peer)| peer.address).collect()
+        let candidates = self.peers.iter().filter(may_coordinate);
+        candidates.map(|(_, peer)| peer.address).collect()
     }
 
-    /// Coordinators of the own hall; more gateways of it if none of them is heard.
+    /// Addresses of the coordinators of this gateway's hall, or of more gateways of the hall if none of them is
+    /// alive.
     pub fn own_coordinators(&self, now: Duration) -> BTreeSet<SocketAddr> {
         let hall = self.own.hall.as_str();
-        let mut first = self.first_of(hall, now, COORDINATORS);
+        let mut first = self.first_in_hall(hall, now, COORDINATORS_PER_HALL);
         if !first.iter().any(|name| self.peers[*name].is_alive(now)) {
-            first = self.first_of(hall, now, WIDER_SEARCH);
+            first = self.first_in_hall(hall, now, WIDER_REPORT_TARGETS);
         }
         let addresses = first.iter().map(|name| self.peers[*name].address);
         addresses.collect()
     }
 
-    /// Gateways of the own hall that do not coordinate.
+    /// Addresses of the gateways of this gateway's hall that are not coordinators.
     pub fn members(&self, now: Duration) -> BTreeSet<SocketAddr> {
         let coordinators = self.coordinators(now);
         let own_hall = self.peers.values().filter(|p| p.hall == self.own.hall);
@@ -134,104 +136,106 @@
         addresses.filter(|a| !coordinators.contains(a)).collect()
     }
 
-    /// Messages of these gateways are due from now on.
-    pub fn expect(&mut self, now: Duration, addresses: &BTreeSet<SocketAddr>) {
+    /// Records that messages of these gateways are due from now on.
+    pub fn expect_messages(&mut self, now: Duration, addresses: &BTreeSet<SocketAddr>) {
         let peers = self.peers.values_mut();
         let due = peers.filter(|peer| addresses.contains(&peer.address));
-        due.for_each(|peer| peer.expect(now));
+        due.for_each(|peer| peer.expect_message(now));
     }
 
-    /// How this gateway decides now.
-    pub fn fleet(&self, now: Duration) -> Fleet {
+    /// The gateways and their deciders as of now.
+    pub fn fleet(&self, now: Duration) -> GatewayFleet {
         let count = self.count(now);
-        if self.coordinates(now) {
-            return Fleet {
+        if self.is_coordinator(now) {
+            return GatewayFleet {
                 gateways: count.gateways(),
                 part: count.live_part(),
                 decides: true,
                 coordinators: Vec::new(),
-                placing: self.coordinators(now).len() + 1,
-                others: Vec::new(),
-                far: Vec::new(),
+                decider_count: self.coordinators(now).len() + 1,
+                fallback_deciders: Vec::new(),
+                far_deciders: Vec::new(),
                 keepers: self.keepers(now),
             };
         }
         let gateways = self.reported_gateways(now).unwrap_or(count.gateways());
-        let (near, far) = self.deciders_elsewhere(now);
-        Fleet {
+        let (near, far) = self.other_hall_deciders(now);
+        GatewayFleet {
             gateways,
             part: 1.0 / gateways.max(1) as f64,
             decides: false,
             coordinators: self.deciders(now),
-            placing: gateways,
-            others: [self.deciders_unseen(now), near, far.clone()].concat(),
-            far,
+            decider_count: gateways,
+            fallback_deciders: [self.unheard_deciders(now), near, far.clone()].concat(),
+            far_deciders: far,
             keepers: Vec::new(),
         }
     }
 
-    /// Name of the coordinator that is asked first.
-    pub fn asks(&self, now: Duration) -> Option<&str> {
-        match self.coordinates(now) {
+    /// Name of the coordinator that this gateway asks first.
+    pub fn preferred_coordinator(&self, now: Duration) -> Option<&str> {
+        match self.is_coordinator(now) {
             true => None,
             false => self.decider_names(now).first().copied(),
         }
     }
 
-    /// Gateways of the own hall, as far as this one hears them itself. Only that is reported to others: a count
-    /// taken from another coordinator would come back from it and never fall.
+    /// Counts of the gateways of this hall from which this gateway itself receives messages. Only these are
+    /// reported to others: counts taken from another coordinator would come back from it and never fall.
     pub fn hall_count(&self, now: Duration) -> HallCount {
         let own_hall = || self.peers.values().filter(|p| p.hall == self.own.hall);
         HallCount {
-            heard: 1 + own_hall().filter(|peer| peer.is_alive(now)).count(),
+            alive: 1 + own_hall().filter(|peer| peer.is_alive(now)).count(),
             silent: own_hall().filter(|peer| peer.is_silent(now)).count(),
         }
     }
 
-    /// Gateways of all halls.
+    /// Counts of the gateways of all halls.
     pub fn count(&self, now: Duration) -> PeerCount {
         let own = self.hall_count(now);
         let reported = self.reported_count(&self.own.hall, now);
         let own = reported
-            .filter(|reported| reported.heard > own.heard)
+            .filter(|reported| reported.alive > own.alive)
             .unwrap_or(own);
-        let mut heard = own.heard - 1;
+        let mut alive = own.alive - 1;
         let mut silent = own.silent;
         for (hall, known) in self.other_halls() {
             let known = HallCount {
-                heard: known.iter().filter(|peer| peer.is_alive(now)).count(),
+                alive: known.iter().filter(|peer| peer.is_alive(now)).count(),
                 silent: known.iter().filter(|peer| peer.is_silent(now)).count(),
             };
             let count = self.reported_count(hall, now).unwrap_or(known);
-            heard += count.heard;
+            alive += count.alive;
             silent += count.silent;
         }
-        silent += self.assumed_unread(&own);
-        // Once the store's list is read, an address that is tried is one of a gateway counted already, or of one
-        // that was gone before.
+        silent += self.assumed_unread_gateways(&own);
+        // Once the store's list is read, an address without a known gateway belongs to a gateway that is
+        // already counted, or to one that was already gone.
         if !self.listed {
             silent += self.addresses.len();
         }
-        if !self.listed && heard == 0 {
-            silent = silent.max(ASSUMED);
+        if !self.listed && alive == 0 {
+            silent = silent.max(ASSUMED_GATEWAYS);
         }
-        PeerCount { heard, silent }
+        PeerCount { alive, silent }
     }
 
-    /// Whether usage of a process is to be passed on by this gateway.
-    pub fn passes_on_for(&self, now: Duration, gateway: &str) -> bool {
+    /// Whether this gateway must forward the usage of a process.
+    pub fn should_forward_usage_of(&self, now: Duration, gateway: &str) -> bool {
         let own = self.own.name.as_str();
         let peer = self.peers.get(gateway);
-        let asks = peer.and_then(|peer| peer.recent(now)?.asks.as_deref());
-        gateway != own && asks.is_none_or(|asks| asks == own)
+        let preferred =
+            peer.and_then(|peer| peer.recent_status(now)?.preferred_coordinator.as_deref());
+        gateway != own && preferred.is_none_or(|preferred| preferred == own)
     }
 
-    // Gateways of halls of which nothing was read or heard yet: as many as in the own one.
-    fn assumed_unread(&self, own: &HallCount) -> usize {
+    // Assumed count of gateways in halls from which nothing was read or received yet: as many as in this
+    // gateway's hall.
+    fn assumed_unread_gateways(&self, own: &HallCount) -> usize {
         let known = self.other_halls();
         let unread = self.lists.unread().filter(|hall| *hall != self.own.hall);
         let unknown = unread.filter(|hall| !known.contains_key(hall));
-        unknown.count() * (own.heard + own.silent)
+        unknown.count() * (own.alive + own.silent)
     }
 
     fn other_halls(&self) -> BTreeMap<&str, Vec<&Peer>> {
@@ -243,36 +247,38 @@
         halls
     }
 
-    // What the coordinator of a hall says that hears most.
+    // Counts from the coordinator of a hall that hears the most gateways.
     fn reported_count(&self, hall: &str, now: Duration) -> Option<HallCount> {
         let peers = self.peers.values().filter(|peer| peer.hall == hall);
-        let reported = peers.filter_map(|peer| peer.recent(now)?.hall_count);
-        reported.max_by_key(|count| count.heard)
+        let reported = peers.filter_map(|peer| peer.recent_status(now)?.hall_count);
+        reported.max_by_key(|count| count.alive)
     }
 
     fn reported_gateways(&self, now: Duration) -> Option<usize> {
-        let peers = self.peers.values().filter(|p| p.coordinates(now));
-        peers.filter_map(|peer| peer.recent(now)?.gateways).max()
+        let peers = self.peers.values().filter(|p| p.is_coordinator(now));
+        peers
+            .filter_map(|peer| peer.recent_status(now)?.gateways)
+            .max()
     }
 
-    // Coordinators of the own hall that are heard, in an order that differs from gateway to gateway.
+    // Live coordinators of this gateway's hall, in an order that differs between gateways.
     fn decider_names(&self, now: Duration) -> Vec<&str> {
-        let first = self.first_of(&self.own.hall, now, COORDINATORS);
-        let heard = first.into_iter().filter(|name| {
-            let greeting = self.peers[*name].recent(now);
-            greeting.is_some_and(|g| g.coordinates && g.decisions.is_some())
+        let first = self.first_in_hall(&self.own.hall, now, COORDINATORS_PER_HALL);
+        let live = first.into_iter().filter(|name| {
+            let status = self.peers[*name].recent_status(now);
+            status.is_some_and(|g| g.is_coordinator && g.decisions.is_some())
         });
-        rank(weight(0, &self.own.name), heard, COORDINATORS)
+        rank(weight(0, &self.own.name), live, COORDINATORS_PER_HALL)
     }
 
     fn keepers(&self, now: Duration) -> Vec<AccountKeeper> {
         let others = self.peers.iter().filter_map(|(name, peer)| {
-            let greeting = peer.recent(now)?;
-            let keeps = greeting.coordinates && greeting.keeps_accounts;
+            let status = peer.recent_status(now)?;
+            let keeps = status.is_coordinator && status.keeps_accounts;
             Some(AccountKeeper {
                 name: name.clone(),
                 hall: peer.hall.clone(),
-                address: greeting.decisions.filter(|_| keeps)?,
+                address: status.decisions.filter(|_| keeps)?,
             })
         });
         let own = self.own.decisions.map(|address| AccountKeeper {
@@ -285,25 +291,25 @@
 
     fn deciders(&self, now: Duration) -> Vec<SocketAddr> {
         let names = self.decider_names(now).into_iter();
-        let addresses = names.filter_map(|name| self.peers[name].recent(now)?.decisions);
+        let addresses = names.filter_map(|name| self.peers[name].recent_status(now)?.decisions);
         addresses.collect()
     }
 
-    fn deciders_unseen(&self, now: Duration) -> Vec<SocketAddr> {
-        let first = self.first_of(&self.own.hall, now, COORDINATORS);
+    fn unheard_deciders(&self, now: Duration) -> Vec<SocketAddr> {
+        let first = self.first_in_hall(&self.own.hall, now, COORDINATORS_PER_HALL);
         let peers = first.iter().map(|name| &self.peers[*name]);
         let unheard = peers.filter(|peer| !peer.is_alive(now));
         unheard.filter_map(|peer| peer.decisions).collect()
     }
 
-    // One coordinator of each other hall, of the own region and of others, in an order that differs from gateway to
-    // gateway. They are not heard here, so these are the ones that the store's list makes coordinators.
-    fn deciders_elsewhere(&self, now: Duration) -> (Vec<SocketAddr>, Vec<SocketAddr>) {
+    // One coordinator of each other hall, in this region and in other regions, in an order that differs between
+    // gateways. This gateway receives no messages from them, so they are selected from the store's list.
+    fn other_hall_deciders(&self, now: Duration) -> (Vec<SocketAddr>, Vec<SocketAddr>) {
         let own = weight(COORDINATION_KEY, &self.own.name);
         let mut halls: Vec<&str> = self.other_halls().into_keys().collect();
         halls.sort_unstable_by_key(|hall| weight(own, hall));
         let of_hall = |hall: &str| {
-            let first = self.first_of(hall, now, COORDINATORS);
+            let first = self.first_in_hall(hall, now, COORDINATORS_PER_HALL);
             let chosen = rank(own, first.into_iter(), 1);
             self.peers[*chosen.first()?].decisions
         };
@@ -313,11 +319,14 @@
         (deciders(near), deciders(far))
     }
 
-    // The gateways of a hall that come first, but this one: the largest, then by an order that all agree on.
-    pub(super) fn first_of(&self, hall: &str, now: Duration, count: usize) -> Vec<&str> {
+    // The first gateways of a hall, except this one: by CPU capacity, then by a hash order that all gateways
+    // agree on.
+    pub(super) fn first_in_hall(&self, hall: &str, now: Duration, count: usize) -> Vec<&str> {
         let of_hall = self.peers.iter().filter(|(_, peer)| peer.hall == hall);
         let up = of_hall.filter(|(_, peer)| !peer.is_down(now));
-        let mut ordered: Vec<_> = up.map(|(name, peer)| (place(name, peer), name)).collect();
+        let mut ordered: Vec<_> = up
+            .map(|(name, peer)| (rank_key(name, peer), name))
+            .collect();
         ordered.sort_unstable_by(|a, b| b.cmp(a));
         let names = ordered.into_iter().map(|(_, name)| name.as_str());
         names.take(count).collect()
@@ -328,6 +337,6 @@
     }
 }
 
-fn place(name: &str, peer: &Peer) -> (i32, u64) {
+fn rank_key(name: &str, peer: &Peer) -> (i32, u64) {
     (peer.cores_milli, weight(COORDINATION_KEY, name))
 }
--- a/components/gateway/src/state.rs
+++ b/components/gateway/src/state.rs
@@ -18,7 +18,7 @@
 use crate::connection_pool::ConnectionPool;
 use crate::interrupted::InterruptedRuns;
 use crate::link_parts::link_parts;
-use crate::peers::Fleet;
+use crate::peers::GatewayFleet;
 use crate::tally::{SentRequest, ServiceLoad, Tally};
 use crate::versions::{RequestTraits, RolloutGates};
 
@@ -33,7 +33,7 @@
     pub quotas: BTreeMap<String, SharedQuota>,
     pub retry_budgets: BTreeMap<String, RetryBudget>,
     pub tally: Tally,
-    pub fleet: Fleet,
+    pub fleet: GatewayFleet,
     // Largest number of gateways known at any time since the start.
     max_known_gateways: usize,
     pub rng: ChaCha8Rng,
@@ -56,7 +56,7 @@
             quotas: BTreeMap::new(),
             retry_budgets: BTreeMap::new(),
             tally: Tally::default(),
-            fleet: Fleet::default(),
+            fleet: GatewayFleet::default(),
             max_known_gateways: 1,
             rng: ChaCha8Rng::from_rng(&mut rand::rng()),
             settings,
@@ -174,7 +174,7 @@
     }
 
     /// Applies a change of the known gateways and coordinators.
-    pub fn set_fleet(&mut self, now: Duration, fleet: Fleet) {
+    pub fn set_fleet(&mut self, now: Duration, fleet: GatewayFleet) {
         let part = fleet.part;
         self.max_known_gateways = self.max_known_gateways.max(fleet.gateways);
         self.fleet = fleet;
--- a/components/gateway/src/update.rs
+++ b/components/gateway/src/update.rs
@@ -11,7 +11,7 @@
 use routing::placement::{PeerDispatch, Sight};
 use schema::settings::GatewaySettings;
 
-use crate::peers::Fleet;
+use crate::peers::GatewayFleet;
 
 /// One change of the state that the traffic thread decides from.
 #[derive(Clone, Debug)]
@@ -29,7 +29,7 @@
     /// The endpoints are no longer followed.
     EndpointsForgotten,
     /// The known gateways, and which of them decide.
-    Fleet(Fleet),
+    Fleet(GatewayFleet),
     /// Requests that another gateway sent.
     PeerDispatches(Vec<PeerDispatch>),
     /// Sights that another gateway reported.
--- a/components/gateway/src/versions.rs
+++ b/components/gateway/src/versions.rs
@@ -186,7 +186,7 @@
         let allowance = Allowance {
             fraction: f64::from(self.settings.exposure_milli) / 1000.0,
             extra: f64::from(self.settings.exposure_extra),
-            placing_gateways: self.fleet.placing,
+            placing_gateways: self.fleet.decider_count,
         };
         let Some(gate) = self.gates.gates.get(&work.service) else {
             return VersionFilter::Any;
