--- a/components/gateway/tests/common/mod.rs
+++ b/components/gateway/tests/common/mod.rs
@@ -2,10 +2,10 @@
 
 #![allow(dead_code, unused_imports)]
 
+pub mod crashing;
 mod endpoint;
-mod lines;
-pub mod mortal;
-pub mod slow;
+mod log_lines;
+pub mod slow_io;
 mod store;
 
 use std::collections::BTreeMap;
@@ -25,9 +25,9 @@
 use schema::settings::GatewaySettings;
 use slog::Logger;
 
+pub use crashing::Mortal;
 pub use endpoint::EndpointStandin;
-pub use lines::Lines;
-pub use mortal::Mortal;
+pub use log_lines::Lines;
 pub use store::{OrdersStandin, StoreStandin};
 
 /// Longest wait for something that must come; it bounds a failing test, not a passing one.
--- a/components/gateway/tests/restarts.rs
+++ b/components/gateway/tests/endpoint_restarts.rs
@@ -7,7 +7,7 @@
 use std::thread;
 use std::time::Duration;
 
-use common::mortal::LONG;
+use common::crashing::LONG;
 use common::{
     configuration, endpoint, open, read_answer, request_text, route, send, settings, wait_until,
     EndpointStandin, Lines, Mortal, Setup, StoreStandin,
@@ -98,7 +98,7 @@
             lines.count("endpoint changed") > start as usize
         });
         wait_until("the request to reach it", || {
-            setup.call(common::mortal::DEADLY, &[]);
+            setup.call(common::crashing::DEADLY, &[]);
             mortal.has_ended()
         });
     }
--- a/components/gateway/tests/memory_use.rs
+++ b/components/gateway/tests/memory_use.rs
@@ -10,7 +10,7 @@
 use std::sync::{Mutex, MutexGuard, PoisonError};
 use std::time::Duration;
 
-use common::slow::open_narrow;
+use common::slow_io::open_narrow;
 use common::{
     configuration, endpoint, open, request_text, route, settings, wait_until, EndpointStandin,
     Setup,
--- a/components/gateway/tests/deadly.rs
+++ b/components/gateway/tests/request_quarantine.rs
@@ -9,7 +9,7 @@
 
 use std::thread;
 
-use common::mortal::{DEADLY, LONG};
+use common::crashing::{DEADLY, LONG};
 use common::{
     configuration, endpoint, request_text, route, send, settings, wait_until, Answer,
     EndpointStandin, Lines, Mortal, Setup, StoreStandin,
--- a/components/gateway/tests/slow.rs
+++ b/components/gateway/tests/slow_callers.rs
@@ -6,7 +6,7 @@
 use std::net::TcpStream;
 use std::time::{Duration, Instant};
 
-use common::slow::{open_narrow, read_slowly};
+use common::slow_io::{open_narrow, read_slowly};
 use common::{
     configuration, endpoint, open, read_answer, request_text, route, settings, wait_until,
     EndpointStandin, Setup,
