--- a/components/gateway/tests/cold_start.rs
+++ b/components/gateway/tests/cold_start.rs
@@ -13,7 +13,7 @@
 use std::time::{Duration, Instant};
 
 use common::{
-    configuration, endpoint, route, settings, wait_until, EndpointStandin, Setup, StoreStandin,
+    configuration, endpoint, route, settings, wait_until, FakeEndpoint, FakeStore, Setup,
 };
 use directory::{Endpoint, Execution};
 use gateway::ports::Topic;
@@ -41,7 +41,7 @@
     }
 
     /// Rows of three large gateways of the hall that decide at its port.
-    fn list(&self, store: &StoreStandin) {
+    fn list(&self, store: &FakeStore) {
         for (i, name) in ["c1", "c2", "c3"].into_iter().enumerate() {
             let row = GatewayRow {
                 address: format!("127.0.0.1:{}", 9 + i),
@@ -96,9 +96,9 @@
 }
 
 /// One small gateway of a hall among two, whose coordinators have just begun.
-fn start(standin: &EndpointStandin) -> (Setup, Coordinator) {
-    let store = StoreStandin::default();
-    let endpoint = endpoint("e1", standin.address);
+fn start(fake: &FakeEndpoint) -> (Setup, Coordinator) {
+    let store = FakeStore::default();
+    let endpoint = endpoint("e1", fake.address);
     store.put_configuration(configuration(1, vec![route("/a/", Execution::Repeatable)]));
     store.put_endpoint(endpoint.clone());
     let coordinator = Coordinator::start(endpoint);
@@ -118,27 +118,27 @@
 
 #[test]
 fn while_coordinators_begin_a_request_is_refused_with_the_time_to_come_back_and_served_then() {
-    let standin = EndpointStandin::start(|_, e| e.answer(200, "x"));
-    let (asking, coordinator) = start(&standin);
+    let fake = FakeEndpoint::start(|_, e| e.answer(200, "x"));
+    let (asking, coordinator) = start(&fake);
     let refused = asking.call("/a/1", &[]);
     assert_eq!(refused.status, 503);
-    assert!(refused.field("retry-after").is_some(), "{refused:?}");
+    assert!(refused.header("retry-after").is_some(), "{refused:?}");
     assert!(refused.body.contains("have just begun"), "{refused:?}");
-    assert!(standin.heads().is_empty());
+    assert!(fake.heads().is_empty());
     coordinator.knows.store(true, Ordering::SeqCst);
     assert_eq!(asking.call("/a/1", &[]).status, 200);
 }
 
 #[test]
 fn a_gateway_that_asks_calls_the_store_for_its_hall_and_the_configuration_only() {
-    let standin = EndpointStandin::start(|_, e| e.answer(200, "x"));
-    let (asking, coordinator) = start(&standin);
+    let fake = FakeEndpoint::start(|_, e| e.answer(200, "x"));
+    let (asking, coordinator) = start(&fake);
     coordinator.knows.store(true, Ordering::SeqCst);
     let started = Instant::now();
     while started.elapsed() < FIRST_LOOKS {
         assert_eq!(asking.call("/a/1", &[]).status, 200);
     }
-    let asks = |topic| asking.store.asks(topic);
+    let asks = |topic| asking.store.call_count(topic);
     assert_eq!(asks(Topic::Gateways), 1, "its own hall's list");
     assert_eq!(asks(Topic::Configuration), 1);
     assert_eq!(asks(Topic::Lease), 0);
--- a/components/gateway/tests/common/crashing.rs
+++ b/components/gateway/tests/common/crashing.rs
@@ -9,39 +9,39 @@
 use super::endpoint::read_head;
 
 /// What ends an endpoint that begins it.
-pub const DEADLY: &str = "/a/deadly";
+pub const POISON_PATH: &str = "/a/poison";
 /// What an endpoint begins and doesn't end.
-pub const LONG: &str = "/a/long";
+pub const HANGING_PATH: &str = "/a/hanging";
 
 #[derive(Default)]
 struct State {
-    ended: AtomicBool,
-    open: Mutex<Vec<TcpStream>>,
+    stopped: AtomicBool,
+    connections: Mutex<Vec<TcpStream>>,
     paths: Mutex<Vec<String>>,
 }
 
-/// An endpoint that answers everything but [`DEADLY`] and [`LONG`].
+/// An endpoint that answers everything but [`POISON_PATH`] and [`HANGING_PATH`].
 #[derive(Clone)]
-pub struct Mortal {
+pub struct CrashingEndpoint {
     pub address: SocketAddr,
     state: Arc<State>,
 }
 
-impl Mortal {
+impl CrashingEndpoint {
     pub fn start() -> Self {
         let listener = TcpListener::bind("127.0.0.1:0").unwrap();
         let address = listener.local_addr().unwrap();
-        let mortal = Mortal {
+        let crashing = CrashingEndpoint {
             address,
             state: Arc::default(),
         };
-        let serving = mortal.clone();
+        let serving = crashing.clone();
         thread::spawn(move || serving.listen(listener));
-        mortal
+        crashing
     }
 
-    pub fn has_ended(&self) -> bool {
-        self.state.ended.load(Ordering::SeqCst)
+    pub fn has_stopped(&self) -> bool {
+        self.state.stopped.load(Ordering::SeqCst)
     }
 
     /// Paths of the requests that arrived.
@@ -50,8 +50,8 @@
     }
 
     /// Ends it from outside.
-    pub fn end(&self) {
-        self.state.ended.store(true, Ordering::SeqCst);
+    pub fn stop(&self) {
+        self.state.stopped.store(true, Ordering::SeqCst);
         // Wakes the listener, which ends with the thread that holds it.
         drop(TcpStream::connect(self.address));
     }
@@ -59,11 +59,11 @@
     // New connections are refused before the open ones close, as when a process ends.
     fn listen(&self, listener: TcpListener) {
         for stream in listener.incoming().flatten() {
-            if self.has_ended() {
+            if self.has_stopped() {
                 break;
             }
             self.state
-                .open
+                .connections
                 .lock()
                 .unwrap()
                 .push(stream.try_clone().unwrap());
@@ -71,7 +71,7 @@
             thread::spawn(move || serving.serve(stream));
         }
         drop(listener);
-        for stream in self.state.open.lock().unwrap().drain(..) {
+        for stream in self.state.connections.lock().unwrap().drain(..) {
             let _ = stream.shutdown(Shutdown::Both);
         }
     }
@@ -81,8 +81,8 @@
             let path = head.split(' ').nth(1).unwrap_or_default().to_string();
             self.state.paths.lock().unwrap().push(path.clone());
             match path.as_str() {
-                DEADLY => self.end(),
-                LONG => {}
+                POISON_PATH => self.stop(),
+                HANGING_PATH => {}
                 _ => answer(&mut stream, &head),
             }
         }
--- a/components/gateway/tests/common/endpoint.rs
+++ b/components/gateway/tests/common/endpoint.rs
@@ -14,7 +14,7 @@
 
 impl Exchange {
     /// A field of the request.
-    pub fn field(&self, name: &str) -> Option<String> {
+    pub fn header(&self, name: &str) -> Option<String> {
         let mut lines = self.head.lines();
         lines.find_map(|line| {
             let (key, value) = line.split_once(':')?;
@@ -30,12 +30,12 @@
 
     /// Answers well.
     pub fn answer(&mut self, status: u16, body: &str) {
-        let id = self.field("x-id").unwrap_or_default();
-        self.answer_as(&id, status, body);
+        let id = self.header("x-id").unwrap_or_default();
+        self.answer_with_id(&id, status, body);
     }
 
     /// Answers as if to another request.
-    pub fn answer_as(&mut self, id: &str, status: u16, body: &str) {
+    pub fn answer_with_id(&mut self, id: &str, status: u16, body: &str) {
         self.write(&format!(
             "HTTP/1.1 {status} X\r\nx-id: {id}\r\nx-signature: s\r\ncontent-length: {}\r\n\r\n{body}",
             body.len()
@@ -44,23 +44,23 @@
 
     /// Answers well, and says that the endpoint leaves.
     pub fn answer_leaving(&mut self) {
-        let id = self.field("x-id").unwrap_or_default();
+        let id = self.header("x-id").unwrap_or_default();
         self.write(&format!(
             "HTTP/1.1 200 X\r\nx-id: {id}\r\nx-signature: s\r\nx-leaving: 1\r\ncontent-length: 1\r\n\r\nx"
         ));
     }
 
     /// Answers well, and names a limit: requests a second of all gateways together.
-    pub fn answer_limited(&mut self, limit: &str) {
-        let id = self.field("x-id").unwrap_or_default();
+    pub fn answer_with_limit(&mut self, limit: &str) {
+        let id = self.header("x-id").unwrap_or_default();
         self.write(&format!(
             "HTTP/1.1 200 X\r\nx-id: {id}\r\nx-signature: s\r\nx-limit: {limit}\r\ncontent-length: 1\r\n\r\nx"
         ));
     }
 
     /// Answers well, and says how long work takes there now, in parts of 100.
-    pub fn answer_at(&mut self, slowdown: u32) {
-        let id = self.field("x-id").unwrap_or_default();
+    pub fn answer_with_slowdown(&mut self, slowdown: u32) {
+        let id = self.header("x-id").unwrap_or_default();
         self.write(&format!(
             "HTTP/1.1 200 X\r\nx-id: {id}\r\nx-signature: s\r\nx-load: 0\r\nx-slowdown: {slowdown}\r\ncontent-length: 1\r\n\r\nx"
         ));
@@ -68,16 +68,16 @@
 
     /// Says that the request was not run.
     pub fn decline(&mut self) {
-        self.decline_with("");
+        self.decline_with_header("");
     }
 
     /// The same, and asks for a pause.
-    pub fn decline_for(&mut self, pause: Duration) {
-        self.decline_with(&format!("x-pause-ms: {}\r\n", pause.as_millis()));
+    pub fn decline_with_pause(&mut self, pause: Duration) {
+        self.decline_with_header(&format!("x-pause-ms: {}\r\n", pause.as_millis()));
     }
 
-    fn decline_with(&mut self, line: &str) {
-        let id = self.field("x-id").unwrap_or_default();
+    fn decline_with_header(&mut self, line: &str) {
+        let id = self.header("x-id").unwrap_or_default();
         self.write(&format!(
             "HTTP/1.1 503 X\r\nx-id: {id}\r\nx-not-run: 1\r\n{line}content-length: 0\r\n\r\n"
         ));
@@ -85,16 +85,16 @@
 
     /// Begins a stream.
     pub fn begin_stream(&mut self) {
-        self.begin_stream_with("");
+        self.begin_stream_with_header("");
     }
 
     /// Begins a stream, and says that the endpoint leaves.
     pub fn begin_leaving_stream(&mut self) {
-        self.begin_stream_with("x-leaving: 1\r\n");
+        self.begin_stream_with_header("x-leaving: 1\r\n");
     }
 
-    fn begin_stream_with(&mut self, line: &str) {
-        let id = self.field("x-id").unwrap_or_default();
+    fn begin_stream_with_header(&mut self, line: &str) {
+        let id = self.header("x-id").unwrap_or_default();
         self.write(&format!(
             "HTTP/1.1 200 OK\r\nx-id: {id}\r\nx-signature: s\r\ncontent-type: text/event-stream\r\n\
              {line}transfer-encoding: chunked\r\n\r\n"
@@ -136,12 +136,12 @@
 
 /// A running endpoint.
 #[derive(Clone)]
-pub struct EndpointStandin {
+pub struct FakeEndpoint {
     pub address: SocketAddr,
     heads: Arc<Mutex<Vec<String>>>,
 }
 
-impl EndpointStandin {
+impl FakeEndpoint {
     /// Serves each request with `serve`, which gets the number of the request.
     pub fn start(serve: impl Fn(usize, &mut Exchange) + Send + Sync + 'static) -> Self {
         let listener = TcpListener::bind("127.0.0.1:0").unwrap();
@@ -154,7 +154,7 @@
                 thread::spawn(move || serve_connection(stream, &seen, &*serve));
             }
         });
-        EndpointStandin { address, heads }
+        FakeEndpoint { address, heads }
     }
 
     /// Heads of the requests that arrived.
--- a/components/gateway/tests/common/log_lines.rs
+++ b/components/gateway/tests/common/log_lines.rs
@@ -6,11 +6,11 @@
 
 /// Messages of all lines so far, without their fields.
 #[derive(Clone, Debug, Default)]
-pub struct Lines {
+pub struct LogLines {
     messages: Arc<Mutex<Vec<String>>>,
 }
 
-impl Lines {
+impl LogLines {
     /// A logger that writes here.
     pub fn logger(&self) -> Logger {
         Logger::root(self.clone(), o!())
@@ -23,7 +23,7 @@
     }
 }
 
-impl Drain for Lines {
+impl Drain for LogLines {
     type Ok = ();
     type Err = Never;
 
--- a/components/gateway/tests/common/mod.rs
+++ b/components/gateway/tests/common/mod.rs
@@ -25,26 +25,26 @@
 use schema::settings::GatewaySettings;
 use slog::Logger;
 
-pub use crashing::Mortal;
-pub use endpoint::EndpointStandin;
-pub use log_lines::Lines;
-pub use store::{OrdersStandin, StoreStandin};
+pub use crashing::CrashingEndpoint;
+pub use endpoint::FakeEndpoint;
+pub use log_lines::LogLines;
+pub use store::{FakeOrders, FakeStore};
 
 /// Longest wait for something that must come; it bounds a failing test, not a passing one.
-const PATIENCE: Duration = Duration::from_secs(20);
+const MAX_WAIT: Duration = Duration::from_secs(20);
 
 /// Waits until something is so.
-pub fn wait_until(what: &str, mut is_so: impl FnMut() -> bool) {
+pub fn wait_until(what: &str, mut condition: impl FnMut() -> bool) {
     let started = Instant::now();
-    while !is_so() {
-        assert!(started.elapsed() < PATIENCE, "in vain for: {what}");
+    while !condition() {
+        assert!(started.elapsed() < MAX_WAIT, "in vain for: {what}");
         std::thread::sleep(Duration::from_millis(5));
     }
 }
 
 /// Heads with short names.
 #[derive(Clone, Copy, Debug)]
-pub struct PlainHeads;
+pub struct PlainDialect;
 
 fn text(fields: &HeaderMap, name: &str) -> Option<String> {
     Some(fields.get(name)?.to_str().ok()?.to_string())
@@ -54,7 +54,7 @@
     text(fields, name)?.parse().ok()
 }
 
-impl Dialect for PlainHeads {
+impl Dialect for PlainDialect {
     fn read_request(&self, head: &request::Parts) -> Result<CallerHead, HeadFault> {
         let fields = &head.headers;
         let tokens = number(fields, "x-tokens").map(|tokens| (tokens as u32, 0));
@@ -212,7 +212,7 @@
 }
 
 /// An endpoint of the service `s` with a version.
-pub fn endpoint_of(version: &str, id: &str, address: SocketAddr) -> Endpoint {
+pub fn endpoint_with_version(version: &str, id: &str, address: SocketAddr) -> Endpoint {
     Endpoint {
         version: version.into(),
         ..endpoint(id, address)
@@ -222,31 +222,31 @@
 /// A running gateway with its surroundings.
 pub struct Setup {
     pub gateway: Gateway,
-    pub store: StoreStandin,
-    pub orders: OrdersStandin,
+    pub store: FakeStore,
+    pub orders: FakeOrders,
 }
 
 impl Setup {
-    pub fn start(settings: GatewaySettings, store: StoreStandin) -> Self {
+    pub fn start(settings: GatewaySettings, store: FakeStore) -> Self {
         Self::start_with_log(settings, store, telemetry::discard())
     }
 
-    pub fn start_with_log(settings: GatewaySettings, store: StoreStandin, log: Logger) -> Self {
+    pub fn start_with_log(settings: GatewaySettings, store: FakeStore, log: Logger) -> Self {
         Self::start_with_clock(settings, store, log, Clock::start())
     }
 
     pub fn start_with_clock(
         settings: GatewaySettings,
-        store: StoreStandin,
+        store: FakeStore,
         log: Logger,
         clock: Clock,
     ) -> Self {
-        let orders = OrdersStandin::default();
+        let orders = FakeOrders::default();
         let (own_store, own_orders) = (store.clone(), orders.clone());
         let gateway = Gateway::start(Parts {
             settings,
             read_settings: Box::new(|| None),
-            dialect: PlainHeads,
+            dialect: PlainDialect,
             store: Box::new(move || own_store),
             orders: Box::new(move || own_orders),
             clock,
@@ -270,7 +270,7 @@
         configuration: Configuration,
         endpoints: Vec<Endpoint>,
     ) -> Self {
-        let store = StoreStandin::default();
+        let store = FakeStore::default();
         store.put_configuration(configuration);
         for endpoint in endpoints {
             store.put_endpoint(endpoint);
@@ -298,8 +298,8 @@
     }
 
     /// Sends a request with further header lines, and reads the whole answer.
-    pub fn call(&self, path: &str, lines: &[&str]) -> Answer {
-        send(self.address(), &request_text(path, lines))
+    pub fn call(&self, path: &str, headers: &[&str]) -> Answer {
+        send(self.address(), &request_text(path, headers))
     }
 }
 
@@ -310,12 +310,12 @@
 }
 
 /// A request with an id, as it goes over the wire.
-pub fn request_text(path: &str, lines: &[&str]) -> String {
+pub fn request_text(path: &str, headers: &[&str]) -> String {
     let mut head = format!("GET {path} HTTP/1.1\r\nhost: h\r\nconnection: close\r\n");
-    if !lines.iter().any(|line| line.starts_with("x-id")) {
+    if !headers.iter().any(|line| line.starts_with("x-id")) {
         head += "x-id: 1\r\n";
     }
-    for line in lines {
+    for line in headers {
         head += &format!("{line}\r\n");
     }
     head + "\r\n"
@@ -328,11 +328,11 @@
     pub head: String,
     pub body: String,
     /// Whether its end was marked, by its length or by the last chunk.
-    pub whole: bool,
+    pub is_complete: bool,
 }
 
 impl Answer {
-    pub fn field(&self, name: &str) -> Option<&str> {
+    pub fn header(&self, name: &str) -> Option<&str> {
         let mut lines = self.head.lines();
         lines.find_map(|line| {
             let (key, value) = line.split_once(':')?;
@@ -344,7 +344,7 @@
 /// Opens a connection and sends bytes.
 pub fn open(address: SocketAddr, request: &str) -> TcpStream {
     let mut stream = TcpStream::connect(address).expect("the gateway listens");
-    stream.set_read_timeout(Some(PATIENCE)).unwrap();
+    stream.set_read_timeout(Some(MAX_WAIT)).unwrap();
     stream.write_all(request.as_bytes()).unwrap();
     stream
 }
@@ -370,17 +370,17 @@
         status: status.unwrap_or(0),
         head: head.to_string(),
         body: rest.to_string(),
-        whole: false,
+        is_complete: false,
     };
-    if answer.field("transfer-encoding").is_some() {
-        (answer.body, answer.whole) = unchunked(rest);
-    } else if let Some(length) = answer.field("content-length") {
-        answer.whole = length.parse() == Ok(rest.len());
+    if answer.header("transfer-encoding").is_some() {
+        (answer.body, answer.is_complete) = decode_chunked(rest);
+    } else if let Some(length) = answer.header("content-length") {
+        answer.is_complete = length.parse() == Ok(rest.len());
     }
     answer
 }
 
-fn unchunked(mut rest: &str) -> (String, bool) {
+fn decode_chunked(mut rest: &str) -> (String, bool) {
     let mut body = String::new();
     while let Some((length, after)) = rest.split_once("\r\n") {
         let Ok(length) = usize::from_str_radix(length, 16) else {
@@ -389,10 +389,10 @@
         if length == 0 {
             return (body, true);
         }
-        let Some(piece) = after.get(..length) else {
+        let Some(chunk) = after.get(..length) else {
             break;
         };
-        body += piece;
+        body += chunk;
         rest = after.get(length + 2..).unwrap_or_default();
     }
     (body, false)
--- a/components/gateway/tests/common/slow_io.rs
+++ b/components/gateway/tests/common/slow_io.rs
@@ -7,30 +7,30 @@
 use socket2::{Domain, Protocol, SockRef, Socket, Type};
 
 use super::endpoint::Exchange;
-use super::{parse_answer, Answer, PATIENCE};
+use super::{parse_answer, Answer, MAX_WAIT};
 
 /// Size of the buffers of a slow side, in bytes; the kernel doubles it.
-const WINDOW: usize = 4 << 10;
+const SOCKET_BUFFER_BYTES: usize = 4 << 10;
 
 /// Bytes that a stand-in writes at once; it makes no more of an answer at a time.
-const PIECE: usize = 16 << 10;
+const CHUNK_BYTES: usize = 16 << 10;
 
 /// Opens a connection with a small window and sends bytes.
-pub fn open_narrow(address: SocketAddr, request: &[u8]) -> TcpStream {
+pub fn open_with_small_buffers(address: SocketAddr, request: &[u8]) -> TcpStream {
     let socket = Socket::new(Domain::IPV4, Type::STREAM, Some(Protocol::TCP)).unwrap();
-    socket.set_recv_buffer_size(WINDOW).unwrap();
-    socket.set_send_buffer_size(WINDOW).unwrap();
+    socket.set_recv_buffer_size(SOCKET_BUFFER_BYTES).unwrap();
+    socket.set_send_buffer_size(SOCKET_BUFFER_BYTES).unwrap();
     socket.connect(&address.into()).unwrap();
     let mut stream = TcpStream::from(socket);
-    stream.set_read_timeout(Some(PATIENCE)).unwrap();
+    stream.set_read_timeout(Some(MAX_WAIT)).unwrap();
     stream.write_all(request).unwrap();
     stream
 }
 
 /// Reads an answer in small pieces with a pause after each, until the connection closes.
-pub fn read_slowly(stream: &mut TcpStream, piece: usize, pause: Duration) -> Answer {
+pub fn read_slowly(stream: &mut TcpStream, chunk: usize, pause: Duration) -> Answer {
     let mut bytes = Vec::new();
-    let mut buffer = vec![0; piece];
+    let mut buffer = vec![0; chunk];
     while let Ok(read @ 1..) = stream.read(&mut buffer) {
         bytes.extend_from_slice(&buffer[..read]);
         std::thread::sleep(pause);
@@ -40,43 +40,43 @@
 
 impl Exchange {
     /// Gives this end small buffers.
-    pub fn narrow(&self) {
+    pub fn shrink_send_buffer(&self) {
         let socket = SockRef::from(self.stream());
-        socket.set_send_buffer_size(WINDOW).unwrap();
+        socket.set_send_buffer_size(SOCKET_BUFFER_BYTES).unwrap();
     }
 
-    /// Writes a stream of events of so many bytes each, and cuts it off once nothing is read for `patience`. Says whether
+    /// Writes a stream of events of so many bytes each, and cuts it off once nothing is read for `timeout`. Says whether
     /// all was written.
-    pub fn stream_within(&mut self, events: u64, bytes: usize, patience: Duration) -> bool {
-        self.narrow();
+    pub fn stream_with_timeout(&mut self, events: u64, bytes: usize, timeout: Duration) -> bool {
+        self.shrink_send_buffer();
         self.begin_stream();
         let filling = "x".repeat(bytes);
         (1..=events).all(|n| {
             let event = format!("id: {n}\ndata: {filling}\n\n");
-            self.write_within(&format!("{:x}\r\n{event}\r\n", event.len()), patience)
-        }) && self.write_within("0\r\n\r\n", patience)
+            self.write_with_timeout(&format!("{:x}\r\n{event}\r\n", event.len()), timeout)
+        }) && self.write_with_timeout("0\r\n\r\n", timeout)
     }
 
-    /// Answers with a body, and cuts it off once nothing is read for `patience`. Says whether all was written.
-    pub fn answer_within(&mut self, bytes: usize, patience: Duration) -> bool {
-        self.narrow();
-        let id = self.field("x-id").unwrap_or_default();
+    /// Answers with a body, and cuts it off once nothing is read for `timeout`. Says whether all was written.
+    pub fn answer_with_timeout(&mut self, bytes: usize, timeout: Duration) -> bool {
+        self.shrink_send_buffer();
+        let id = self.header("x-id").unwrap_or_default();
         let head = format!(
             "HTTP/1.1 200 OK\r\nx-id: {id}\r\nx-signature: s\r\ncontent-length: {bytes}\r\n\r\n"
         );
-        let piece = "x".repeat(PIECE);
-        self.write_within(&head, patience)
-            && (0..bytes).step_by(PIECE).all(|at| {
-                let length = PIECE.min(bytes - at);
-                self.write_within(&piece[..length], patience)
+        let chunk = "x".repeat(CHUNK_BYTES);
+        self.write_with_timeout(&head, timeout)
+            && (0..bytes).step_by(CHUNK_BYTES).all(|at| {
+                let length = CHUNK_BYTES.min(bytes - at);
+                self.write_with_timeout(&chunk[..length], timeout)
             })
     }
 
     /// Reads the body of its request in pieces of so many bytes with a pause after each. Returns how many came.
-    pub fn read_body_slowly(&mut self, piece: usize, pause: Duration) -> usize {
-        let length = self.field("content-length").and_then(|n| n.parse().ok());
+    pub fn read_body_slowly(&mut self, chunk: usize, pause: Duration) -> usize {
+        let length = self.header("content-length").and_then(|n| n.parse().ok());
         let length: usize = length.unwrap_or(0);
-        let mut buffer = vec![0; piece];
+        let mut buffer = vec![0; chunk];
         let mut read = 0;
         while read < length {
             match self.stream().read(&mut buffer) {
@@ -88,8 +88,8 @@
         read
     }
 
-    fn write_within(&mut self, text: &str, patience: Duration) -> bool {
-        self.stream().set_write_timeout(Some(patience)).unwrap();
+    fn write_with_timeout(&mut self, text: &str, timeout: Duration) -> bool {
+        self.stream().set_write_timeout(Some(timeout)).unwrap();
         let written = self.stream().write_all(text.as_bytes()).is_ok();
         if !written {
             self.close();
--- a/components/gateway/tests/common/store.rs
+++ b/components/gateway/tests/common/store.rs
@@ -19,7 +19,7 @@
 /// Beginning of the keys of orders.
 const ROLLOUT_PREFIX: &str = "rollout/";
 /// Pause between looks at whether a held call has its answer.
-const LOOK: Duration = Duration::from_millis(2);
+const POLL_INTERVAL: Duration = Duration::from_millis(2);
 
 #[derive(Default)]
 struct State {
@@ -27,13 +27,13 @@
     revision: u64,
     configurations: Vec<Configuration>,
     endpoints: Vec<Endpoint>,
-    forgets_before: u64,
+    compacted_before: u64,
     // Incremented by each restore.
     era: u64,
     snapshot: Option<Snapshot>,
     // Another gateway renews the lease before each look at it.
-    lease_renewed: bool,
-    lease_looks: u64,
+    is_lease_renewed_by_other: bool,
+    lease_calls: u64,
 }
 
 // State that a restore brings back.
@@ -45,40 +45,40 @@
 
 /// The store as one gateway sees it.
 #[derive(Clone)]
-pub struct StoreStandin {
+pub struct FakeStore {
     state: Arc<Mutex<State>>,
-    refuses: Arc<AtomicBool>,
-    says_nothing: Arc<AtomicBool>,
+    is_refusing: Arc<AtomicBool>,
+    is_unresponsive: Arc<AtomicBool>,
     holds_answers: Arc<AtomicBool>,
     answers_held: Arc<AtomicUsize>,
     call_ms: Arc<AtomicU64>,
-    asks: Arc<Mutex<BTreeMap<Topic, u64>>>,
+    call_counts: Arc<Mutex<BTreeMap<Topic, u64>>>,
     reported_era: Arc<Mutex<StoreEra>>,
     started: Instant,
 }
 
-impl Default for StoreStandin {
+impl Default for FakeStore {
     fn default() -> Self {
-        StoreStandin {
+        FakeStore {
             state: Arc::default(),
-            refuses: Arc::default(),
-            says_nothing: Arc::default(),
+            is_refusing: Arc::default(),
+            is_unresponsive: Arc::default(),
             holds_answers: Arc::default(),
             answers_held: Arc::default(),
             call_ms: Arc::default(),
-            asks: Arc::default(),
+            call_counts: Arc::default(),
             reported_era: Arc::default(),
             started: Instant::now(),
         }
     }
 }
 
-impl StoreStandin {
+impl FakeStore {
     pub fn put_configuration(&self, configuration: Configuration) {
         let mut state = self.state.lock().unwrap();
         let index = state.configurations.len() as u64;
         state.configurations.push(configuration);
-        put(&mut state, Topic::Configuration, "newest", Some(index));
+        write_index(&mut state, Topic::Configuration, "newest", Some(index));
     }
 
     /// The same, in a row of so many bytes more that name the same fields over and over.
@@ -93,7 +93,7 @@
             let route = format!("{{\"path\":\"/{number}/\",\"timeout\":800,\"kind\":\"once\"}},");
             value.extend(route.into_bytes());
         }
-        write(&mut state, Topic::Configuration, "newest", Some(value));
+        write_row(&mut state, Topic::Configuration, "newest", Some(value));
     }
 
     pub fn put_endpoint(&self, endpoint: Endpoint) {
@@ -101,7 +101,7 @@
         let index = state.endpoints.len() as u64;
         let id = endpoint.id.clone();
         state.endpoints.push(endpoint);
-        put(&mut state, Topic::Endpoints, &id, Some(index));
+        write_index(&mut state, Topic::Endpoints, &id, Some(index));
     }
 
     /// Orders a version of the service `s`.
@@ -109,7 +109,7 @@
         let mut state = self.state.lock().unwrap();
         let value = format!("{version} {}", time.as_millis());
         let key = format!("{ROLLOUT_PREFIX}s");
-        write(
+        write_row(
             &mut state,
             Topic::Configuration,
             &key,
@@ -123,32 +123,32 @@
         String::from_utf8(row.value?).ok()
     }
 
-    pub fn drop_endpoint(&self, id: &str) {
-        put(&mut self.state.lock().unwrap(), Topic::Endpoints, id, None);
+    pub fn delete_endpoint(&self, id: &str) {
+        write_index(&mut self.state.lock().unwrap(), Topic::Endpoints, id, None);
     }
 
     /// The same store as another gateway sees it.
-    pub fn for_another(&self) -> Self {
-        StoreStandin {
-            refuses: Arc::default(),
-            says_nothing: Arc::default(),
+    pub fn for_other_gateway(&self) -> Self {
+        FakeStore {
+            is_refusing: Arc::default(),
+            is_unresponsive: Arc::default(),
             holds_answers: Arc::default(),
             answers_held: Arc::default(),
             call_ms: Arc::default(),
-            asks: Arc::default(),
+            call_counts: Arc::default(),
             reported_era: Arc::default(),
             ..self.clone()
         }
     }
 
     /// Refuses every call of this gateway from now on, or no more.
-    pub fn refuse(&self, refuses: bool) {
-        self.refuses.store(refuses, Ordering::Relaxed);
+    pub fn refuse(&self, is_refusing: bool) {
+        self.is_refusing.store(is_refusing, Ordering::Relaxed);
     }
 
     /// Answers no call about rows of this gateway from now on.
-    pub fn say_nothing(&self) {
-        self.says_nothing.store(true, Ordering::Relaxed);
+    pub fn stop_responding(&self) {
+        self.is_unresponsive.store(true, Ordering::Relaxed);
     }
 
     /// Changes that it answers this gateway with from now on lie on the way, or no more.
@@ -161,36 +161,36 @@
         self.answers_held.load(Ordering::Relaxed)
     }
 
-    async fn lie_on_the_way(&self) {
+    async fn wait_while_held(&self) {
         if self.holds_answers.load(Ordering::Relaxed) {
             self.answers_held.fetch_add(1, Ordering::Relaxed);
         }
         while self.holds_answers.load(Ordering::Relaxed) {
-            tokio::time::sleep(LOOK).await;
+            tokio::time::sleep(POLL_INTERVAL).await;
         }
     }
 
     /// From now on calls of this gateway for rows take so long: the store lies in another region, or is slow.
-    pub fn take(&self, time: Duration) {
+    pub fn set_call_time(&self, time: Duration) {
         let ms = time.as_millis() as u64;
         self.call_ms.store(ms, Ordering::Relaxed);
     }
 
-    async fn answer_or_say_nothing(&self) {
+    async fn delay_or_hang(&self) {
         let call_time = Duration::from_millis(self.call_ms.load(Ordering::Relaxed));
         if call_time > Duration::ZERO {
             tokio::time::sleep(call_time).await;
         }
-        if self.says_nothing.load(Ordering::Relaxed) {
+        if self.is_unresponsive.load(Ordering::Relaxed) {
             std::future::pending::<()>().await;
         }
     }
 
     /// Forgets the changes made so far; the rows stay.
-    pub fn forget_history(&self) {
+    pub fn compact_history(&self) {
         let mut state = self.state.lock().unwrap();
         state.revision += 1;
-        state.forgets_before = state.revision;
+        state.compacted_before = state.revision;
     }
 
     /// Takes a snapshot of the rows and the revision, replacing any earlier one.
@@ -214,7 +214,7 @@
     pub fn advance_revision(&self, count: u64) {
         let mut state = self.state.lock().unwrap();
         for _ in 0..count {
-            put(&mut state, Topic::RolloutStatus, "other", Some(0));
+            write_index(&mut state, Topic::RolloutStatus, "other", Some(0));
         }
     }
 
@@ -224,53 +224,53 @@
     }
 
     /// From now on another gateway renews the lease before each look at it.
-    pub fn renew_lease_for_another(&self) {
-        self.state.lock().unwrap().lease_renewed = true;
+    pub fn renew_lease_for_other_gateway(&self) {
+        self.state.lock().unwrap().is_lease_renewed_by_other = true;
     }
 
     /// Looks at the lease so far.
-    pub fn lease_looks(&self) -> u64 {
-        self.state.lock().unwrap().lease_looks
+    pub fn lease_calls(&self) -> u64 {
+        self.state.lock().unwrap().lease_calls
     }
 
     /// Calls of this gateway that asked for rows of a topic.
-    pub fn asks(&self, topic: Topic) -> u64 {
-        let asks = self.asks.lock().unwrap();
-        asks.get(&topic).copied().unwrap_or_default()
+    pub fn call_count(&self, topic: Topic) -> u64 {
+        let call_counts = self.call_counts.lock().unwrap();
+        call_counts.get(&topic).copied().unwrap_or_default()
     }
 
     /// Writes the row of a gateway that does not run.
     pub fn put_gateway(&self, name: &str, row: &GatewayRow) {
         let mut state = self.state.lock().unwrap();
         let value = schema::encode(row).unwrap();
-        write(&mut state, Topic::Gateways, name, Some(value));
+        write_row(&mut state, Topic::Gateways, name, Some(value));
     }
 
     /// Writes a row as it is.
     pub fn put_row(&self, topic: Topic, key: &str, value: Vec<u8>) {
-        write(&mut self.state.lock().unwrap(), topic, key, Some(value));
+        write_row(&mut self.state.lock().unwrap(), topic, key, Some(value));
     }
 
-    fn count_ask(&self, topic: Topic) {
-        *self.asks.lock().unwrap().entry(topic).or_default() += 1;
+    fn count_call(&self, topic: Topic) {
+        *self.call_counts.lock().unwrap().entry(topic).or_default() += 1;
     }
 
-    fn enter(&self) -> Result<std::sync::MutexGuard<'_, State>, StoreError> {
+    fn lock_state(&self) -> Result<std::sync::MutexGuard<'_, State>, StoreError> {
         let state = self.state.lock().unwrap();
         self.reported_era.lock().unwrap().newest = Some(state.era);
-        match self.refuses.load(Ordering::Relaxed) {
+        match self.is_refusing.load(Ordering::Relaxed) {
             true => Err(StoreError::Refused),
             false => Ok(state),
         }
     }
 
-    fn rows(&self, state: &State, topic: Topic, after: u64, with_gone: bool) -> Rows {
+    fn rows(&self, state: &State, topic: Topic, after: u64, with_tombstones: bool) -> Rows {
         let era = state.era;
         let of_topic = state.rows.iter().filter(|((t, _), _)| *t == topic);
         let rows = of_topic.map(|(_, row)| with_era(row, era));
         Rows {
             rows: rows
-                .filter(|r| r.revision.number > after && (with_gone || r.value.is_some()))
+                .filter(|r| r.revision.number > after && (with_tombstones || r.value.is_some()))
                 .collect(),
             revision: Revision::new(era, state.revision),
             stamp: self.started.elapsed(),
@@ -279,12 +279,12 @@
     }
 }
 
-fn put(state: &mut State, topic: Topic, key: &str, index: Option<u64>) {
+fn write_index(state: &mut State, topic: Topic, key: &str, index: Option<u64>) {
     let value = index.map(|index| index.to_le_bytes().to_vec());
-    write(state, topic, key, value);
+    write_row(state, topic, key, value);
 }
 
-fn write(state: &mut State, topic: Topic, key: &str, value: Option<Vec<u8>>) -> u64 {
+fn write_row(state: &mut State, topic: Topic, key: &str, value: Option<Vec<u8>>) -> u64 {
     state.revision += 1;
     let row = Row {
         key: key.to_string(),
@@ -307,15 +307,15 @@
     if topic != Topic::Lease {
         return;
     }
-    state.lease_looks += 1;
-    if state.lease_renewed {
+    state.lease_calls += 1;
+    if state.is_lease_renewed_by_other {
         let row = LeaseRow {
             holder: "another".into(),
             epoch: 100,
-            write: state.lease_looks.to_string(),
+            write: state.lease_calls.to_string(),
         };
         let value = schema::encode(&row).unwrap();
-        write(state, topic, key, Some(value));
+        write_row(state, topic, key, Some(value));
     }
 }
 
@@ -324,16 +324,16 @@
     schema::decode::<GatewayRow>(value).is_ok_and(|row| row.hall.as_deref() == Some(hall))
 }
 
-fn index_of(value: &[u8]) -> Result<usize, RowFault> {
+fn decode_index(value: &[u8]) -> Result<usize, RowFault> {
     let bytes = value.try_into().map_err(|_| RowFault("length".into()))?;
     Ok(u64::from_le_bytes(bytes) as usize)
 }
 
-impl Store for StoreStandin {
+impl Store for FakeStore {
     async fn page(&self, query: PageQuery<'_>) -> Result<Page, StoreError> {
-        self.count_ask(query.topic);
-        self.answer_or_say_nothing().await;
-        let state = self.enter()?;
+        self.count_call(query.topic);
+        self.delay_or_hang().await;
+        let state = self.lock_state()?;
         let mut rows = self.rows(&state, query.topic, 0, false);
         rows.rows
             .retain(|row| query.hall.is_none_or(|hall| is_of_hall(row, hall)));
@@ -345,8 +345,8 @@
     }
 
     async fn read(&self, topic: Topic, key: &str) -> Result<ReadRow, StoreError> {
-        self.count_ask(topic);
-        let mut state = self.enter()?;
+        self.count_call(topic);
+        let mut state = self.lock_state()?;
         renew_lease(&mut state, topic, key);
         let row = state.rows.get(&(topic, key.to_string()));
         Ok(ReadRow {
@@ -362,23 +362,23 @@
         wait: Duration,
         _: Duration,
     ) -> Result<Rows, StoreError> {
-        self.count_ask(topic);
+        self.count_call(topic);
         let after = after.number;
         let began = Instant::now();
         loop {
-            self.answer_or_say_nothing().await;
+            self.delay_or_hang().await;
             let rows = {
-                let state = self.enter()?;
-                if after < state.forgets_before || after > state.revision {
+                let state = self.lock_state()?;
+                if after < state.compacted_before || after > state.revision {
                     return Err(StoreError::HistoryGone);
                 }
                 self.rows(&state, topic, after, true)
             };
             if !rows.rows.is_empty() || began.elapsed() >= wait {
-                self.lie_on_the_way().await;
+                self.wait_while_held().await;
                 return Ok(rows);
             }
-            tokio::time::sleep(LOOK).await;
+            tokio::time::sleep(POLL_INTERVAL).await;
         }
     }
 
@@ -389,7 +389,7 @@
         value: Vec<u8>,
         expected: Option<Revision>,
     ) -> Result<Revision, StoreError> {
-        let mut state = self.enter()?;
+        let mut state = self.lock_state()?;
         renew_lease(&mut state, topic, key);
         let found = state.rows.get(&(topic, key.to_string()));
         let number = found.map_or(0, |row| row.revision.number);
@@ -398,7 +398,7 @@
                 found.map(|row| with_era(row, state.era)),
             ));
         }
-        let number = write(&mut state, topic, key, Some(value));
+        let number = write_row(&mut state, topic, key, Some(value));
         Ok(Revision::new(state.era, number))
     }
 
@@ -418,12 +418,12 @@
     fn configuration(&self, value: &[u8]) -> Result<Configuration, RowFault> {
         // What follows makes a row long.
         let index = value.get(..8).unwrap_or_default();
-        let index = index_of(index)?;
+        let index = decode_index(index)?;
         Ok(self.state.lock().unwrap().configurations[index].clone())
     }
 
     fn endpoint(&self, _: &str, value: &[u8]) -> Result<Endpoint, RowFault> {
-        let index = index_of(value)?;
+        let index = decode_index(value)?;
         Ok(self.state.lock().unwrap().endpoints[index].clone())
     }
 
@@ -457,14 +457,14 @@
 
 /// Orders and reports as they came.
 #[derive(Clone, Default)]
-pub struct OrdersStandin {
+pub struct FakeOrders {
     pub reports: Arc<Mutex<Vec<(DutyHolder, Report)>>>,
     pub orders: Arc<Mutex<Vec<(DutyHolder, ScalingOrder)>>>,
     /// Replies to the next reports; `Done` once there are none.
     pub replies: Arc<Mutex<Vec<OrderReply>>>,
 }
 
-impl Orders for OrdersStandin {
+impl Orders for FakeOrders {
     async fn report(&self, holder: &DutyHolder, report: &Report) -> OrderReply {
         let mut reports = self.reports.lock().unwrap();
         reports.push((holder.clone(), report.clone()));
--- a/components/gateway/tests/coordinators.rs
+++ b/components/gateway/tests/coordinators.rs
@@ -5,8 +5,7 @@
 use std::time::{Duration, Instant};
 
 use common::{
-    configuration, endpoint, route, settings, tenant, wait_until, EndpointStandin, Setup,
-    StoreStandin,
+    configuration, endpoint, route, settings, tenant, wait_until, FakeEndpoint, FakeStore, Setup,
 };
 use directory::{Execution, Quota};
 use gateway::ports::Topic;
@@ -27,8 +26,8 @@
     }
 }
 
-fn limited_store(standin: &EndpointStandin) -> StoreStandin {
-    let store = StoreStandin::default();
+fn limited_store(fake: &FakeEndpoint) -> FakeStore {
+    let store = FakeStore::default();
     let mut configuration = configuration(1, vec![route("/a/", Execution::Repeatable)]);
     let mut team = tenant("t", "k");
     team.quota = Some(Quota {
@@ -38,17 +37,17 @@
     });
     configuration.tenants = vec![team];
     store.put_configuration(configuration);
-    store.put_endpoint(endpoint("e1", standin.address));
+    store.put_endpoint(endpoint("e1", fake.address));
     store
 }
 
 /// Three coordinators and one gateway that asks them.
-fn four(store: &StoreStandin) -> (Vec<Setup>, Setup) {
+fn four(store: &FakeStore) -> (Vec<Setup>, Setup) {
     let first = Setup::start(named("g1", 500, Vec::new()), store.clone());
     let seeds = || vec![first.gateway.peer_address().to_string()];
-    let second = Setup::start(named("g2", 500, seeds()), store.for_another());
-    let third = Setup::start(named("g3", 500, seeds()), store.for_another());
-    let asking = Setup::start(named("g4", 120, seeds()), store.for_another());
+    let second = Setup::start(named("g2", 500, seeds()), store.for_other_gateway());
+    let third = Setup::start(named("g3", 500, seeds()), store.for_other_gateway());
+    let asking = Setup::start(named("g4", 120, seeds()), store.for_other_gateway());
     wait_until("readiness", || asking.is_ready());
     (vec![first, second, third], asking)
 }
@@ -77,8 +76,8 @@
 
 #[test]
 fn a_gateway_that_asks_may_use_the_whole_limit_that_all_share() {
-    let standin = EndpointStandin::start(|_, e| e.answer(200, "x"));
-    let store = limited_store(&standin);
+    let fake = FakeEndpoint::start(|_, e| e.answer(200, "x"));
+    let store = limited_store(&fake);
     let (_coordinators, asking) = four(&store);
     // Its own part is a quarter: two a second.
     wait_until("the whole limit", || {
@@ -88,8 +87,8 @@
 
 #[test]
 fn without_any_coordinator_a_gateway_decides_itself() {
-    let standin = EndpointStandin::start(|_, e| e.answer(200, "x"));
-    let store = limited_store(&standin);
+    let fake = FakeEndpoint::start(|_, e| e.answer(200, "x"));
+    let store = limited_store(&fake);
     let (coordinators, asking) = four(&store);
     wait_until("the whole limit", || {
         served_in_a_second(&asking) as f64 >= LIMIT * 0.75
@@ -104,23 +103,23 @@
 
 #[test]
 fn a_small_change_of_the_configuration_is_taken_from_a_coordinator() {
-    let standin = EndpointStandin::start(|_, e| e.answer(200, "x"));
-    let store = limited_store(&standin);
+    let fake = FakeEndpoint::start(|_, e| e.answer(200, "x"));
+    let store = limited_store(&fake);
     let (_coordinators, asking) = four(&store);
     wait_until("the whole limit", || {
         served_in_a_second(&asking) as f64 >= LIMIT * 0.75
     });
     // The first change ends a call that was held at the store before the coordinators were found.
     change(&asking, 2, "/second/");
-    let asks_before = asking.store.asks(Topic::Configuration);
+    let asks_before = asking.store.call_count(Topic::Configuration);
     change(&asking, 3, "/third/");
-    assert_eq!(asking.store.asks(Topic::Configuration), asks_before);
+    assert_eq!(asking.store.call_count(Topic::Configuration), asks_before);
 }
 
 #[test]
 fn a_gateway_whose_turn_it_is_to_hold_calls_at_the_store_does_so_at_once() {
-    let standin = EndpointStandin::start(|_, e| e.answer(200, "x"));
-    let store = limited_store(&standin);
+    let fake = FakeEndpoint::start(|_, e| e.answer(200, "x"));
+    let store = limited_store(&fake);
     let (coordinators, asking) = four(&store);
     wait_until("the whole limit", || {
         served_in_a_second(&asking) as f64 >= LIMIT * 0.75
@@ -135,33 +134,33 @@
 
 #[test]
 fn a_gateway_that_asks_does_not_read_the_endpoints() {
-    let standin = EndpointStandin::start(|_, e| e.answer(200, "x"));
-    let store = limited_store(&standin);
+    let fake = FakeEndpoint::start(|_, e| e.answer(200, "x"));
+    let store = limited_store(&fake);
     let seeds = || Vec::new();
     let coordinators = ["g1", "g2", "g3"].map(|name| {
-        let setup = Setup::start(named(name, 500, seeds()), store.for_another());
+        let setup = Setup::start(named(name, 500, seeds()), store.for_other_gateway());
         wait_until("a coordinator's readiness", || setup.is_ready());
         setup
     });
-    let asking = Setup::start(named("g4", 120, seeds()), store.for_another());
+    let asking = Setup::start(named("g4", 120, seeds()), store.for_other_gateway());
     wait_until("an answer", || {
         asking.call("/a/1", &["x-key: k"]).status == 200
     });
-    assert_eq!(asking.store.asks(Topic::Endpoints), 0);
+    assert_eq!(asking.store.call_count(Topic::Endpoints), 0);
     for coordinator in &coordinators {
-        assert!(coordinator.store.asks(Topic::Endpoints) > 0);
+        assert!(coordinator.store.call_count(Topic::Endpoints) > 0);
     }
 }
 
 #[test]
 fn a_gateway_whose_hall_has_no_coordinator_asks_one_of_another_hall() {
-    let standin = EndpointStandin::start(|_, e| e.answer(200, "x"));
-    let store = limited_store(&standin);
+    let fake = FakeEndpoint::start(|_, e| e.answer(200, "x"));
+    let store = limited_store(&fake);
     let elsewhere = GatewaySettings {
         zone: "z2".into(),
         ..named("g1", 500, Vec::new())
     };
-    let elsewhere = Setup::start(elsewhere, store.for_another());
+    let elsewhere = Setup::start(elsewhere, store.for_other_gateway());
     wait_until("readiness", || elsewhere.is_ready());
     // Three larger gateways of its hall are listed and do not run.
     for (i, name) in ["g2", "g3", "g4"].into_iter().enumerate() {
@@ -174,9 +173,9 @@
         };
         store.put_gateway(name, &row);
     }
-    let asking = Setup::start(named("g5", 120, Vec::new()), store.for_another());
+    let asking = Setup::start(named("g5", 120, Vec::new()), store.for_other_gateway());
     wait_until("an answer", || {
         asking.call("/a/1", &["x-key: k"]).status == 200
     });
-    assert_eq!(asking.store.asks(Topic::Endpoints), 0);
+    assert_eq!(asking.store.call_count(Topic::Endpoints), 0);
 }
--- a/components/gateway/tests/duties.rs
+++ b/components/gateway/tests/duties.rs
@@ -5,21 +5,19 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-use common::{
-    configuration, endpoint, route, settings, tenant, wait_until, EndpointStandin, Setup,
-};
+use common::{configuration, endpoint, route, settings, tenant, wait_until, FakeEndpoint, Setup};
 use directory::{Endpoint, Execution, Scaling};
 use fleet::ScalingOrder;
 use gateway::ports::{OrderReply, Topic};
 use schema::messages::UsageRow;
 
 fn reporting() -> Setup {
-    let standin = EndpointStandin::start(|_, exchange| exchange.answer(200, ""));
+    let fake = FakeEndpoint::start(|_, exchange| exchange.answer(200, ""));
     let mut with_tenant = configuration(1, vec![route("/a/", Execution::Once)]);
     with_tenant.tenants = vec![tenant("t", "k")];
     let mut settings = settings();
     settings.reports_usage = true;
-    let one = endpoint("e0", standin.address);
+    let one = endpoint("e0", fake.address);
     Setup::serving_with(settings, with_tenant, vec![one])
 }
 
@@ -53,20 +51,20 @@
 #[test]
 fn nothing_is_reported_while_another_gateway_renews_the_lease() {
     let setup = reporting();
-    setup.store.renew_lease_for_another();
-    let before = setup.store.lease_looks();
+    setup.store.renew_lease_for_other_gateway();
+    let before = setup.store.lease_calls();
     wait_until("looks at the lease", || {
-        setup.store.lease_looks() > before + 3
+        setup.store.lease_calls() > before + 3
     });
     let reported = setup.orders.reports.lock().unwrap().len();
-    let looked = setup.store.lease_looks();
-    wait_until("more looks", || setup.store.lease_looks() > looked + 2);
+    let looked = setup.store.lease_calls();
+    wait_until("more looks", || setup.store.lease_calls() > looked + 2);
     assert_eq!(setup.orders.reports.lock().unwrap().len(), reported);
 }
 
 /// A gateway that orders endpoints in two data halls: four are found in the first and dearer one.
 fn ordering(regions: [&str; 2]) -> Setup {
-    let standin = EndpointStandin::start(|_, exchange| exchange.answer(200, ""));
+    let fake = FakeEndpoint::start(|_, exchange| exchange.answer(200, ""));
     let mut scaled = configuration(1, vec![route("/a/", Execution::Once)]);
     scaled.services.get_mut("s").unwrap().scaling = Some(Scaling {
         least: 1,
@@ -81,7 +79,7 @@
     settings.halls = halls.map(|(h, r)| (h.to_string(), r.to_string())).collect();
     let found = (0..4).map(|i| Endpoint {
         slots: 8,
-        ..endpoint(&format!("e{i}"), standin.address)
+        ..endpoint(&format!("e{i}"), fake.address)
     });
     Setup::serving_with(settings, scaled, found.collect())
 }
--- a/components/gateway/tests/endpoint_limits.rs
+++ b/components/gateway/tests/endpoint_limits.rs
@@ -10,7 +10,7 @@
 use std::time::{Duration, Instant};
 
 use common::{
-    configuration, endpoint, route, settings, wait_until, EndpointStandin, Setup, StoreStandin,
+    configuration, endpoint, route, settings, wait_until, FakeEndpoint, FakeStore, Setup,
 };
 use directory::Execution;
 use schema::settings::GatewaySettings;
@@ -27,7 +27,7 @@
 
 /// An endpoint that names a limit, and when requests reached it.
 struct InNeed {
-    standin: EndpointStandin,
+    fake: FakeEndpoint,
     arrivals: Arc<Mutex<Vec<Instant>>>,
     limit: Arc<Mutex<Option<String>>>,
 }
@@ -37,16 +37,16 @@
         let arrivals: Arc<Mutex<Vec<Instant>>> = Arc::default();
         let limit = Arc::new(Mutex::new(Some(limit.to_string())));
         let (seen, named) = (Arc::clone(&arrivals), Arc::clone(&limit));
-        let standin = EndpointStandin::start(move |_, exchange| {
+        let fake = FakeEndpoint::start(move |_, exchange| {
             seen.lock().unwrap().push(Instant::now());
             let named = named.lock().unwrap().clone();
             match named {
-                Some(limit) => exchange.answer_limited(&limit),
+                Some(limit) => exchange.answer_with_limit(&limit),
                 None => exchange.answer(200, "x"),
             }
         });
         InNeed {
-            standin,
+            fake,
             arrivals,
             limit,
         }
@@ -81,13 +81,13 @@
     }
 }
 
-fn store(endpoints: &[(&str, &EndpointStandin)]) -> StoreStandin {
-    let store = StoreStandin::default();
+fn store(endpoints: &[(&str, &FakeEndpoint)]) -> FakeStore {
+    let store = FakeStore::default();
     let mut route = route("/a/", Execution::Once);
     route.target = Duration::from_millis(600);
     store.put_configuration(configuration(1, vec![route]));
-    for (id, standin) in endpoints {
-        store.put_endpoint(endpoint(id, standin.address));
+    for (id, fake) in endpoints {
+        store.put_endpoint(endpoint(id, fake.address));
     }
     store
 }
@@ -102,14 +102,14 @@
 }
 
 /// Gateways of one hall: the first three decide, any others ask them.
-fn fleet(store: &StoreStandin, count: usize) -> Vec<Setup> {
+fn fleet(store: &FakeStore, count: usize) -> Vec<Setup> {
     let first = Setup::start(named("g1", 500, Vec::new()), store.clone());
     let seeds = vec![first.gateway.peer_address().to_string()];
     let mut gateways = vec![first];
     for number in 2..=count {
         let cores_milli = if number <= 3 { 500 } else { 120 };
         let settings = named(&format!("g{number}"), cores_milli, seeds.clone());
-        gateways.push(Setup::start(settings, store.for_another()));
+        gateways.push(Setup::start(settings, store.for_other_gateway()));
     }
     for gateway in &gateways {
         wait_until("readiness", || gateway.is_ready());
@@ -151,8 +151,8 @@
 fn gateways_together_send_an_endpoint_no_more_than_the_limit_it_names() {
     for (count, per_s) in [(3, 4.0), (5, 1.0)] {
         let in_need = InNeed::start(&per_s.to_string());
-        let steady = EndpointStandin::start(|_, exchange| exchange.answer(200, "x"));
-        let store = store(&[("e1", &in_need.standin), ("e2", &steady)]);
+        let steady = FakeEndpoint::start(|_, exchange| exchange.answer(200, "x"));
+        let store = store(&[("e1", &in_need.fake), ("e2", &steady)]);
         let gateways = fleet(&store, count);
         let since = Instant::now() + BINDS_AFTER;
         let statuses = press(&gateways, BINDS_AFTER + WINDOW);
@@ -174,7 +174,7 @@
 ) {
     let per_s = 4.0;
     let in_need = InNeed::start(&per_s.to_string());
-    let store = store(&[("e1", &in_need.standin)]);
+    let store = store(&[("e1", &in_need.fake)]);
     let gateways = fleet(&store, 3);
     tell(&gateways, &in_need);
     let since = Instant::now() + BINDS_AFTER;
@@ -185,7 +185,7 @@
     assert!(in_need.arrived_since(since) >= least, "{most}");
     let answer = gateways[0].call("/a/1", &[]);
     assert!(statuses.iter().all(|status| matches!(status, 200 | 503)));
-    assert!(answer.status == 200 || answer.field("retry-after").is_some());
+    assert!(answer.status == 200 || answer.header("retry-after").is_some());
 }
 
 // Guards against a limit that outlives the answers that name it, 0 included: nobody would hear that it ended.
@@ -193,7 +193,7 @@
 fn an_endpoint_that_names_no_limit_any_more_gets_requests_as_before() {
     for limit in ["0", "-1", "nan"] {
         let in_need = InNeed::start(limit);
-        let store = store(&[("e1", &in_need.standin)]);
+        let store = store(&[("e1", &in_need.fake)]);
         let gateways = fleet(&store, 3);
         tell(&gateways[..1], &in_need);
         in_need.name(None);
--- a/components/gateway/tests/endpoint_signals.rs
+++ b/components/gateway/tests/endpoint_signals.rs
@@ -13,8 +13,7 @@
 use std::time::{Duration, Instant};
 
 use common::{
-    configuration, endpoint, route, settings, wait_until, EndpointStandin, Lines, Setup,
-    StoreStandin,
+    configuration, endpoint, route, settings, wait_until, FakeEndpoint, FakeStore, LogLines, Setup,
 };
 use directory::{Endpoint, Execution};
 use gateway::Clock;
@@ -27,20 +26,20 @@
 /// A connection that may be used again is kept for so long.
 const RESTS_FOR: Duration = Duration::from_secs(8);
 
-fn steady() -> EndpointStandin {
-    EndpointStandin::start(|_, exchange| exchange.answer(200, "steady"))
+fn steady() -> FakeEndpoint {
+    FakeEndpoint::start(|_, exchange| exchange.answer(200, "steady"))
 }
 
-fn leaving() -> EndpointStandin {
-    EndpointStandin::start(|_, exchange| exchange.answer_leaving())
+fn leaving() -> FakeEndpoint {
+    FakeEndpoint::start(|_, exchange| exchange.answer_leaving())
 }
 
-fn busy() -> EndpointStandin {
-    EndpointStandin::start(|_, exchange| exchange.decline_for(PAUSE))
+fn busy() -> FakeEndpoint {
+    FakeEndpoint::start(|_, exchange| exchange.decline_with_pause(PAUSE))
 }
 
-fn store(execution: Execution, endpoints: Vec<Endpoint>) -> StoreStandin {
-    let store = StoreStandin::default();
+fn store(execution: Execution, endpoints: Vec<Endpoint>) -> FakeStore {
+    let store = FakeStore::default();
     store.put_configuration(configuration(1, vec![route("/a/", execution)]));
     for endpoint in endpoints {
         store.put_endpoint(endpoint);
@@ -48,24 +47,24 @@
     store
 }
 
-fn both(first: &EndpointStandin, second: &EndpointStandin) -> Vec<Endpoint> {
+fn both(first: &FakeEndpoint, second: &FakeEndpoint) -> Vec<Endpoint> {
     vec![
         endpoint("e1", first.address),
         endpoint("e2", second.address),
     ]
 }
 
-fn start(store: &StoreStandin) -> Setup {
+fn start(store: &FakeStore) -> Setup {
     let setup = Setup::start(settings(), store.clone());
     wait_until("readiness", || setup.is_ready());
     setup
 }
 
 /// Calls until an endpoint has been asked once.
-fn call_until_asked(setup: &Setup, standin: &EndpointStandin) {
+fn call_until_asked(setup: &Setup, fake: &FakeEndpoint) {
     wait_until("a request to reach it", || {
         setup.call("/a/1", &[]);
-        !standin.heads().is_empty()
+        !fake.heads().is_empty()
     });
 }
 
@@ -76,7 +75,7 @@
 }
 
 /// Three gateways that decide, and one that asks them.
-fn four(store: &StoreStandin) -> (Vec<Setup>, Setup) {
+fn four(store: &FakeStore) -> (Vec<Setup>, Setup) {
     let named = |name: &str, cores_milli, seeds| GatewaySettings {
         name: name.into(),
         cores_milli,
@@ -85,9 +84,9 @@
     };
     let first = Setup::start(named("g1", 500, Vec::new()), store.clone());
     let seeds = vec![first.gateway.peer_address().to_string()];
-    let second = Setup::start(named("g2", 500, seeds.clone()), store.for_another());
-    let third = Setup::start(named("g3", 500, seeds.clone()), store.for_another());
-    let asking = Setup::start(named("g4", 120, seeds), store.for_another());
+    let second = Setup::start(named("g2", 500, seeds.clone()), store.for_other_gateway());
+    let third = Setup::start(named("g3", 500, seeds.clone()), store.for_other_gateway());
+    let asking = Setup::start(named("g4", 120, seeds), store.for_other_gateway());
     wait_until("readiness", || asking.is_ready());
     (vec![first, second, third], asking)
 }
@@ -97,7 +96,7 @@
     let (leaving, steady) = (leaving(), steady());
     let store = store(Execution::Once, both(&leaving, &steady));
     let setup = start(&store);
-    store.say_nothing();
+    store.stop_responding();
     call_until_asked(&setup, &leaving);
     call_all_served(&setup);
     assert_eq!(leaving.heads().len(), 1);
@@ -142,7 +141,7 @@
 fn a_record_that_still_says_ready_does_not_bring_a_leaving_endpoint_back() {
     let (leaving, steady) = (leaving(), steady());
     let store = store(Execution::Once, both(&leaving, &steady));
-    let lines = Lines::default();
+    let lines = LogLines::default();
     let setup = Setup::start_with_log(settings(), store.clone(), lines.logger());
     wait_until("readiness", || setup.is_ready());
     call_until_asked(&setup, &leaving);
@@ -153,7 +152,7 @@
     wait_until("the record", || lines.count("endpoint changed") > 2);
     call_all_served(&setup);
     // Its record lapses and is back.
-    store.drop_endpoint("e1");
+    store.delete_endpoint("e1");
     wait_until("the drop", || lines.count("endpoint gone") > 0);
     store.put_endpoint(late);
     wait_until("the record", || lines.count("endpoint changed") > 3);
@@ -183,7 +182,7 @@
 fn a_connection_that_rests_is_not_kept_to_an_endpoint_that_leaves() {
     let closed = Arc::new(AtomicBool::new(false));
     let seen = Arc::clone(&closed);
-    let leaving = EndpointStandin::start(move |_, exchange| {
+    let leaving = FakeEndpoint::start(move |_, exchange| {
         exchange.answer_leaving();
         exchange.wait_closed();
         seen.store(true, Ordering::SeqCst);
@@ -199,18 +198,18 @@
 #[test]
 fn a_stream_of_an_endpoint_that_leaves_ends_whole_and_another_goes_on_elsewhere() {
     let resumable = Execution::Stream { resumable: true };
-    let leaving = EndpointStandin::start(|_, exchange| {
+    let leaving = FakeEndpoint::start(|_, exchange| {
         exchange.begin_leaving_stream();
         exchange.event(1);
         exchange.event(2);
         exchange.end_stream();
     });
-    let breaking = EndpointStandin::start(|_, exchange| {
+    let breaking = FakeEndpoint::start(|_, exchange| {
         exchange.begin_stream();
         exchange.event(1);
         exchange.close();
     });
-    let steady = EndpointStandin::start(|_, exchange| {
+    let steady = FakeEndpoint::start(|_, exchange| {
         exchange.begin_stream();
         exchange.event(2);
         exchange.end_stream();
@@ -221,7 +220,7 @@
     call_until_asked(&setup, &leaving);
     for _ in 0..REQUESTS {
         let answer = setup.call("/a/1", &[]);
-        assert!(answer.whole, "{}", answer.body);
+        assert!(answer.is_complete, "{}", answer.body);
     }
     assert_eq!(leaving.heads().len(), 1);
     assert!(!breaking.heads().is_empty());
@@ -234,7 +233,7 @@
     // An endpoint is waited for during a sixth of it.
     patient.target = Duration::from_secs(600);
     patient.timeout = Duration::from_secs(600);
-    let store = StoreStandin::default();
+    let store = FakeStore::default();
     store.put_configuration(configuration(1, vec![patient]));
     for endpoint in both(&first, &second) {
         store.put_endpoint(endpoint);
@@ -244,7 +243,7 @@
     let answers = [setup.call("/a/1", &[]), setup.call("/a/1", &[])];
     for answer in answers {
         assert_eq!(answer.status, 503);
-        let wait: f64 = answer.field("retry-after").unwrap().parse().unwrap();
+        let wait: f64 = answer.header("retry-after").unwrap().parse().unwrap();
         let pause = PAUSE.as_secs_f64();
         assert!((pause - 60.0..=pause * 1.25).contains(&wait), "{wait}");
     }
@@ -256,7 +255,7 @@
     let busy = busy();
     let endpoints = vec![endpoint("e1", busy.address)];
     let store = store(Execution::Once, endpoints);
-    let (first, second) = (start(&store), start(&store.for_another()));
+    let (first, second) = (start(&store), start(&store.for_other_gateway()));
     assert_eq!(first.call("/a/1", &[]).status, 503);
     assert_eq!(second.call("/a/1", &[]).status, 503);
     assert_eq!(busy.heads().len(), 2);
@@ -264,8 +263,8 @@
 
 #[test]
 fn a_pause_asked_of_a_coordinator_does_not_bind_the_gateways_that_ask_it() {
-    let busy = EndpointStandin::start(|number, exchange| match number {
-        0..3 => exchange.decline_for(PAUSE),
+    let busy = FakeEndpoint::start(|number, exchange| match number {
+        0..3 => exchange.decline_with_pause(PAUSE),
         _ => exchange.answer(200, "x"),
     });
     let store = store(Execution::Once, vec![endpoint("e1", busy.address)]);
@@ -278,28 +277,28 @@
 
 #[test]
 fn the_end_of_an_endpoint_that_said_it_leaves_says_nothing_of_what_it_ran() {
-    let leaving = EndpointStandin::start(|_, exchange| {
+    let leaving = FakeEndpoint::start(|_, exchange| {
         exchange.begin_leaving_stream();
         exchange.event(1);
         exchange.close();
     });
     let stream = Execution::Stream { resumable: false };
-    let lines = Lines::default();
+    let lines = LogLines::default();
     let store = store(stream, vec![endpoint("e1", leaving.address)]);
     let setup = Setup::start_with_log(settings(), store, lines.logger());
     wait_until("readiness", || setup.is_ready());
-    assert!(!setup.call("/a/1", &[]).whole);
+    assert!(!setup.call("/a/1", &[]).is_complete);
     wait_until("the stream's line", || lines.count("stream ended") > 0);
     assert_eq!(lines.count("endpoint cut an answer off"), 0);
 }
 
 #[test]
 fn a_pause_of_one_endpoint_is_not_told_as_the_time_to_come_back_while_another_is_open() {
-    let full = || EndpointStandin::start(|_, exchange| exchange.decline());
+    let full = || FakeEndpoint::start(|_, exchange| exchange.decline());
     let wait = |gateway: &Setup| {
         let answer = gateway.call("/a/1", &[]);
         assert_eq!(answer.status, 503);
-        let wait = answer.field("retry-after").unwrap().parse::<f64>();
+        let wait = answer.header("retry-after").unwrap().parse::<f64>();
         wait.unwrap()
     };
     let (busy, open) = (busy(), full());
--- a/components/gateway/tests/memory_use.rs
+++ b/components/gateway/tests/memory_use.rs
@@ -10,10 +10,9 @@
 use std::sync::{Mutex, MutexGuard, PoisonError};
 use std::time::Duration;
 
-use common::slow_io::open_narrow;
+use common::slow_io::open_with_small_buffers;
 use common::{
-    configuration, endpoint, open, request_text, route, settings, wait_until, EndpointStandin,
-    Setup,
+    configuration, endpoint, open, request_text, route, settings, wait_until, FakeEndpoint, Setup,
 };
 use directory::Execution;
 use telemetry::Gauge;
@@ -66,7 +65,7 @@
     });
 }
 
-fn serving(mib: i32, execution: Execution, standin: &EndpointStandin) -> Setup {
+fn serving(mib: i32, execution: Execution, fake: &FakeEndpoint) -> Setup {
     let mut settings = settings();
     settings.memory_mib = mib;
     settings.descriptors = 8192;
@@ -75,7 +74,7 @@
     configuration.routes[0].timeout = Duration::from_secs(60);
     let service = configuration.services.get_mut("s");
     service.expect("it is there").max_connections = 2000;
-    let endpoints = vec![endpoint("e0", standin.address)];
+    let endpoints = vec![endpoint("e0", fake.address)];
     Setup::serving_with(settings, configuration, endpoints)
 }
 
@@ -122,15 +121,15 @@
 
 fn streams_agree(events: u64, bytes: usize) {
     let _alone = alone();
-    let standin = EndpointStandin::start(move |_, exchange| {
-        exchange.stream_within(events, bytes, Duration::from_secs(20));
+    let fake = FakeEndpoint::start(move |_, exchange| {
+        exchange.stream_with_timeout(events, bytes, Duration::from_secs(20));
     });
     let stream = Execution::Stream { resumable: false };
-    let setup = serving(256, stream, &standin);
+    let setup = serving(256, stream, &fake);
     let before = settle(&setup);
     let request = request_text("/a/", &[]);
     let callers: Vec<TcpStream> = (0..12)
-        .map(|_| open_narrow(setup.address(), request.as_bytes()))
+        .map(|_| open_with_small_buffers(setup.address(), request.as_bytes()))
         .collect();
     wait_until("much to be held", || held(&setup) - before.0 > 8 << 20);
     assert_agree("streams", grown(&setup, before));
@@ -154,14 +153,14 @@
 #[test]
 fn bodies_and_whole_answers_take_what_the_ledger_says() {
     let _alone = alone();
-    let standin = EndpointStandin::start(|_, exchange| {
-        exchange.answer_within(1_000_000, Duration::from_secs(20));
+    let fake = FakeEndpoint::start(|_, exchange| {
+        exchange.answer_with_timeout(1_000_000, Duration::from_secs(20));
     });
-    let setup = serving(256, Execution::Once, &standin);
+    let setup = serving(256, Execution::Once, &fake);
     let before = settle(&setup);
     let request = request_text("/a/", &[]);
     let answers: Vec<TcpStream> = (0..12)
-        .map(|_| open_narrow(setup.address(), request.as_bytes()))
+        .map(|_| open_with_small_buffers(setup.address(), request.as_bytes()))
         .collect();
     let head = request_text("/a/", &["content-length: 2000000", "x-deadline: 60000"]);
     let head = head.replacen("GET", "POST", 1);
@@ -187,8 +186,8 @@
 #[test]
 fn connections_at_rest_cost_what_the_ledger_says() {
     let _alone = alone();
-    let standin = EndpointStandin::start(|_, exchange| exchange.answer(200, "x"));
-    let setup = serving(256, Execution::Once, &standin);
+    let fake = FakeEndpoint::start(|_, exchange| exchange.answer(200, "x"));
+    let setup = serving(256, Execution::Once, &fake);
     let request = request_text("/a/", &[]).replace("connection: close\r\n", "");
     let ask = || {
         let mut caller = open(setup.address(), &request);
@@ -207,13 +206,13 @@
 #[test]
 fn requests_under_way_cost_what_the_ledger_says() {
     let _alone = alone();
-    let standin = EndpointStandin::start(|_, exchange| exchange.wait_closed());
-    let setup = serving(256, Execution::Once, &standin);
+    let fake = FakeEndpoint::start(|_, exchange| exchange.wait_closed());
+    let setup = serving(256, Execution::Once, &fake);
     let request = request_text("/a/", &[]);
     let before = settle(&setup);
     let callers: Vec<TcpStream> = (0..300).map(|_| open(setup.address(), &request)).collect();
     wait_until("all requests at the endpoint", || {
-        standin.heads().len() == callers.len()
+        fake.heads().len() == callers.len()
     });
     assert_agree("requests under way", grown(&setup, before));
     drop(callers);
@@ -223,18 +222,18 @@
 #[test]
 fn two_hundred_callers_that_read_nothing_keep_a_gateway_of_160_mib_below_120() {
     let _alone = alone();
-    let standin = EndpointStandin::start(|_, exchange| {
-        exchange.answer_within(1_000_000, Duration::from_secs(20));
+    let fake = FakeEndpoint::start(|_, exchange| {
+        exchange.answer_with_timeout(1_000_000, Duration::from_secs(20));
     });
-    let setup = serving(160, Execution::Once, &standin);
+    let setup = serving(160, Execution::Once, &fake);
     let (_, before) = settle(&setup);
     PEAK.store(before, Ordering::Relaxed);
     let request = request_text("/a/", &[]);
     let callers: Vec<TcpStream> = (0..200)
-        .map(|_| open_narrow(setup.address(), request.as_bytes()))
+        .map(|_| open_with_small_buffers(setup.address(), request.as_bytes()))
         .collect();
     wait_until("all requests at the endpoint", || {
-        standin.heads().len() == callers.len()
+        fake.heads().len() == callers.len()
     });
     settle(&setup);
     let metrics = setup.gateway.metrics();
--- a/components/gateway/tests/request_quarantine.rs
+++ b/components/gateway/tests/request_quarantine.rs
@@ -9,10 +9,10 @@
 
 use std::thread;
 
-use common::crashing::{DEADLY, LONG};
+use common::crashing::{HANGING_PATH, POISON_PATH};
 use common::{
     configuration, endpoint, request_text, route, send, settings, wait_until, Answer,
-    EndpointStandin, Lines, Mortal, Setup, StoreStandin,
+    CrashingEndpoint, FakeEndpoint, FakeStore, LogLines, Setup,
 };
 use directory::{Endpoint, EndpointState, Execution};
 use gateway::ports::Topic;
@@ -29,12 +29,12 @@
 /// A gateway and what it logs.
 struct Logged {
     setup: Setup,
-    lines: Lines,
+    lines: LogLines,
 }
 
 impl Logged {
-    fn start(name: &str, seeds: Vec<String>, store: StoreStandin) -> Self {
-        let lines = Lines::default();
+    fn start(name: &str, seeds: Vec<String>, store: FakeStore) -> Self {
+        let lines = LogLines::default();
         let settings = GatewaySettings {
             name: name.into(),
             seeds,
@@ -50,47 +50,50 @@
     }
 
     /// Asks for what is deadly, with an id of its own each time.
-    fn ask_deadly(&self, number: usize) -> Answer {
+    fn send_poison_request(&self, number: usize) -> Answer {
         self.setup
-            .call(DEADLY, &[&format!("x-id: deadly-{number}")])
+            .call(POISON_PATH, &[&format!("x-id: poison-{number}")])
     }
 }
 
-fn start_endpoints() -> Vec<Mortal> {
-    (0..ENDPOINTS).map(|_| Mortal::start()).collect()
+fn start_endpoints() -> Vec<CrashingEndpoint> {
+    (0..ENDPOINTS).map(|_| CrashingEndpoint::start()).collect()
 }
 
-fn store(endpoints: &[Mortal]) -> StoreStandin {
-    let store = StoreStandin::default();
+fn store(endpoints: &[CrashingEndpoint]) -> FakeStore {
+    let store = FakeStore::default();
     store.put_configuration(configuration(1, vec![route("/a/", Execution::Repeatable)]));
-    for (i, mortal) in endpoints.iter().enumerate() {
-        store.put_endpoint(endpoint(&format!("e{i}"), mortal.address));
+    for (i, crashing) in endpoints.iter().enumerate() {
+        store.put_endpoint(endpoint(&format!("e{i}"), crashing.address));
     }
     store
 }
 
 /// Gateways that know each other; from the fourth on they ask the first three.
-fn several(count: usize, store: &StoreStandin) -> Vec<Logged> {
+fn several(count: usize, store: &FakeStore) -> Vec<Logged> {
     let mut all = vec![Logged::start("g1", Vec::new(), store.clone())];
     while all.len() < count {
         let seed = all[0].setup.gateway.peer_address().to_string();
         let name = format!("g{}", all.len() + 1);
-        all.push(Logged::start(&name, vec![seed], store.for_another()));
+        all.push(Logged::start(&name, vec![seed], store.for_other_gateway()));
     }
     all
 }
 
 /// Asks two gateways, and waits until all know.
 fn let_all_know(gateways: &[Logged]) {
-    gateways[0].ask_deadly(0);
-    gateways[1].ask_deadly(1);
+    gateways[0].send_poison_request(0);
+    gateways[1].send_poison_request(1);
     wait_until("all gateways to know of it", || {
         gateways.iter().all(Logged::holds)
     });
 }
 
-fn ended(endpoints: &[Mortal]) -> usize {
-    endpoints.iter().filter(|mortal| mortal.has_ended()).count()
+fn ended(endpoints: &[CrashingEndpoint]) -> usize {
+    endpoints
+        .iter()
+        .filter(|crashing| crashing.has_stopped())
+        .count()
 }
 
 #[test]
@@ -99,9 +102,9 @@
     let gateways = several(3, &store(&endpoints));
     let_all_know(&gateways);
     for number in 2..2 + ENDPOINTS {
-        let refused = gateways[number % gateways.len()].ask_deadly(number);
+        let refused = gateways[number % gateways.len()].send_poison_request(number);
         assert_eq!(refused.status, 503, "{}", refused.head);
-        assert!(refused.field("retry-after").is_some(), "{}", refused.head);
+        assert!(refused.header("retry-after").is_some(), "{}", refused.head);
     }
     let ended = ended(&endpoints);
     assert!(ended <= MAY_END, "{ended} endpoints ended");
@@ -119,7 +122,7 @@
     gateways.reverse();
     let_all_know(&gateways);
     for (number, gateway) in gateways.iter().enumerate() {
-        assert_eq!(gateway.ask_deadly(2 + number).status, 503);
+        assert_eq!(gateway.send_poison_request(2 + number).status, 503);
     }
     assert!(ended(&endpoints) <= MAY_END);
 }
@@ -132,9 +135,9 @@
     let_all_know(&gateways);
     let before = ended(&endpoints);
     let seed = gateways[0].setup.gateway.peer_address().to_string();
-    let late = Logged::start("late", vec![seed], store.for_another());
+    let late = Logged::start("late", vec![seed], store.for_other_gateway());
     wait_until("it to hear", || late.holds());
-    assert_eq!(late.ask_deadly(2).status, 503);
+    assert_eq!(late.send_poison_request(2).status, 503);
     assert_eq!(ended(&endpoints), before);
 }
 
@@ -147,12 +150,12 @@
     left.put_row(Topic::Quarantine, "held", held);
     let late = Logged::start("late", Vec::new(), left);
     wait_until("it to read", || late.holds());
-    assert_eq!(late.ask_deadly(2).status, 503);
+    assert_eq!(late.send_poison_request(2).status, 503);
     assert_eq!(ended(&endpoints), before);
 }
 
 /// The row that two gateways write once they know; their endpoints are left to the caller.
-fn kept_row(store: &StoreStandin) -> Vec<u8> {
+fn kept_row(store: &FakeStore) -> Vec<u8> {
     let gateways = several(2, store);
     let_all_know(&gateways);
     let row = || store.row(Topic::Quarantine, "held");
@@ -175,7 +178,7 @@
     };
     behind_cut.put_gateway("silent", &row);
     let gateway = Logged::start("g", Vec::new(), behind_cut.clone());
-    let asks = || behind_cut.asks(Topic::Quarantine);
+    let asks = || behind_cut.call_count(Topic::Quarantine);
     wait_until("the first look", || asks() > 0);
     assert!(!gateway.holds());
     behind_cut.put_row(Topic::Quarantine, "held", held);
@@ -192,7 +195,7 @@
     let away = store(&endpoints);
     away.put_row(Topic::Quarantine, "held", held);
     away.refuse(true);
-    let lines = Lines::default();
+    let lines = LogLines::default();
     let settings = GatewaySettings {
         name: "late".into(),
         seeds: vec![others[0].setup.gateway.peer_address().to_string()],
@@ -203,7 +206,7 @@
     away.refuse(false);
     wait_until("it to read", || lines.count(HELD) > 0);
     wait_until("readiness", || setup.is_ready());
-    assert_eq!(setup.call(DEADLY, &[]).status, 503);
+    assert_eq!(setup.call(POISON_PATH, &[]).status, 503);
     assert_eq!(ended(&endpoints), before);
 }
 
@@ -223,13 +226,13 @@
 
 #[test]
 fn answers_that_are_cut_off_by_an_endpoint_that_lives_hold_nothing_back() {
-    let standin = EndpointStandin::start(|number, exchange| match number {
+    let fake = FakeEndpoint::start(|number, exchange| match number {
         0..8 => exchange.close(),
         _ => exchange.answer(200, "x"),
     });
-    let store = StoreStandin::default();
+    let store = FakeStore::default();
     store.put_configuration(configuration(1, vec![route("/a/", Execution::Once)]));
-    store.put_endpoint(endpoint("e", standin.address));
+    store.put_endpoint(endpoint("e", fake.address));
     let gateway = Logged::start("g1", Vec::new(), store);
     for _ in 0..8 {
         assert_eq!(gateway.setup.call("/a/1", &[]).status, 502);
@@ -239,27 +242,27 @@
 }
 
 /// Asks for what does not end, on a thread of its own.
-fn ask_long(gateway: &Logged) -> thread::JoinHandle<Answer> {
+fn send_hanging_request(gateway: &Logged) -> thread::JoinHandle<Answer> {
     let address = gateway.setup.address();
-    thread::spawn(move || send(address, &request_text(LONG, &[])))
+    thread::spawn(move || send(address, &request_text(HANGING_PATH, &[])))
 }
 
-fn has_long(mortal: &Mortal) -> bool {
-    mortal.paths().iter().any(|path| path == LONG)
+fn has_hanging_request(crashing: &CrashingEndpoint) -> bool {
+    crashing.paths().iter().any(|path| path == HANGING_PATH)
 }
 
 #[test]
 fn endpoints_that_said_they_leave_hold_nothing_back_when_they_end() {
-    let store = StoreStandin::default();
+    let store = FakeStore::default();
     store.put_configuration(configuration(1, vec![route("/a/", Execution::Once)]));
     let gateway = Logged::start("g1", Vec::new(), store.clone());
     // The fourth is reached although three have ended.
     for number in 0..4 {
-        let mortal = Mortal::start();
-        let record = endpoint(&format!("e{number}"), mortal.address);
+        let crashing = CrashingEndpoint::start();
+        let record = endpoint(&format!("e{number}"), crashing.address);
         store.put_endpoint(record.clone());
-        let asked = ask_long(&gateway);
-        wait_until("the request", || has_long(&mortal));
+        let asked = send_hanging_request(&gateway);
+        wait_until("the request", || has_hanging_request(&crashing));
         store.put_endpoint(Endpoint {
             state: EndpointState::Draining { leaves_in: None },
             ..record
@@ -268,7 +271,7 @@
         wait_until("the record", || {
             gateway.lines.count("endpoint changed") >= changes
         });
-        mortal.end();
+        crashing.stop();
         assert_eq!(asked.join().unwrap().status, 502);
     }
     assert!(!gateway.holds());
@@ -276,21 +279,21 @@
 
 #[test]
 fn what_ran_beside_a_deadly_request_goes_on_elsewhere() {
-    let store = StoreStandin::default();
+    let store = FakeStore::default();
     let routes = vec![
         route("/a/", Execution::Repeatable),
-        route(DEADLY, Execution::Once),
+        route(POISON_PATH, Execution::Once),
     ];
     store.put_configuration(configuration(1, routes));
-    let first = Mortal::start();
+    let first = CrashingEndpoint::start();
     store.put_endpoint(endpoint("e1", first.address));
     let gateway = Logged::start("g1", Vec::new(), store.clone());
-    let _asked = ask_long(&gateway);
-    wait_until("the request", || has_long(&first));
-    gateway.ask_deadly(0);
-    assert!(first.has_ended());
-    let second = Mortal::start();
+    let _asked = send_hanging_request(&gateway);
+    wait_until("the request", || has_hanging_request(&first));
+    gateway.send_poison_request(0);
+    assert!(first.has_stopped());
+    let second = CrashingEndpoint::start();
     store.put_endpoint(endpoint("e2", second.address));
-    wait_until("the request again", || has_long(&second));
+    wait_until("the request again", || has_hanging_request(&second));
     assert!(!gateway.holds());
 }
--- a/components/gateway/tests/requests.rs
+++ b/components/gateway/tests/requests.rs
@@ -10,15 +10,15 @@
 
 use common::{
     configuration, endpoint, open, read_answer, request_text, route, settings, tenant, wait_until,
-    EndpointStandin, Setup, StoreStandin,
+    FakeEndpoint, FakeStore, Setup,
 };
 use directory::{EndpointState, Execution, Quota};
 
 const STREAM: Execution = Execution::Stream { resumable: false };
 const RESUMABLE: Execution = Execution::Stream { resumable: true };
 
-fn serving(execution: Execution, standins: &[&EndpointStandin]) -> Setup {
-    let endpoints = standins.iter().enumerate();
+fn serving(execution: Execution, fakes: &[&FakeEndpoint]) -> Setup {
+    let endpoints = fakes.iter().enumerate();
     let endpoints = endpoints.map(|(i, s)| endpoint(&format!("e{i}"), s.address));
     Setup::serving(
         configuration(1, vec![route("/a/", execution)]),
@@ -28,12 +28,12 @@
 
 #[test]
 fn an_answer_comes_back_as_the_endpoint_made_it() {
-    let standin = EndpointStandin::start(|_, exchange| exchange.answer(201, "made"));
-    let setup = serving(Execution::Once, &[&standin]);
+    let fake = FakeEndpoint::start(|_, exchange| exchange.answer(201, "made"));
+    let setup = serving(Execution::Once, &[&fake]);
     let answer = setup.call("/a/b?c=d", &["x-tenant: forged", "x-other: kept"]);
     assert_eq!((answer.status, answer.body.as_str()), (201, "made"));
-    assert_eq!(answer.field("x-signature"), Some("s"));
-    let head = standin.heads()[0].to_lowercase();
+    assert_eq!(answer.header("x-signature"), Some("s"));
+    let head = fake.heads()[0].to_lowercase();
     assert!(head.starts_with("get /a/b?c=d http/1.1"), "{head}");
     assert!(
         head.contains("x-other: kept") && !head.contains("forged"),
@@ -44,8 +44,8 @@
 
 #[test]
 fn an_answer_to_another_request_is_never_passed_on() {
-    let standin = EndpointStandin::start(|_, exchange| exchange.answer_as("9", 200, "foreign"));
-    let setup = serving(Execution::Once, &[&standin]);
+    let fake = FakeEndpoint::start(|_, exchange| exchange.answer_with_id("9", 200, "foreign"));
+    let setup = serving(Execution::Once, &[&fake]);
     let answer = setup.call("/a/", &[]);
     assert_eq!(answer.status, 502);
     assert!(!answer.body.contains("foreign"));
@@ -53,82 +53,82 @@
 
 #[test]
 fn a_request_that_may_have_run_is_not_sent_again_and_not_promised() {
-    let standin = EndpointStandin::start(|_, exchange| exchange.close());
-    let setup = serving(Execution::Once, &[&standin, &standin]);
+    let fake = FakeEndpoint::start(|_, exchange| exchange.close());
+    let setup = serving(Execution::Once, &[&fake, &fake]);
     assert_eq!(setup.call("/a/", &[]).status, 502);
-    assert_eq!(standin.heads().len(), 1);
+    assert_eq!(fake.heads().len(), 1);
 }
 
 #[test]
 fn a_request_that_an_endpoint_declined_goes_to_another() {
-    let standin = EndpointStandin::start(|number, exchange| match number {
+    let fake = FakeEndpoint::start(|number, exchange| match number {
         0 => exchange.decline(),
         _ => exchange.answer(200, "second"),
     });
-    let setup = serving(Execution::Once, &[&standin, &standin]);
+    let setup = serving(Execution::Once, &[&fake, &fake]);
     let answer = setup.call("/a/", &[]);
     assert_eq!((answer.status, answer.body.as_str()), (200, "second"));
 }
 
 #[test]
 fn a_request_that_all_declined_is_promised_not_to_run() {
-    let standin = EndpointStandin::start(|_, exchange| exchange.decline());
-    let setup = serving(Execution::Once, &[&standin]);
+    let fake = FakeEndpoint::start(|_, exchange| exchange.decline());
+    let setup = serving(Execution::Once, &[&fake]);
     let answer = setup.call("/a/", &[]);
     assert_eq!(answer.status, 503);
-    assert!(answer.field("retry-after").is_some());
-    assert_eq!(standin.heads().len(), 1);
+    assert!(answer.header("retry-after").is_some());
+    assert_eq!(fake.heads().len(), 1);
 }
 
 #[test]
 fn a_repeatable_request_is_sent_again_after_a_failure_but_not_past_its_attempts() {
-    let standin = EndpointStandin::start(|_, exchange| exchange.answer(500, "bad"));
-    let setup = serving(Execution::Repeatable, &[&standin, &standin, &standin]);
+    let fake = FakeEndpoint::start(|_, exchange| exchange.answer(500, "bad"));
+    let setup = serving(Execution::Repeatable, &[&fake, &fake, &fake]);
     let answer = setup.call("/a/", &[]);
     assert_eq!((answer.status, answer.body.as_str()), (500, "bad"));
-    assert_eq!(standin.heads().len(), 2);
+    assert_eq!(fake.heads().len(), 2);
 }
 
 #[test]
 fn a_repeatable_request_that_failed_is_not_promised_not_to_run_when_no_other_is_there() {
-    let standin = EndpointStandin::start(|_, exchange| exchange.answer(500, "bad"));
-    let setup = serving(Execution::Repeatable, &[&standin]);
+    let fake = FakeEndpoint::start(|_, exchange| exchange.answer(500, "bad"));
+    let setup = serving(Execution::Repeatable, &[&fake]);
     assert_eq!(setup.call("/a/", &[]).status, 502);
-    assert_eq!(standin.heads().len(), 1);
+    assert_eq!(fake.heads().len(), 1);
 }
 
 #[test]
 fn a_repeatable_request_that_failed_is_not_promised_not_to_run_when_the_other_declines() {
-    let standin = EndpointStandin::start(|number, exchange| match number {
+    let fake = FakeEndpoint::start(|number, exchange| match number {
         0 => exchange.answer(500, "bad"),
         _ => exchange.decline(),
     });
-    let setup = serving(Execution::Repeatable, &[&standin, &standin]);
+    let setup = serving(Execution::Repeatable, &[&fake, &fake]);
     assert_eq!(setup.call("/a/", &[]).status, 502);
-    assert_eq!(standin.heads().len(), 2);
+    assert_eq!(fake.heads().len(), 2);
 }
 
 #[test]
 fn a_success_without_the_endpoints_proof_is_no_success() {
-    let standin = EndpointStandin::start(|_, exchange| {
+    let fake = FakeEndpoint::start(|_, exchange| {
         exchange.write("HTTP/1.1 200 OK\r\nx-id: 1\r\ncontent-length: 2\r\n\r\nhi");
     });
-    let setup = serving(Execution::Once, &[&standin]);
+    let setup = serving(Execution::Once, &[&fake]);
     assert_eq!(setup.call("/a/", &[]).status, 502);
 }
 
 #[test]
 fn a_request_ends_at_the_time_of_its_route_with_a_final_answer() {
-    let standin = EndpointStandin::start(|_, exchange| exchange.wait_closed());
+    let fake = FakeEndpoint::start(|_, exchange| exchange.wait_closed());
     let mut slow = route("/a/", Execution::Once);
     slow.timeout = Duration::from_millis(300);
-    let one = endpoint("e0", standin.address);
+    let one = endpoint("e0", fake.address);
     let setup = Setup::serving(configuration(1, vec![slow]), vec![one]);
     let began = Instant::now();
     let answer = setup.call("/a/", &["x-deadline: 60000"]);
     assert_eq!(answer.status, 504);
     assert!(began.elapsed() < Duration::from_secs(5));
-    let head = standin.heads()[0].to_lowercase();
+    let head = fake.heads()[0].to_lowercase();
     let reported = head.split("x-deadline: ").nth(1).unwrap();
     let reported: u64 = reported.split('\r').next().unwrap().parse().unwrap();
     assert!(reported <= 300, "{reported}");
@@ -137,15 +137,13 @@
 #[test]
 fn a_caller_that_leaves_ends_its_run() {
     let (left, closed) = flume::bounded(1);
-    let standin = EndpointStandin::start(move |_, exchange| {
+    let fake = FakeEndpoint::start(move |_, exchange| {
         exchange.wait_closed();
         let _ = left.send(());
     });
-    let setup = serving(Execution::Once, &[&standin]);
+    let setup = serving(Execution::Once, &[&fake]);
     let caller = open(setup.address(), &request_text("/a/", &[]));
-    wait_until("the request at the endpoint", || {
-        !standin.heads().is_empty()
-    });
+    wait_until("the request at the endpoint", || !fake.heads().is_empty());
     drop(caller);
     closed.recv_timeout(Duration::from_secs(5)).unwrap();
 }
@@ -153,13 +151,13 @@
 #[test]
 fn a_caller_that_leaves_a_stream_ends_its_run() {
     let (left, closed) = flume::bounded(1);
-    let standin = EndpointStandin::start(move |_, exchange| {
+    let fake = FakeEndpoint::start(move |_, exchange| {
         exchange.begin_stream();
         exchange.event(1);
         exchange.wait_closed();
         let _ = left.send(());
     });
-    let setup = serving(STREAM, &[&standin]);
+    let setup = serving(STREAM, &[&fake]);
     let mut caller = open(setup.address(), &request_text("/a/", &[]));
     let mut byte = [0];
     std::io::Read::read_exact(&mut caller, &mut byte).unwrap();
@@ -169,7 +167,7 @@
 
 #[test]
 fn a_stream_that_breaks_off_goes_on_at_another_endpoint_without_gap_or_repeat() {
-    let standin = EndpointStandin::start(|number, exchange| {
+    let fake = FakeEndpoint::start(|number, exchange| {
         exchange.begin_stream();
         if number == 0 {
             exchange.event(1);
@@ -177,38 +175,38 @@
             exchange.chunk("id: 3\nda");
             return exchange.close();
         }
-        assert_eq!(exchange.field("x-last-event").as_deref(), Some("2"));
+        assert_eq!(exchange.header("x-last-event").as_deref(), Some("2"));
         // It repeats an event that the caller has.
         exchange.event(2);
         exchange.event(3);
         exchange.end_stream();
     });
-    let setup = serving(RESUMABLE, &[&standin, &standin]);
+    let setup = serving(RESUMABLE, &[&fake, &fake]);
     let answer = setup.call("/a/", &[]);
     let events = [1, 2, 3]
         .map(|n| format!("id: {n}\ndata: e{n}\n\n"))
         .concat();
     assert_eq!(answer.body, events);
-    assert!(answer.whole);
+    assert!(answer.is_complete);
 }
 
 #[test]
 fn a_stream_that_cannot_go_on_looks_cut_off() {
-    let standin = EndpointStandin::start(|_, exchange| {
+    let fake = FakeEndpoint::start(|_, exchange| {
         exchange.begin_stream();
         exchange.event(1);
         exchange.close();
     });
-    let setup = serving(STREAM, &[&standin, &standin]);
+    let setup = serving(STREAM, &[&fake, &fake]);
     let answer = setup.call("/a/", &[]);
     assert_eq!(answer.body, "id: 1\ndata: e1\n\n");
-    assert!(!answer.whole);
-    assert_eq!(standin.heads().len(), 1);
+    assert!(!answer.is_complete);
+    assert_eq!(fake.heads().len(), 1);
 }
 
 #[test]
 fn a_silent_stream_is_waited_for_while_no_repeat_is_allowed() {
-    let standin = EndpointStandin::start(|_, exchange| {
+    let fake = FakeEndpoint::start(|_, exchange| {
         exchange.begin_stream();
         exchange.event(1);
         // Four times as long as a stream is waited for that may go on elsewhere.
@@ -221,22 +219,22 @@
     settings.repeats_extra = 0;
     let mut route = route("/a/", RESUMABLE);
     route.gap_target = Some(Duration::from_millis(50));
-    let endpoints = ["e0", "e1"].map(|id| endpoint(id, standin.address));
+    let endpoints = ["e0", "e1"].map(|id| endpoint(id, fake.address));
     let configuration = configuration(1, vec![route]);
     let setup = Setup::serving_with(settings, configuration, endpoints.to_vec());
     let answer = setup.call("/a/", &[]);
-    assert!(answer.whole, "{}", answer.body);
-    assert_eq!(standin.heads().len(), 1);
+    assert!(answer.is_complete, "{}", answer.body);
+    assert_eq!(fake.heads().len(), 1);
 }
 
 #[test]
 fn routes_and_keys_that_do_not_exist_are_distinguished_from_a_missing_configuration() {
-    let store = StoreStandin::default();
+    let store = FakeStore::default();
     let setup = Setup::start(settings(), store);
     assert!(!setup.is_ready());
     assert_eq!(setup.call("/a/", &["x-key: k"]).status, 503);
-    let standin = EndpointStandin::start(|_, exchange| exchange.answer(200, ""));
-    setup.store.put_endpoint(endpoint("e0", standin.address));
+    let fake = FakeEndpoint::start(|_, exchange| exchange.answer(200, ""));
+    setup.store.put_endpoint(endpoint("e0", fake.address));
     let mut first = configuration(1, vec![route("/a/", Execution::Once)]);
     first.tenants = vec![tenant("t", "k")];
     setup.store.put_configuration(first);
@@ -244,13 +242,13 @@
     assert_eq!(setup.call("/b/", &["x-key: k"]).status, 404);
     assert_eq!(setup.call("/a/", &["x-key: other"]).status, 401);
     assert_eq!(setup.call("/a/", &["x-key: k"]).status, 200);
-    assert!(standin.heads()[0].to_lowercase().contains("x-tenant: t"));
+    assert!(fake.heads()[0].to_lowercase().contains("x-tenant: t"));
 }
 
 #[test]
 fn a_newer_configuration_takes_force_and_an_older_one_never_does_again() {
-    let standin = EndpointStandin::start(|_, exchange| exchange.answer(200, ""));
-    let setup = serving(Execution::Once, &[&standin]);
+    let fake = FakeEndpoint::start(|_, exchange| exchange.answer(200, ""));
+    let setup = serving(Execution::Once, &[&fake]);
     let newer = configuration(5, vec![route("/b/", Execution::Once)]);
     setup.store.put_configuration(newer);
     wait_until("the new route", || setup.call("/b/", &[]).status == 200);
@@ -264,13 +262,13 @@
 
 #[test]
 fn a_change_is_found_after_the_store_forgot_its_history() {
-    let standin = EndpointStandin::start(|_, exchange| exchange.answer(200, ""));
-    let setup = serving(Execution::Once, &[&standin]);
+    let fake = FakeEndpoint::start(|_, exchange| exchange.answer(200, ""));
+    let setup = serving(Execution::Once, &[&fake]);
     setup.store.refuse(true);
-    setup.store.drop_endpoint("e0");
+    setup.store.delete_endpoint("e0");
     let newer = configuration(2, vec![route("/b/", Execution::Once)]);
     setup.store.put_configuration(newer);
-    setup.store.forget_history();
+    setup.store.compact_history();
     setup.store.refuse(false);
     wait_until("the new route without endpoint", || {
         setup.call("/b/", &[]).status == 503
@@ -280,33 +278,33 @@
 
 #[test]
 fn a_key_is_refused_once_the_configuration_is_not_confirmed_any_more() {
-    let standin = EndpointStandin::start(|_, exchange| exchange.answer(200, ""));
+    let fake = FakeEndpoint::start(|_, exchange| exchange.answer(200, ""));
     let mut with_tenant = configuration(1, vec![route("/a/", Execution::Once)]);
     with_tenant.tenants = vec![tenant("t", "k")];
     let mut settings = settings();
     settings.credential_age_ms = 600;
-    let one = endpoint("e0", standin.address);
+    let one = endpoint("e0", fake.address);
     let setup = Setup::serving_with(settings, with_tenant, vec![one]);
     assert_eq!(setup.call("/a/", &["x-key: k"]).status, 200);
     setup.store.refuse(true);
     wait_until("refusal", || setup.call("/a/", &["x-key: k"]).status == 503);
     assert!(!setup.is_ready());
-    let ran = standin.heads().len();
+    let ran = fake.heads().len();
     assert_eq!(setup.call("/a/", &["x-key: k"]).status, 503);
     assert_eq!(
         setup.call("/zz/", &["x-key: k"]).status,
         503,
         "it may be a new route"
     );
-    assert_eq!(standin.heads().len(), ran);
+    assert_eq!(fake.heads().len(), ran);
     setup.store.refuse(false);
     wait_until("service", || setup.call("/a/", &["x-key: k"]).status == 200);
 }
 
 #[test]
 fn an_endpoint_that_drains_or_is_gone_gets_no_new_request() {
-    let leaving = EndpointStandin::start(|_, exchange| exchange.answer(200, "leaving"));
-    let staying = EndpointStandin::start(|_, exchange| exchange.answer(200, "staying"));
+    let leaving = FakeEndpoint::start(|_, exchange| exchange.answer(200, "leaving"));
+    let staying = FakeEndpoint::start(|_, exchange| exchange.answer(200, "staying"));
     let setup = serving(Execution::Once, &[&leaving]);
     assert_eq!(setup.call("/a/", &[]).body, "leaving");
     let mut draining = endpoint("e0", leaving.address);
@@ -321,13 +319,13 @@
         assert_eq!(setup.call("/a/", &[]).body, "staying");
     }
     assert_eq!(leaving.heads().len(), before);
-    setup.store.drop_endpoint("e1");
+    setup.store.delete_endpoint("e1");
     wait_until("no endpoint", || setup.call("/a/", &[]).status == 503);
 }
 
 #[test]
 fn a_team_beyond_its_limit_learns_when_to_come_back() {
-    let standin = EndpointStandin::start(|_, exchange| exchange.answer(200, ""));
+    let fake = FakeEndpoint::start(|_, exchange| exchange.answer(200, ""));
     let mut limited = tenant("t", "k");
     limited.quota = Some(Quota {
         rate: 1.0,
@@ -336,33 +334,31 @@
     });
     let mut with_limit = configuration(1, vec![route("/a/", Execution::Once)]);
     with_limit.tenants = vec![limited];
-    let one = endpoint("e0", standin.address);
+    let one = endpoint("e0", fake.address);
     let setup = Setup::serving(with_limit, vec![one]);
     let statuses: Vec<u16> = (0..8)
         .map(|_| setup.call("/a/", &["x-key: k"]).status)
         .collect();
     assert_eq!(statuses, [200, 200, 429, 429, 429, 429, 429, 429]);
     let refused = setup.call("/a/", &["x-key: k", "x-tokens: 30"]);
-    assert!(refused.field("retry-after").is_some());
-    assert_eq!(standin.heads().len(), 2);
+    assert!(refused.header("retry-after").is_some());
+    assert_eq!(fake.heads().len(), 2);
 }
 
 #[test]
 fn a_stopping_gateway_finishes_streams_and_takes_nothing_new() {
     let (go_on, waits) = flume::bounded::<()>(1);
-    let standin = EndpointStandin::start(move |_, exchange| {
+    let fake = FakeEndpoint::start(move |_, exchange| {
         exchange.begin_stream();
         exchange.event(1);
         let _ = waits.recv();
         exchange.event(2);
         exchange.end_stream();
     });
-    let setup = serving(STREAM, &[&standin]);
+    let setup = serving(STREAM, &[&fake]);
     let address = setup.address();
     let mut caller = open(address, &request_text("/a/", &[]));
-    wait_until("the request at the endpoint", || {
-        !standin.heads().is_empty()
-    });
+    wait_until("the request at the endpoint", || !fake.heads().is_empty());
     setup.stop();
     wait_until("not ready", || !setup.is_ready());
     wait_until("a closed listener", || {
@@ -370,9 +366,9 @@
     });
     go_on.send(()).unwrap();
     let answer = read_answer(&mut caller);
-    assert!(answer.whole, "{answer:?}");
+    assert!(answer.is_complete, "{answer:?}");
     assert!(answer.body.ends_with("id: 2\ndata: e2\n\n"));
-    assert_eq!(standin.heads().len(), 1);
+    assert_eq!(fake.heads().len(), 1);
 }
 
 thread_local! {
@@ -386,7 +382,7 @@
     // Each connection answers once, when both endpoints are asked, and says nothing more.
     let start = || {
         let arrived = Arc::clone(&arrived);
-        EndpointStandin::start(move |_, e| {
+        FakeEndpoint::start(move |_, e| {
             let earlier = REQUESTS_OF_CONNECTION.replace(1);
             if earlier > 0 {
                 return e.wait_closed();
--- a/components/gateway/tests/rollouts.rs
+++ b/components/gateway/tests/rollouts.rs
@@ -7,7 +7,8 @@
 use std::time::Duration;
 
 use common::{
-    configuration, endpoint_of, route, settings, wait_until, EndpointStandin, Setup, StoreStandin,
+    configuration, endpoint_with_version, route, settings, wait_until, FakeEndpoint, FakeStore,
+    Setup,
 };
 use directory::{Endpoint, Execution};
 use schema::settings::GatewaySettings;
@@ -16,19 +17,19 @@
 const TIME: Duration = Duration::from_secs(4);
 
 struct World {
-    store: StoreStandin,
-    old: EndpointStandin,
-    new: Vec<EndpointStandin>,
+    store: FakeStore,
+    old: FakeEndpoint,
+    new: Vec<FakeEndpoint>,
 }
 
 impl World {
     /// Endpoints of the version `v1`, and some of `v2` that answer with `status`.
     fn new(status: u16) -> Self {
-        let store = StoreStandin::default();
+        let store = FakeStore::default();
         store.put_configuration(configuration(1, vec![route("/a/", Execution::Once)]));
-        let old = EndpointStandin::start(|_, e| e.answer(200, "x"));
-        store.put_endpoint(endpoint_of("v1", "old", old.address));
-        let new = (0..3).map(|_| EndpointStandin::start(move |_, e| e.answer(status, "x")));
+        let old = FakeEndpoint::start(|_, e| e.answer(200, "x"));
+        store.put_endpoint(endpoint_with_version("v1", "old", old.address));
+        let new = (0..3).map(|_| FakeEndpoint::start(move |_, e| e.answer(status, "x")));
         World {
             store,
             old,
@@ -46,21 +47,21 @@
     }
 
     fn start_with(&self, settings: GatewaySettings) -> Setup {
-        let setup = Setup::start(settings, self.store.for_another());
+        let setup = Setup::start(settings, self.store.for_other_gateway());
         wait_until("readiness", || setup.is_ready());
         setup
     }
 
     fn start_new_version(&self) {
-        for (i, standin) in self.new.iter().enumerate() {
+        for (i, fake) in self.new.iter().enumerate() {
             let id = format!("new{i}");
-            let endpoint = endpoint_of("v2", &id, standin.address);
+            let endpoint = endpoint_with_version("v2", &id, fake.address);
             self.store.put_endpoint(endpoint);
         }
     }
 
     fn new_requests(&self) -> usize {
-        self.new.iter().map(|standin| standin.heads().len()).sum()
+        self.new.iter().map(|fake| fake.heads().len()).sum()
     }
 
     fn status_is(&self, wanted: &str) -> bool {
@@ -105,7 +106,7 @@
 fn a_version_whose_quick_answers_come_some_milliseconds_later_is_completed() {
     let mut world = World::new(200);
     let late = || {
-        EndpointStandin::start(|_, e| {
+        FakeEndpoint::start(|_, e| {
             std::thread::sleep(Duration::from_millis(8));
             e.answer(200, "x");
         })
@@ -183,7 +184,7 @@
     let bad = Arc::new(AtomicBool::new(true));
     let mut world = World::new(200);
     let is_bad = Arc::clone(&bad);
-    let standin = EndpointStandin::start(move |_, e| {
+    let fake = FakeEndpoint::start(move |_, e| {
         let status = if is_bad.load(Ordering::Relaxed) {
             500
         } else {
@@ -191,7 +192,7 @@
         };
         e.answer(status, "x");
     });
-    world.new = vec![standin];
+    world.new = vec![fake];
     let gateway = world.start("g1", Vec::new());
     world.start_new_version();
     world.store.put_order("v2", TIME);
@@ -209,12 +210,12 @@
     world.start_new_version();
     world.store.put_order("v2", TIME);
     call_until_status(&world, &gateway, "v2 Some(Completed)");
-    let released = EndpointStandin::start(|_, e| e.answer(200, "released"));
+    let released = FakeEndpoint::start(|_, e| e.answer(200, "released"));
     world
         .store
-        .put_endpoint(endpoint_of("v3", "released", released.address));
+        .put_endpoint(endpoint_with_version("v3", "released", released.address));
     for id in ["old", "new0", "new1", "new2"] {
-        world.store.drop_endpoint(id);
+        world.store.delete_endpoint(id);
     }
     wait_until("an answer of the later version", || {
         gateway.call("/a/1", &[]).body == "released"
@@ -229,8 +230,8 @@
         exposure_extra: 0,
         ..settings()
     });
-    for (i, standin) in world.new.iter().enumerate() {
-        let endpoint = endpoint_of("v2", &format!("new{i}"), standin.address);
+    for (i, fake) in world.new.iter().enumerate() {
+        let endpoint = endpoint_with_version("v2", &format!("new{i}"), fake.address);
         world.store.put_endpoint(Endpoint {
             cold: Duration::from_secs(600),
             ..endpoint
--- a/components/gateway/tests/row_forwarding.rs
+++ b/components/gateway/tests/row_forwarding.rs
@@ -5,8 +5,7 @@
 use std::time::{Duration, Instant};
 
 use common::{
-    configuration, endpoint, route, settings, tenant, wait_until, EndpointStandin, Setup,
-    StoreStandin,
+    configuration, endpoint, route, settings, tenant, wait_until, FakeEndpoint, FakeStore, Setup,
 };
 use directory::{EndpointState, Execution};
 use schema::settings::GatewaySettings;
@@ -28,17 +27,17 @@
     }
 }
 
-fn pair(store: &StoreStandin) -> Pair {
+fn pair(store: &FakeStore) -> Pair {
     let first = Setup::start(named("g1", Vec::new()), store.clone());
     let seeds = vec![first.gateway.peer_address().to_string()];
-    let second = Setup::start(named("g2", seeds), store.for_another());
+    let second = Setup::start(named("g2", seeds), store.for_other_gateway());
     wait_until("readiness", || first.is_ready() && second.is_ready());
     second.store.refuse(true);
     Pair { first, second }
 }
 
-fn store_with(version: u64, prefix: &str) -> StoreStandin {
-    let store = StoreStandin::default();
+fn store_with(version: u64, prefix: &str) -> FakeStore {
+    let store = FakeStore::default();
     let mut configuration = configuration(version, vec![route(prefix, Execution::Repeatable)]);
     configuration.tenants = vec![tenant("t", "k")];
     store.put_configuration(configuration);
@@ -47,9 +46,9 @@
 
 #[test]
 fn a_gateway_that_the_store_turns_away_gets_new_routes_and_endpoints_from_the_others() {
-    let standin = EndpointStandin::start(|_, e| e.answer(200, "x"));
+    let fake = FakeEndpoint::start(|_, e| e.answer(200, "x"));
     let store = store_with(1, "/old/");
-    store.put_endpoint(endpoint("e1", standin.address));
+    store.put_endpoint(endpoint("e1", fake.address));
     let pair = pair(&store);
     let mut configuration = configuration(2, vec![route("/new/", Execution::Repeatable)]);
     configuration.tenants = vec![tenant("t", "k")];
@@ -58,7 +57,7 @@
         pair.second.call("/new/1", &["x-key: k"]).status == 200
     });
     assert_eq!(pair.second.call("/old/1", &["x-key: k"]).status, 404);
-    store.drop_endpoint("e1");
+    store.delete_endpoint("e1");
     wait_until("the endpoint to be gone", || {
         pair.second.call("/new/1", &["x-key: k"]).status == 503
     });
@@ -67,11 +66,11 @@
 
 #[test]
 fn a_change_that_others_know_does_not_wait_for_a_store_that_says_nothing() {
-    let standin = EndpointStandin::start(|_, e| e.answer(200, "x"));
+    let fake = FakeEndpoint::start(|_, e| e.answer(200, "x"));
     let store = store_with(1, "/old/");
-    store.put_endpoint(endpoint("e1", standin.address));
+    store.put_endpoint(endpoint("e1", fake.address));
     let pair = pair(&store);
-    pair.second.store.say_nothing();
+    pair.second.store.stop_responding();
     pair.second.store.refuse(false);
     let mut configuration = configuration(2, vec![route("/new/", Execution::Repeatable)]);
     configuration.tenants = vec![tenant("t", "k")];
@@ -83,9 +82,9 @@
 
 #[test]
 fn a_gateway_that_the_store_turns_away_accepts_keys_while_another_confirms_them() {
-    let standin = EndpointStandin::start(|_, e| e.answer(200, "x"));
+    let fake = FakeEndpoint::start(|_, e| e.answer(200, "x"));
     let store = store_with(1, "/a/");
-    store.put_endpoint(endpoint("e1", standin.address));
+    store.put_endpoint(endpoint("e1", fake.address));
     let pair = pair(&store);
     let began = Instant::now();
     while began.elapsed() < CREDENTIAL_AGE * 3 / 2 {
@@ -100,9 +99,9 @@
 
 #[test]
 fn a_key_that_was_taken_away_is_refused_by_a_gateway_that_the_store_turns_away() {
-    let standin = EndpointStandin::start(|_, e| e.answer(200, "x"));
+    let fake = FakeEndpoint::start(|_, e| e.answer(200, "x"));
     let store = store_with(1, "/a/");
-    store.put_endpoint(endpoint("e1", standin.address));
+    store.put_endpoint(endpoint("e1", fake.address));
     let pair = pair(&store);
     let mut configuration = configuration(2, vec![route("/a/", Execution::Repeatable)]);
     configuration.tenants = vec![tenant("t", "another")];
@@ -121,13 +120,13 @@
 
 #[test]
 fn where_keys_have_no_bound_a_gateway_that_starts_without_the_store_serves_what_others_know() {
-    let standin = EndpointStandin::start(|_, e| e.answer(200, "x"));
+    let fake = FakeEndpoint::start(|_, e| e.answer(200, "x"));
     let store = store_with(1, "/a/");
-    store.put_endpoint(endpoint("e1", standin.address));
+    store.put_endpoint(endpoint("e1", fake.address));
     let first = Setup::start(unbounded("g1", Vec::new()), store.clone());
     wait_until("readiness", || first.is_ready());
     let seeds = vec![first.gateway.peer_address().to_string()];
-    let away = store.for_another();
+    let away = store.for_other_gateway();
     away.refuse(true);
     let second = Setup::start(unbounded("g2", seeds), away);
     assert_eq!(second.call("/a/1", &["x-key: k"]).status, 503);
@@ -142,9 +141,9 @@
 
 #[test]
 fn where_keys_have_no_bound_they_are_accepted_however_long_the_store_is_away() {
-    let standin = EndpointStandin::start(|_, e| e.answer(200, "x"));
+    let fake = FakeEndpoint::start(|_, e| e.answer(200, "x"));
     let store = store_with(1, "/a/");
-    store.put_endpoint(endpoint("e1", standin.address));
+    store.put_endpoint(endpoint("e1", fake.address));
     let alone = Setup::start(unbounded("g1", Vec::new()), store.clone());
     wait_until("readiness", || alone.is_ready());
     store.refuse(true);
@@ -158,9 +157,9 @@
 #[test]
 fn a_configuration_of_a_thousand_routes_is_passed_on_too() {
     const BYTES: usize = 60_000;
-    let standin = EndpointStandin::start(|_, e| e.answer(200, "x"));
+    let fake = FakeEndpoint::start(|_, e| e.answer(200, "x"));
     let store = store_with(1, "/old/");
-    store.put_endpoint(endpoint("e1", standin.address));
+    store.put_endpoint(endpoint("e1", fake.address));
     let pair = pair(&store);
     let mut configuration = configuration(2, vec![route("/new/", Execution::Repeatable)]);
     configuration.tenants = vec![tenant("t", "k")];
@@ -175,8 +174,8 @@
     const OTHERS: u64 = 4_000;
     /// Half of them would go to each of the two.
     const CALLS: usize = 40;
-    let leaving = EndpointStandin::start(|_, e| e.answer(200, "leaving"));
-    let steady = EndpointStandin::start(|_, e| e.answer(200, "steady"));
+    let leaving = FakeEndpoint::start(|_, e| e.answer(200, "leaving"));
+    let steady = FakeEndpoint::start(|_, e| e.answer(200, "steady"));
     let store = store_with(1, "/a/");
     store.put_endpoint(endpoint("e1", leaving.address));
     store.put_endpoint(endpoint("e2", steady.address));
--- a/components/gateway/tests/slow_callers.rs
+++ b/components/gateway/tests/slow_callers.rs
@@ -6,10 +6,10 @@
 use std::net::TcpStream;
 use std::time::{Duration, Instant};
 
-use common::slow_io::{open_narrow, read_slowly};
+use common::slow_io::{open_with_small_buffers, read_slowly};
 use common::{
     configuration, endpoint, open, read_answer, request_text, route, settings, wait_until,
-    EndpointStandin, Setup,
+    FakeEndpoint, Setup,
 };
 use directory::{CallerBounds, Execution, Route};
 
@@ -21,15 +21,11 @@
 const LARGE_VM_MIB: i32 = 256;
 const EVENT: usize = 1000;
 
-fn serving_on(mib: i32, route: Route, standin: &EndpointStandin) -> Setup {
+fn serving_on(mib: i32, route: Route, fake: &FakeEndpoint) -> Setup {
     let mut settings = settings();
     settings.memory_mib = mib;
     let configuration = configuration(1, vec![route]);
-    Setup::serving_with(
-        settings,
-        configuration,
-        vec![endpoint("e0", standin.address)],
-    )
+    Setup::serving_with(settings, configuration, vec![endpoint("e0", fake.address)])
 }
 
 fn patient_route(execution: Execution) -> Route {
@@ -42,32 +38,32 @@
 const LARGE_EVENT: usize = 20_000;
 
 /// Streams as many events as the path ends in, and says whether all were written.
-fn streaming() -> (EndpointStandin, flume::Receiver<bool>) {
+fn streaming() -> (FakeEndpoint, flume::Receiver<bool>) {
     streaming_of(EVENT)
 }
 
-fn streaming_of(bytes: usize) -> (EndpointStandin, flume::Receiver<bool>) {
+fn streaming_of(bytes: usize) -> (FakeEndpoint, flume::Receiver<bool>) {
     let (told, written) = flume::unbounded();
-    let standin = EndpointStandin::start(move |_, exchange| {
+    let fake = FakeEndpoint::start(move |_, exchange| {
         let path = exchange.head.split(' ').nth(1).unwrap_or_default();
         let events = path.rsplit('/').next().and_then(|n| n.parse().ok());
-        let all = exchange.stream_within(events.unwrap_or(1), bytes, UNREAD);
+        let all = exchange.stream_with_timeout(events.unwrap_or(1), bytes, UNREAD);
         let _ = told.send(all);
     });
-    (standin, written)
+    (fake, written)
 }
 
 /// Answers with as many bytes as the path ends in.
-fn answering() -> EndpointStandin {
-    EndpointStandin::start(move |_, exchange| {
+fn answering() -> FakeEndpoint {
+    FakeEndpoint::start(move |_, exchange| {
         let path = exchange.head.split(' ').nth(1).unwrap_or_default();
         let bytes = path.rsplit('/').next().and_then(|n| n.parse().ok());
-        exchange.answer_within(bytes.unwrap_or(1), Duration::from_secs(20));
+        exchange.answer_with_timeout(bytes.unwrap_or(1), Duration::from_secs(20));
     })
 }
 
 fn ask(setup: &Setup, path: &str) -> TcpStream {
-    open_narrow(setup.address(), request_text(path, &[]).as_bytes())
+    open_with_small_buffers(setup.address(), request_text(path, &[]).as_bytes())
 }
 
 fn events_of(body: &str) -> usize {
@@ -76,22 +72,22 @@
 
 #[test]
 fn a_stream_is_read_as_fast_as_it_is_made_however_slowly_its_caller_reads() {
-    let (standin, written) = streaming_of(LARGE_EVENT);
-    let setup = serving_on(LARGE_VM_MIB, patient_route(STREAM), &standin);
+    let (fake, written) = streaming_of(LARGE_EVENT);
+    let setup = serving_on(LARGE_VM_MIB, patient_route(STREAM), &fake);
     let mut caller = ask(&setup, "/a/600");
     assert!(written.recv_timeout(Duration::from_secs(20)).unwrap());
     let answer = read_slowly(&mut caller, 256 << 10, Duration::from_millis(1));
     assert_eq!(events_of(&answer.body), 600);
-    assert!(answer.whole);
+    assert!(answer.is_complete);
 }
 
 #[test]
 fn a_slow_caller_gets_the_rest_of_a_whole_answer_after_its_routes_time() {
-    let (standin, written) = streaming_of(LARGE_EVENT);
+    let (fake, written) = streaming_of(LARGE_EVENT);
     let mut short = patient_route(STREAM);
     short.timeout = Duration::from_millis(700);
     let began = Instant::now();
-    let setup = serving_on(LARGE_VM_MIB, short, &standin);
+    let setup = serving_on(LARGE_VM_MIB, short, &fake);
     let mut caller = ask(&setup, "/a/300");
     assert!(written.recv_timeout(Duration::from_secs(20)).unwrap());
     wait_until("the route's time", || {
@@ -99,34 +95,34 @@
     });
     let answer = read_answer(&mut caller);
     assert_eq!(events_of(&answer.body), 300);
-    assert!(answer.whole);
+    assert!(answer.is_complete);
 }
 
 #[test]
 fn quick_callers_are_served_beside_slow_ones_which_get_their_whole_answers() {
-    let (standin, written) = streaming();
-    let setup = serving_on(SMALL_VM_MIB, patient_route(STREAM), &standin);
+    let (fake, written) = streaming();
+    let setup = serving_on(SMALL_VM_MIB, patient_route(STREAM), &fake);
     let mut slow: Vec<TcpStream> = (0..4).map(|_| ask(&setup, "/a/1000")).collect();
     for _ in &slow {
         assert!(written.recv_timeout(Duration::from_secs(20)).unwrap());
     }
     for _ in 0..20 {
         let answer = setup.call("/a/3", &[]);
-        assert_eq!((answer.whole, events_of(&answer.body)), (true, 3));
+        assert_eq!((answer.is_complete, events_of(&answer.body)), (true, 3));
     }
     for caller in &mut slow {
         let answer = read_slowly(caller, 64 << 10, Duration::from_millis(2));
-        assert_eq!((answer.whole, events_of(&answer.body)), (true, 1000));
+        assert_eq!((answer.is_complete, events_of(&answer.body)), (true, 1000));
     }
 }
 
 #[test]
 fn callers_that_read_nothing_fill_no_more_than_the_budget_and_quick_ones_are_served() {
-    let standin = answering();
-    let setup = serving_on(SMALL_VM_MIB, patient_route(Execution::Once), &standin);
+    let fake = answering();
+    let setup = serving_on(SMALL_VM_MIB, patient_route(Execution::Once), &fake);
     let silent: Vec<TcpStream> = (0..20).map(|_| ask(&setup, "/a/1000000")).collect();
     wait_until("all requests at the endpoint", || {
-        standin.heads().len() == silent.len()
+        fake.heads().len() == silent.len()
     });
     for _ in 0..20 {
         let answer = setup.call("/a/1000", &[]);
@@ -136,8 +132,8 @@
 
 #[test]
 fn a_caller_that_reads_nothing_is_cut_off_visibly_once_others_need_its_memory() {
-    let (standin, written) = streaming();
-    let setup = serving_on(SMALL_VM_MIB, patient_route(STREAM), &standin);
+    let (fake, written) = streaming();
+    let setup = serving_on(SMALL_VM_MIB, patient_route(STREAM), &fake);
     let mut silent: Vec<TcpStream> = (0..5).map(|_| ask(&setup, "/a/1000")).collect();
     for _ in &silent {
         assert!(written.recv_timeout(Duration::from_secs(20)).unwrap());
@@ -148,21 +144,24 @@
         std::thread::spawn(move || {
             // Longer than a caller that reads nothing is kept in need.
             let answer = read_slowly(&mut caller, 8 << 10, Duration::from_millis(40));
-            (answer.status, answer.whole)
+            (answer.status, answer.is_complete)
         })
     });
     let whole: Vec<_> = whole.collect();
     for answer in whole {
         assert_eq!(answer.join().unwrap(), (200, true));
     }
-    let answers: Vec<bool> = silent.iter_mut().map(|c| read_answer(c).whole).collect();
+    let answers: Vec<bool> = silent
+        .iter_mut()
+        .map(|c| read_answer(c).is_complete)
+        .collect();
     assert!(answers.iter().any(|whole| !whole), "{answers:?}");
 }
 
 #[test]
 fn a_caller_that_leaves_while_events_wait_for_it_ends_its_run() {
     let (left, closed) = flume::bounded(1);
-    let standin = EndpointStandin::start(move |_, exchange| {
+    let fake = FakeEndpoint::start(move |_, exchange| {
         exchange.begin_stream();
         for n in 1..=200 {
             exchange.chunk(&format!("id: {n}\ndata: {}\n\n", "x".repeat(EVENT)));
@@ -171,7 +170,7 @@
         exchange.wait_closed();
         let _ = left.send(());
     });
-    let setup = serving_on(LARGE_VM_MIB, patient_route(STREAM), &standin);
+    let setup = serving_on(LARGE_VM_MIB, patient_route(STREAM), &fake);
     let caller = ask(&setup, "/a/");
     closed.recv_timeout(Duration::from_secs(20)).unwrap();
     drop(caller);
@@ -180,8 +179,8 @@
 
 #[test]
 fn a_stop_lets_a_slow_caller_read_its_whole_answer() {
-    let (standin, written) = streaming();
-    let setup = serving_on(LARGE_VM_MIB, patient_route(STREAM), &standin);
+    let (fake, written) = streaming();
+    let setup = serving_on(LARGE_VM_MIB, patient_route(STREAM), &fake);
     let mut caller = ask(&setup, "/a/300");
     assert!(written.recv_timeout(Duration::from_secs(20)).unwrap());
     setup.stop();
@@ -189,17 +188,17 @@
         TcpStream::connect(setup.address()).is_err()
     });
     let answer = read_answer(&mut caller);
-    assert_eq!((answer.whole, events_of(&answer.body)), (true, 300));
+    assert_eq!((answer.is_complete, events_of(&answer.body)), (true, 300));
 }
 
 #[test]
 fn a_stop_waits_for_a_slow_caller_of_an_answer_known_as_a_whole() {
-    let standin = answering();
+    let fake = answering();
     let mut settings = settings();
     settings.memory_mib = LARGE_VM_MIB;
     settings.stop_grace_ms = 60_000;
     let configuration = configuration(1, vec![patient_route(Execution::Once)]);
-    let one = endpoint("e0", standin.address);
+    let one = endpoint("e0", fake.address);
     let setup = Setup::serving_with(settings, configuration, vec![one]);
     let mut caller = ask(&setup, "/a/3000000");
     let mut byte = [0];
@@ -225,8 +224,8 @@
 
 #[test]
 fn a_body_beyond_the_memory_is_refused_as_not_run_and_small_ones_are_served() {
-    let standin = EndpointStandin::start(|_, exchange| exchange.answer(200, "x"));
-    let setup = serving_on(SMALL_VM_MIB, patient_route(Execution::Once), &standin);
+    let fake = FakeEndpoint::start(|_, exchange| exchange.answer(200, "x"));
+    let setup = serving_on(SMALL_VM_MIB, patient_route(Execution::Once), &fake);
     let hold = || post(&setup, 1_000_001, 1_000_000);
     // Each waits for its last byte.
     let mut held: Vec<TcpStream> = (0..8).map(|_| hold()).collect();
@@ -236,25 +235,25 @@
             .unwrap();
         let answer = read_answer(caller);
         assert!(matches!(answer.status, 0 | 503), "{answer:?}");
-        answer.status == 503 && answer.field("retry-after").is_some()
+        answer.status == 503 && answer.header("retry-after").is_some()
     };
     let refusals: usize = held.iter_mut().map(|c| usize::from(refused(c))).sum();
     assert!((1..=4).contains(&refusals), "{refusals}");
-    assert_eq!(standin.heads().len(), 0);
+    assert_eq!(fake.heads().len(), 0);
     let answer = read_answer(&mut post(&setup, 10_000, 10_000));
     assert_eq!(answer.status, 200);
 }
 
 #[test]
 fn a_head_that_trickles_ends_at_its_own_time_and_a_connection_at_rest_does_not() {
-    let standin = EndpointStandin::start(|_, exchange| exchange.answer(200, "x"));
+    let fake = FakeEndpoint::start(|_, exchange| exchange.answer(200, "x"));
     let mut configuration = configuration(1, vec![patient_route(Execution::Once)]);
     configuration.bounds = CallerBounds {
         head_time: Duration::from_millis(300),
         idle_time: Duration::from_secs(60),
         ..CallerBounds::default()
     };
-    let setup = Setup::serving(configuration, vec![endpoint("e0", standin.address)]);
+    let setup = Setup::serving(configuration, vec![endpoint("e0", fake.address)]);
     let kept = request_text("/a/", &[]).replace("connection: close\r\n", "");
     let mut resting = open(setup.address(), &kept);
     let mut trickling = open(setup.address(), "GET /a/ HTTP/1.1\r\nhost: h\r\n");
@@ -274,8 +273,8 @@
 
 #[test]
 fn connections_stop_being_taken_before_memory_is_full() {
-    let standin = EndpointStandin::start(|_, exchange| exchange.answer(200, "x"));
-    let setup = serving_on(SMALL_VM_MIB, patient_route(Execution::Once), &standin);
+    let fake = FakeEndpoint::start(|_, exchange| exchange.answer(200, "x"));
+    let setup = serving_on(SMALL_VM_MIB, patient_route(Execution::Once), &fake);
     let bodies: Vec<TcpStream> = (0..5).map(|_| post(&setup, 1_000_001, 1_000_000)).collect();
     let mut resting = Vec::new();
     wait_until("readiness withdrawn", || {
@@ -291,34 +290,34 @@
 
 #[test]
 fn bodies_that_wait_for_slow_endpoints_do_not_keep_their_answers_out() {
-    let standin = EndpointStandin::start(|_, exchange| {
+    let fake = FakeEndpoint::start(|_, exchange| {
         assert_eq!(
             exchange.read_body_slowly(8 << 10, Duration::from_millis(1)),
             1_000_000
         );
-        exchange.answer_within(1_000_000, Duration::from_secs(20));
+        exchange.answer_with_timeout(1_000_000, Duration::from_secs(20));
     });
-    let setup = serving_on(SMALL_VM_MIB, patient_route(Execution::Once), &standin);
+    let setup = serving_on(SMALL_VM_MIB, patient_route(Execution::Once), &fake);
     // Bodies of 5 MB fill the common part; the answers need as much.
     let callers: Vec<TcpStream> = (0..5).map(|_| post(&setup, 1_000_000, 1_000_000)).collect();
     for mut caller in callers {
         let answer = read_answer(&mut caller);
-        assert_eq!((answer.status, answer.whole), (200, true));
+        assert_eq!((answer.status, answer.is_complete), (200, true));
     }
 }
 
 #[test]
 fn slow_callers_of_slow_endpoints_get_whole_answers_while_the_gateway_stops() {
     let (told, written) = flume::unbounded();
-    let standin = EndpointStandin::start(move |_, exchange| {
+    let fake = FakeEndpoint::start(move |_, exchange| {
         let read = exchange.read_body_slowly(4 << 10, Duration::from_millis(1));
-        let all = exchange.stream_within(300, EVENT, UNREAD);
+        let all = exchange.stream_with_timeout(300, EVENT, UNREAD);
         let _ = told.send(all && read == 500_000);
     });
-    let setup = serving_on(SMALL_VM_MIB, patient_route(STREAM), &standin);
+    let setup = serving_on(SMALL_VM_MIB, patient_route(STREAM), &fake);
     let mut callers: Vec<TcpStream> = (0..6).map(|_| post(&setup, 500_000, 500_000)).collect();
     wait_until("all requests at the endpoint", || {
-        standin.heads().len() == callers.len()
+        fake.heads().len() == callers.len()
     });
     setup.stop();
     for _ in &callers {
@@ -326,19 +325,19 @@
     }
     for caller in &mut callers {
         let answer = read_slowly(caller, 64 << 10, Duration::from_millis(1));
-        assert_eq!((answer.whole, events_of(&answer.body)), (true, 300));
+        assert_eq!((answer.is_complete, events_of(&answer.body)), (true, 300));
     }
 }
 
 #[test]
 fn where_memory_has_no_bound_a_caller_that_reads_nothing_for_long_is_kept() {
-    let standin = EndpointStandin::start(|_, exchange| {
-        exchange.stream_within(500, LARGE_EVENT, Duration::from_secs(20));
+    let fake = FakeEndpoint::start(|_, exchange| {
+        exchange.stream_with_timeout(500, LARGE_EVENT, Duration::from_secs(20));
     });
     let setup = serving_on(
         0,
         patient_route(Execution::Stream { resumable: true }),
-        &standin,
+        &fake,
     );
     // Its body stays, since it may be sent again, and is more than what is read ahead.
     let mut caller = post(&setup, 500_000, 500_000);
@@ -348,6 +347,6 @@
         || began.elapsed() > Duration::from_millis(3500),
     );
     let answer = read_answer(&mut caller);
-    assert_eq!((answer.whole, events_of(&answer.body)), (true, 500));
-    assert_eq!(standin.heads().len(), 1);
+    assert_eq!((answer.is_complete, events_of(&answer.body)), (true, 500));
+    assert_eq!(fake.heads().len(), 1);
 }
--- a/components/gateway/tests/store_restore.rs
+++ b/components/gateway/tests/store_restore.rs
@@ -7,25 +7,25 @@
 use std::time::{Duration, Instant};
 
 use common::{
-    configuration, endpoint, route, settings, tenant, wait_until, EndpointStandin, Lines, Setup,
-    StoreStandin,
+    configuration, endpoint, route, settings, tenant, wait_until, FakeEndpoint, FakeStore,
+    LogLines, Setup,
 };
 use directory::{Configuration, Endpoint, EndpointState, Execution};
 use gateway::ports::Topic;
 use schema::settings::GatewaySettings;
 
-fn put_route(store: &StoreStandin, version: u64, prefix: &str) {
+fn put_route(store: &FakeStore, version: u64, prefix: &str) {
     let routes = vec![route(prefix, Execution::Repeatable)];
     store.put_configuration(configuration(version, routes));
 }
 
 #[test]
 fn a_store_restore_is_logged_once() {
-    let standin = EndpointStandin::start(|_, e| e.answer(200, "x"));
-    let store = StoreStandin::default();
+    let fake = FakeEndpoint::start(|_, e| e.answer(200, "x"));
+    let store = FakeStore::default();
     put_route(&store, 1, "/a/");
-    store.put_endpoint(endpoint("e1", standin.address));
-    let lines = Lines::default();
+    store.put_endpoint(endpoint("e1", fake.address));
+    let lines = LogLines::default();
     let setup = Setup::start_with_log(settings(), store.clone(), lines.logger());
     wait_until("readiness", || setup.is_ready());
     wait_until("the first era", || {
@@ -46,28 +46,24 @@
 /// A gateway that knows revisions that the store lost in a restore, and its endpoint.
 struct RestoredStore {
     setup: Setup,
-    store: StoreStandin,
-    standin: EndpointStandin,
+    store: FakeStore,
+    fake: FakeEndpoint,
 }
 
 fn setup_restored_store() -> RestoredStore {
-    let standin = EndpointStandin::start(|_, e| e.answer(200, "x"));
-    let store = StoreStandin::default();
+    let fake = FakeEndpoint::start(|_, e| e.answer(200, "x"));
+    let store = FakeStore::default();
     put_route(&store, 1, "/a/");
-    store.put_endpoint(endpoint("e1", standin.address));
+    store.put_endpoint(endpoint("e1", fake.address));
     let setup = Setup::start(settings(), store.clone());
     wait_until("readiness", || setup.is_ready());
     store.take_snapshot();
     store.advance_revision(500);
     put_route(&store, 2, "/b/");
-    store.put_endpoint(endpoint("e1", standin.address));
+    store.put_endpoint(endpoint("e1", fake.address));
     wait_until("the second route", || setup.call("/b/1", &[]).status == 200);
     store.restore_snapshot();
-    RestoredStore {
-        setup,
-        store,
-        standin,
-    }
+    RestoredStore { setup, store, fake }
 }
 
 #[test]
@@ -86,7 +82,7 @@
     let restored = setup_restored_store();
     restored.store.put_endpoint(Endpoint {
         state: EndpointState::Draining { leaves_in: None },
-        ..endpoint("e1", restored.standin.address)
+        ..endpoint("e1", restored.fake.address)
     });
     let written = Instant::now();
     wait_until("the endpoint to get no requests", || {
@@ -100,7 +96,10 @@
     let restored = setup_restored_store();
     let asks = || {
         let topics = [Topic::Configuration, Topic::Endpoints];
-        topics.map(|topic| restored.store.asks(topic)).iter().sum()
+        topics
+            .map(|topic| restored.store.call_count(topic))
+            .iter()
+            .sum()
     };
     let before: u64 = asks();
     let began = Instant::now();
@@ -120,10 +119,10 @@
 
 #[test]
 fn an_older_configuration_in_a_restored_store_neither_takes_effect_nor_confirms_keys() {
-    let standin = EndpointStandin::start(|_, e| e.answer(200, "x"));
-    let store = StoreStandin::default();
+    let fake = FakeEndpoint::start(|_, e| e.answer(200, "x"));
+    let store = FakeStore::default();
     store.put_configuration(configuration_with_key(1, "old"));
-    store.put_endpoint(endpoint("e1", standin.address));
+    store.put_endpoint(endpoint("e1", fake.address));
     let settings = GatewaySettings {
         credential_age_ms: 1500,
         ..settings()
@@ -155,9 +154,9 @@
 }
 
 /// Starts a gateway that has read the era of its store, and collects its log lines.
-fn start_logged(store: &StoreStandin) -> (Setup, Lines) {
+fn start_logged(store: &FakeStore) -> (Setup, LogLines) {
     put_route(store, 1, "/a/");
-    let lines = Lines::default();
+    let lines = LogLines::default();
     let setup = Setup::start_with_log(settings(), store.clone(), lines.logger());
     wait_until("readiness", || setup.is_ready());
     wait_until("the first era", || {
@@ -166,7 +165,7 @@
     (setup, lines)
 }
 
-fn restore_and_wait(store: &StoreStandin, lines: &Lines) {
+fn restore_and_wait(store: &FakeStore, lines: &LogLines) {
     let lists = lines.count("topic read from the store");
     store.restore_snapshot();
     wait_until("both topics to be listed", || {
@@ -176,14 +175,14 @@
 
 #[test]
 fn a_draining_endpoint_stays_draining_if_a_restored_store_lists_it_as_ready() {
-    let standin = EndpointStandin::start(|_, e| e.answer(200, "x"));
-    let store = StoreStandin::default();
-    store.put_endpoint(endpoint("e1", standin.address));
+    let fake = FakeEndpoint::start(|_, e| e.answer(200, "x"));
+    let store = FakeStore::default();
+    store.put_endpoint(endpoint("e1", fake.address));
     let (setup, lines) = start_logged(&store);
     store.take_snapshot();
     store.put_endpoint(Endpoint {
         state: EndpointState::Draining { leaves_in: None },
-        ..endpoint("e1", standin.address)
+        ..endpoint("e1", fake.address)
     });
     wait_until("the endpoint to get no requests", || {
         setup.call("/a/1", &[]).status == 503
@@ -197,18 +196,18 @@
     // A new start at the same address counts as a new endpoint.
     store.put_endpoint(Endpoint {
         born_ms: Some(7),
-        ..endpoint("e1", standin.address)
+        ..endpoint("e1", fake.address)
     });
     wait_until("the next start", || setup.call("/a/1", &[]).status == 200);
 }
 
 #[test]
 fn an_endpoint_whose_row_a_restored_store_lost_stays_in_use_until_the_rewrite_timeout() {
-    let standin = EndpointStandin::start(|_, e| e.answer(200, "x"));
-    let store = StoreStandin::default();
+    let fake = FakeEndpoint::start(|_, e| e.answer(200, "x"));
+    let store = FakeStore::default();
     let (setup, lines) = start_logged(&store);
     store.take_snapshot();
-    store.put_endpoint(endpoint("e1", standin.address));
+    store.put_endpoint(endpoint("e1", fake.address));
     wait_until("the endpoint", || setup.call("/a/1", &[]).status == 200);
     restore_and_wait(&store, &lines);
     let restored = Instant::now();
@@ -220,7 +219,7 @@
         || setup.call("/a/1", &[]).status == 503,
     );
     assert_eq!(lines.count("endpoint gone"), 1);
-    store.put_endpoint(endpoint("e1", standin.address));
+    store.put_endpoint(endpoint("e1", fake.address));
     wait_until("the endpoint again", || {
         setup.call("/a/1", &[]).status == 200
     });
@@ -231,12 +230,12 @@
 
 #[test]
 fn an_endpoint_dropped_before_a_store_restore_is_not_used_until_its_row_would_have_expired() {
-    let standin = EndpointStandin::start(|_, e| e.answer(200, "x"));
-    let store = StoreStandin::default();
-    store.put_endpoint(endpoint("e1", standin.address));
+    let fake = FakeEndpoint::start(|_, e| e.answer(200, "x"));
+    let store = FakeStore::default();
+    store.put_endpoint(endpoint("e1", fake.address));
     let (setup, lines) = start_logged(&store);
     store.take_snapshot();
-    store.drop_endpoint("e1");
+    store.delete_endpoint("e1");
     wait_until("the endpoint to be gone", || {
         setup.call("/a/1", &[]).status == 503
     });
@@ -252,17 +251,17 @@
 
 #[test]
 fn a_gateway_refused_by_the_store_gets_changes_after_a_restore_from_another_gateway() {
-    let standin = EndpointStandin::start(|_, e| e.answer(200, "x"));
-    let store = StoreStandin::default();
+    let fake = FakeEndpoint::start(|_, e| e.answer(200, "x"));
+    let store = FakeStore::default();
     put_route(&store, 1, "/a/");
-    store.put_endpoint(endpoint("e1", standin.address));
+    store.put_endpoint(endpoint("e1", fake.address));
     let first = Setup::start(settings(), store.clone());
     let second_settings = GatewaySettings {
         name: "g2".into(),
         seeds: vec![first.gateway.peer_address().to_string()],
         ..settings()
     };
-    let second = Setup::start(second_settings, store.for_another());
+    let second = Setup::start(second_settings, store.for_other_gateway());
     wait_until("readiness", || first.is_ready() && second.is_ready());
     second.store.refuse(true);
     store.take_snapshot();
@@ -280,7 +279,7 @@
 
 #[test]
 fn a_gateway_whose_row_a_restored_store_lost_rewrites_it() {
-    let store = StoreStandin::default();
+    let store = FakeStore::default();
     store.take_snapshot();
     let (_setup, lines) = start_logged(&store);
     wait_until("the row", || store.row(Topic::Gateways, "g1").is_some());
@@ -296,7 +295,7 @@
 
 #[test]
 fn an_order_rewritten_after_a_store_restore_continues() {
-    let store = StoreStandin::default();
+    let store = FakeStore::default();
     let (_setup, lines) = start_logged(&store);
     store.take_snapshot();
     let time = Duration::from_secs(60);
@@ -316,7 +315,7 @@
 
 #[test]
 fn an_order_not_rewritten_after_a_store_restore_is_withdrawn() {
-    let store = StoreStandin::default();
+    let store = FakeStore::default();
     let (_setup, lines) = start_logged(&store);
     store.take_snapshot();
     store.put_order("v2", Duration::from_secs(60));
@@ -343,16 +342,16 @@
 
 #[test]
 fn a_window_whose_row_a_restored_store_lost_is_not_reported_by_the_next_holder() {
-    let standin = EndpointStandin::start(|_, e| e.answer(200, "x"));
-    let store = StoreStandin::default();
+    let fake = FakeEndpoint::start(|_, e| e.answer(200, "x"));
+    let store = FakeStore::default();
     store.put_configuration(configuration_with_key(1, "k"));
-    store.put_endpoint(endpoint("e1", standin.address));
+    store.put_endpoint(endpoint("e1", fake.address));
     let first = Setup::start(reporting_settings("g1", Vec::new()), store.clone());
     wait_until("readiness", || first.is_ready());
     wait_until("the lease", || store.row(Topic::Lease, "duties").is_some());
     store.take_snapshot();
     let seeds = vec![first.gateway.peer_address().to_string()];
-    let second = Setup::start(reporting_settings("g2", seeds), store.for_another());
+    let second = Setup::start(reporting_settings("g2", seeds), store.for_other_gateway());
     wait_until("readiness", || second.is_ready());
     let began = Instant::now();
     let call = |setup: &Setup| setup.call("/a/1", &["x-key: k"]).status;
--- a/components/gateway/tests/two_regions.rs
+++ b/components/gateway/tests/two_regions.rs
@@ -8,8 +8,7 @@
 use std::time::{Duration, Instant};
 
 use common::{
-    configuration, endpoint, route, settings, tenant, wait_until, EndpointStandin, Setup,
-    StoreStandin,
+    configuration, endpoint, route, settings, tenant, wait_until, FakeEndpoint, FakeStore, Setup,
 };
 use directory::Execution;
 use gateway::ports::Topic;
@@ -43,23 +42,23 @@
 static ONE_WORLD: Mutex<()> = Mutex::new(());
 
 struct World {
-    store: StoreStandin,
+    store: FakeStore,
     gateways: Vec<(&'static str, Setup)>,
     _alone: MutexGuard<'static, ()>,
 }
 
 impl World {
     /// All gateways of these halls, started at once.
-    fn start(store: &StoreStandin, halls: &[&'static str]) -> Self {
+    fn start(store: &FakeStore, halls: &[&'static str]) -> Self {
         Self::start_with(store, halls, |settings| settings, |_, _| {})
     }
 
     /// The same with other settings; `prepare` sees the store of each before.
     fn start_with(
-        store: &StoreStandin,
+        store: &FakeStore,
         halls: &[&'static str],
         changed: impl Fn(GatewaySettings) -> GatewaySettings,
-        prepare: impl Fn(&str, &StoreStandin),
+        prepare: impl Fn(&str, &FakeStore),
     ) -> Self {
         // A test that failed before says nothing of this one.
         let alone = ONE_WORLD.lock().unwrap_or_else(PoisonError::into_inner);
@@ -68,9 +67,9 @@
             for index in 0..IN_HALL {
                 let first = gateways.first();
                 let seeds = first.map(|(_, setup)| setup.gateway.peer_address().to_string());
-                let own = store.for_another();
+                let own = store.for_other_gateway();
                 if hall.starts_with('b') {
-                    own.take(FAR_TIME);
+                    own.set_call_time(FAR_TIME);
                 }
                 prepare(hall, &own);
                 let settings = changed(named(hall, index, seeds.into_iter().collect()));
@@ -91,7 +90,9 @@
     }
 
     fn asking(&self, region: &str, topic: Topic) -> usize {
-        let asking = self.of(region).filter(|setup| setup.store.asks(topic) > 0);
+        let asking = self
+            .of(region)
+            .filter(|setup| setup.store.call_count(topic) > 0);
         asking.count()
     }
 
@@ -104,26 +105,26 @@
     }
 }
 
-fn put_route(store: &StoreStandin, version: u64, prefix: &str) {
+fn put_route(store: &FakeStore, version: u64, prefix: &str) {
     let mut configuration = configuration(version, vec![route(prefix, Execution::Repeatable)]);
     configuration.tenants = vec![tenant("t", "k")];
     store.put_configuration(configuration);
 }
 
-fn store_with_endpoints(standin: &EndpointStandin, count: usize) -> StoreStandin {
-    let store = StoreStandin::default();
+fn store_with_endpoints(fake: &FakeEndpoint, count: usize) -> FakeStore {
+    let store = FakeStore::default();
     put_route(&store, 1, "/old/");
     for i in 0..count {
-        store.put_endpoint(endpoint(&format!("e{i}"), standin.address));
+        store.put_endpoint(endpoint(&format!("e{i}"), fake.address));
     }
     store
 }
 
 #[test]
 fn when_all_start_at_once_two_gateways_of_a_region_read_the_store_and_all_serve() {
-    let standin = EndpointStandin::start(|_, e| e.answer(200, "x"));
+    let fake = FakeEndpoint::start(|_, e| e.answer(200, "x"));
     // Three pages between gateways.
-    let store = store_with_endpoints(&standin, 6_000);
+    let store = store_with_endpoints(&fake, 6_000);
     let world = World::start(&store, &HALLS);
     world.all_answer("a", "/old/1", 200);
     world.all_answer("b", "/old/1", 200);
@@ -135,13 +136,13 @@
 
 #[test]
 fn when_all_start_at_once_over_a_slow_link_no_more_gateways_read_the_store() {
-    let standin = EndpointStandin::start(|_, e| e.answer(200, "x"));
-    let store = store_with_endpoints(&standin, 3);
+    let fake = FakeEndpoint::start(|_, e| e.answer(200, "x"));
+    let store = store_with_endpoints(&fake, 3);
     let world = World::start_with(
         &store,
         &["b1", "b2"],
         |settings| settings,
-        |_, own| own.take(SLOW_TIME),
+        |_, own| own.set_call_time(SLOW_TIME),
     );
     world.all_answer("b", "/old/1", 200);
     for topic in [Topic::Configuration, Topic::Endpoints] {
@@ -152,28 +153,28 @@
 
 #[test]
 fn near_the_store_a_large_change_comes_from_it_and_not_through_links_of_gateways() {
-    let standin = EndpointStandin::start(|_, e| e.answer(200, "x"));
-    let store = store_with_endpoints(&standin, 3);
+    let fake = FakeEndpoint::start(|_, e| e.answer(200, "x"));
+    let store = store_with_endpoints(&fake, 3);
     let world = World::start(&store, &["a1", "a2"]);
     world.all_answer("a", "/old/1", 200);
     let asks: Vec<u64> = world
         .of("a")
-        .map(|setup| setup.store.asks(Topic::Endpoints))
+        .map(|setup| setup.store.call_count(Topic::Endpoints))
         .collect();
     for i in 0..6_000 {
-        store.put_endpoint(endpoint(&format!("later{i}"), standin.address));
+        store.put_endpoint(endpoint(&format!("later{i}"), fake.address));
     }
     for (setup, before) in world.of("a").zip(asks) {
         wait_until("the store to be asked", || {
-            setup.store.asks(Topic::Endpoints) > before
+            setup.store.call_count(Topic::Endpoints) > before
         });
     }
 }
 
 #[test]
 fn a_change_reaches_all_gateways_of_both_regions_without_further_readers() {
-    let standin = EndpointStandin::start(|_, e| e.answer(200, "x"));
-    let store = store_with_endpoints(&standin, 3);
+    let fake = FakeEndpoint::start(|_, e| e.answer(200, "x"));
+    let store = store_with_endpoints(&fake, 3);
     let world = World::start(&store, &HALLS);
     for region in ["a", "b"] {
         world.all_answer(region, "/old/1", 200);
@@ -191,11 +192,11 @@
 
 #[test]
 fn after_a_history_that_is_gone_the_readers_of_a_region_list_and_the_others_take() {
-    let standin = EndpointStandin::start(|_, e| e.answer(200, "x"));
-    let store = store_with_endpoints(&standin, 3);
+    let fake = FakeEndpoint::start(|_, e| e.answer(200, "x"));
+    let store = store_with_endpoints(&fake, 3);
     let world = World::start(&store, &HALLS);
     world.all_answer("b", "/old/1", 200);
-    store.forget_history();
+    store.compact_history();
     put_route(&store, 2, "/new/");
     world.all_answer("b", "/new/1", 200);
     let asking = world.asking("b", Topic::Configuration);
@@ -204,8 +205,8 @@
 
 #[test]
 fn a_region_that_the_store_does_not_reach_takes_changes_from_the_other_region() {
-    let standin = EndpointStandin::start(|_, e| e.answer(200, "x"));
-    let store = store_with_endpoints(&standin, 3);
+    let fake = FakeEndpoint::start(|_, e| e.answer(200, "x"));
+    let store = store_with_endpoints(&fake, 3);
     let world = World::start(&store, &HALLS);
     for region in ["a", "b"] {
         world.all_answer(region, "/old/1", 200);
@@ -224,8 +225,8 @@
 
 #[test]
 fn a_region_without_others_to_hear_is_refused_keys_once_they_are_too_old_and_not_before() {
-    let standin = EndpointStandin::start(|_, e| e.answer(200, "x"));
-    let store = store_with_endpoints(&standin, 3);
+    let fake = FakeEndpoint::start(|_, e| e.answer(200, "x"));
+    let store = store_with_endpoints(&fake, 3);
     let world = World::start(&store, &["b1", "b2"]);
     world.all_answer("b", "/old/1", 200);
     let cut_at = Instant::now();
@@ -238,8 +239,8 @@
 
 #[test]
 fn where_keys_have_no_bound_a_region_that_starts_without_the_store_serves_by_the_other_region() {
-    let standin = EndpointStandin::start(|_, e| e.answer(200, "x"));
-    let store = store_with_endpoints(&standin, 3);
+    let fake = FakeEndpoint::start(|_, e| e.answer(200, "x"));
+    let store = store_with_endpoints(&fake, 3);
     let unbounded = |settings| GatewaySettings {
         credential_age_ms: 0,
         ..settings
@@ -255,12 +256,12 @@
 
 #[test]
 fn a_region_whose_readers_stop_at_once_goes_on_in_time() {
-    let standin = EndpointStandin::start(|_, e| e.answer(200, "x"));
-    let store = store_with_endpoints(&standin, 3);
+    let fake = FakeEndpoint::start(|_, e| e.answer(200, "x"));
+    let store = store_with_endpoints(&fake, 3);
     let mut world = World::start(&store, &["b1", "b2"]);
     world.all_answer("b", "/old/1", 200);
     // Who asks again reads; on a busy machine another one may have asked once at its start.
-    let asks = |setup: &Setup| setup.store.asks(Topic::Configuration);
+    let asks = |setup: &Setup| setup.store.call_count(Topic::Configuration);
     let before: Vec<u64> = world
         .gateways
         .iter()
@@ -282,7 +283,7 @@
     assert_eq!(readers.len(), READERS);
     readers
         .iter()
-        .for_each(|(_, setup)| setup.store.say_nothing());
+        .for_each(|(_, setup)| setup.store.stop_responding());
     drop(readers);
     put_route(&store, 2, "/new/");
     let changed_at = Instant::now();
--- a/components/gateway/tests/version_skew.rs
+++ b/components/gateway/tests/version_skew.rs
@@ -9,7 +9,7 @@
 use std::time::Duration;
 
 use common::{
-    configuration, endpoint, route, settings, wait_until, EndpointStandin, Setup, StoreStandin,
+    configuration, endpoint, route, settings, wait_until, FakeEndpoint, FakeStore, Setup,
 };
 use directory::{Endpoint, Execution};
 use routing::placement::endpoint_hash;
@@ -43,7 +43,7 @@
     }
 
     /// Rows of three gateways of the hall that decide at its port.
-    fn list(&self, store: &StoreStandin) {
+    fn list(&self, store: &FakeStore) {
         for (i, name) in ["old1", "old2", "old3"].into_iter().enumerate() {
             let row = GatewayRow {
                 address: format!("127.0.0.1:{}", 9 + i),
@@ -99,7 +99,7 @@
 
 /// An earlier coordinator, and a gateway of today that asks it.
 fn earlier_and_asking(endpoints: Vec<Endpoint>) -> (EarlierCoordinator, Setup) {
-    let store = StoreStandin::default();
+    let store = FakeStore::default();
     store.put_configuration(configuration(1, vec![route("/a/", Execution::Repeatable)]));
     for endpoint in endpoints.clone() {
         store.put_endpoint(endpoint);
@@ -117,11 +117,11 @@
 
 #[test]
 fn what_endpoints_told_a_gateway_binds_it_whatever_an_earlier_coordinator_decides() {
-    let leaving = EndpointStandin::start(|_, exchange| exchange.answer_leaving());
-    let busy = EndpointStandin::start(|_, exchange| exchange.decline_for(PAUSE));
-    let steady = EndpointStandin::start(|_, exchange| exchange.answer(200, "x"));
-    let standins = [("e1", &leaving), ("e2", &busy), ("e3", &steady)];
-    let endpoints = standins.map(|(id, standin)| endpoint(id, standin.address));
+    let leaving = FakeEndpoint::start(|_, exchange| exchange.answer_leaving());
+    let busy = FakeEndpoint::start(|_, exchange| exchange.decline_with_pause(PAUSE));
+    let steady = FakeEndpoint::start(|_, exchange| exchange.answer(200, "x"));
+    let fakes = [("e1", &leaving), ("e2", &busy), ("e3", &steady)];
+    let endpoints = fakes.map(|(id, fake)| endpoint(id, fake.address));
     let (coordinator, asking) = earlier_and_asking(endpoints.to_vec());
     wait_until("both to tell it", || {
         asking.call("/a/1", &[]);
@@ -140,10 +140,10 @@
 // Guards against sends past an endpoint's limit while those who place requests keep no account of it.
 #[test]
 fn an_endpoint_that_names_a_limit_gets_nothing_where_earlier_coordinators_keep_no_account() {
-    let in_need = EndpointStandin::start(|_, exchange| exchange.answer_limited("1"));
-    let steady = EndpointStandin::start(|_, exchange| exchange.answer(200, "x"));
+    let in_need = FakeEndpoint::start(|_, exchange| exchange.answer_with_limit("1"));
+    let steady = FakeEndpoint::start(|_, exchange| exchange.answer(200, "x"));
     let endpoints = [("e1", &in_need), ("e2", &steady)];
-    let endpoints = endpoints.map(|(id, standin)| endpoint(id, standin.address));
+    let endpoints = endpoints.map(|(id, fake)| endpoint(id, fake.address));
     let (_coordinator, asking) = earlier_and_asking(endpoints.to_vec());
     wait_until("it to tell its limit", || {
         asking.call("/a/1", &[]);
--- a/components/gateway/tests/vm_suspension.rs
+++ b/components/gateway/tests/vm_suspension.rs
@@ -10,8 +10,8 @@
 use std::time::{Duration, Instant};
 
 use common::{
-    configuration, endpoint, request_text, route, send, settings, tenant, wait_until,
-    EndpointStandin, Lines, Setup, StoreStandin,
+    configuration, endpoint, request_text, route, send, settings, tenant, wait_until, FakeEndpoint,
+    FakeStore, LogLines, Setup,
 };
 use directory::Execution;
 use gateway::Clock;
@@ -20,14 +20,14 @@
 /// A gateway whose VM can be suspended.
 struct Suspendable {
     setup: Setup,
-    lines: Lines,
+    lines: LogLines,
     suspended_ms: &'static AtomicU64,
 }
 
 impl Suspendable {
-    fn start(settings: GatewaySettings, store: &StoreStandin) -> Self {
+    fn start(settings: GatewaySettings, store: &FakeStore) -> Self {
         let suspended_ms: &'static AtomicU64 = Box::leak(Box::default());
-        let lines = Lines::default();
+        let lines = LogLines::default();
         let clock = Clock::start_suspendable(suspended_ms);
         let setup = Setup::start_with_clock(settings, store.clone(), lines.logger(), clock);
         Suspendable {
@@ -48,8 +48,8 @@
     }
 }
 
-fn store_with_key() -> StoreStandin {
-    let store = StoreStandin::default();
+fn store_with_key() -> FakeStore {
+    let store = FakeStore::default();
     let mut configuration = configuration(1, vec![route("/a/", Execution::Once)]);
     configuration.tenants = vec![tenant("t", "k")];
     store.put_configuration(configuration);
@@ -57,7 +57,7 @@
 }
 
 /// A ready gateway that accepts keys on word of the last minute only.
-fn start_fail_closed(store: &StoreStandin) -> Suspendable {
+fn start_fail_closed(store: &FakeStore) -> Suspendable {
     let fail_closed = GatewaySettings {
         credential_age_ms: 60_000,
         ..settings()
@@ -70,10 +70,10 @@
 #[test]
 fn a_key_is_not_accepted_on_word_from_before_a_suspension() {
     let store = store_with_key();
-    let standin = EndpointStandin::start(|_, exchange| exchange.answer(200, "x"));
-    store.put_endpoint(endpoint("e", standin.address));
+    let fake = FakeEndpoint::start(|_, exchange| exchange.answer(200, "x"));
+    store.put_endpoint(endpoint("e", fake.address));
     let gateway = start_fail_closed(&store);
-    store.say_nothing();
+    store.stop_responding();
     store.refuse(true);
     let call = || gateway.setup.call("/a/1", &["x-key: k"]).status;
     assert_eq!(call(), 200);
@@ -101,17 +101,17 @@
     };
     wait_until("the request", accepted);
     gateway.suspend(Duration::from_secs(30));
-    let standin = EndpointStandin::start(|_, exchange| exchange.answer(200, "x"));
-    store.put_endpoint(endpoint("e", standin.address));
+    let fake = FakeEndpoint::start(|_, exchange| exchange.answer(200, "x"));
+    store.put_endpoint(endpoint("e", fake.address));
     let answer = asked.join().unwrap();
     assert_eq!(answer.status, 503, "{}", answer.head);
-    assert!(standin.heads().is_empty());
+    assert!(fake.heads().is_empty());
 }
 
 #[test]
 fn a_wait_whose_time_passed_in_a_suspension_ends_soon_after_it() {
     let store = store_with_key();
-    let silent = EndpointStandin::start(|_, exchange| exchange.wait_closed());
+    let silent = FakeEndpoint::start(|_, exchange| exchange.wait_closed());
     store.put_endpoint(endpoint("e", silent.address));
     let gateway = Suspendable::start(settings(), &store);
     wait_until("readiness", || gateway.setup.is_ready());
@@ -144,8 +144,8 @@
 #[test]
 fn an_answer_of_the_store_that_lay_on_the_way_through_a_suspension_confirms_no_key() {
     let store = store_with_key();
-    let standin = EndpointStandin::start(|_, exchange| exchange.answer(200, "x"));
-    store.put_endpoint(endpoint("e", standin.address));
+    let fake = FakeEndpoint::start(|_, exchange| exchange.answer(200, "x"));
+    store.put_endpoint(endpoint("e", fake.address));
     let gateway = start_fail_closed(&store);
     let call = || gateway.setup.call("/b/1", &["x-key: k"]).status;
     let mut changed = configuration(2, vec![route("/b/", Execution::Once)]);
@@ -161,5 +161,5 @@
         gateway.lines.count("configuration in force") > 1
     });
     assert_eq!(call(), 503);
-    assert!(standin.heads().is_empty());
+    assert!(fake.heads().is_empty());
 }
