--- a/components/gateway/tests/common/crashing.rs
+++ b/components/gateway/tests/common/crashing.rs
@@ -1,4 +1,4 @@
-//! An endpoint that one request ends, with all that runs there.
+//! A fake endpoint that one request crashes, with all other requests on it.
 
 use std::io::Write;
 use std::net::{Shutdown, SocketAddr, TcpListener, TcpStream};
@@ -8,9 +8,9 @@
 
 use super::endpoint::read_head;
 
-/// What ends an endpoint that begins it.
+/// A request for this path crashes the endpoint that runs it.
 pub const POISON_PATH: &str = "/a/poison";
-/// What an endpoint begins and doesn't end.
+/// A request for this path is never answered.
 pub const HANGING_PATH: &str = "/a/hanging";
 
 #[derive(Default)]
@@ -35,8 +35,8 @@
             address,
             state: Arc::default(),
         };
-        let serving = crashing.clone();
-        thread::spawn(move || serving.listen(listener));
+        let server = crashing.clone();
+        thread::spawn(move || server.listen(listener));
         crashing
     }
 
@@ -44,19 +44,19 @@
         self.state.stopped.load(Ordering::SeqCst)
     }
 
-    /// Paths of the requests that arrived.
+    /// Paths of all requests received so far.
     pub fn paths(&self) -> Vec<String> {
         self.state.paths.lock().unwrap().clone()
     }
 
-    /// Ends it from outside.
+    /// Stops the endpoint: its listener and all connections close.
     pub fn stop(&self) {
         self.state.stopped.store(true, Ordering::SeqCst);
-        // Wakes the listener, which ends with the thread that holds it.
+        // Wakes the listening thread, which then closes the listener.
         drop(TcpStream::connect(self.address));
     }
 
-    // New connections are refused before the open ones close, as when a process ends.
+    // Closes the listener before the open connections, so that new connections are refused first, as when a process ends.
     fn listen(&self, listener: TcpListener) {
         for stream in listener.incoming().flatten() {
             if self.has_stopped() {
@@ -67,8 +67,8 @@
                 .lock()
                 .unwrap()
                 .push(stream.try_clone().unwrap());
-            let serving = self.clone();
-            thread::spawn(move || serving.serve(stream));
+            let server = self.clone();
+            thread::spawn(move || server.serve(stream));
         }
         drop(listener);
         for stream in self.state.connections.lock().unwrap().drain(..) {
--- a/components/gateway/tests/common/endpoint.rs
+++ b/components/gateway/tests/common/endpoint.rs
@@ -1,4 +1,4 @@
-//! An endpoint whose answers a test writes byte by byte.
+//! A fake endpoint whose answers are written byte by byte by the test.
 
 use std::io::{Read, Write};
 use std::net::{Shutdown, SocketAddr, TcpListener, TcpStream};
@@ -6,14 +6,14 @@
 use std::thread;
 use std::time::Duration;
 
-/// One request as it arrived, and the connection to answer on.
+/// A received request and the connection for its answer.
 pub struct Exchange {
     pub head: String,
     stream: TcpStream,
 }
 
 impl Exchange {
-    /// A field of the request.
+    /// Value of a request header.
     pub fn header(&self, name: &str) -> Option<String> {
         let mut lines = self.head.lines();
         lines.find_map(|line| {
@@ -23,18 +23,18 @@
         })
     }
 
-    /// Writes bytes.
+    /// Writes raw bytes, ignoring errors.
     pub fn write(&mut self, text: &str) {
         let _ = self.stream.write_all(text.as_bytes());
     }
 
-    /// Answers well.
+    /// Sends a signed answer to the request.
     pub fn answer(&mut self, status: u16, body: &str) {
         let id = self.header("x-id").unwrap_or_default();
         self.answer_with_id(&id, status, body);
     }
 
-    /// Answers as if to another request.
+    /// Sends an answer that names `id` as its request.
     pub fn answer_with_id(&mut self, id: &str, status: u16, body: &str) {
         self.write(&format!(
             "HTTP/1.1 {status} X\r\nx-id: {id}\r\nx-signature: s\r\ncontent-length: {}\r\n\r\n{body}",
@@ -42,7 +42,7 @@
         ));
     }
 
-    /// Answers well, and says that the endpoint leaves.
+    /// Sends a successful answer with the header that says that the endpoint is leaving.
     pub fn answer_leaving(&mut self) {
         let id = self.header("x-id").unwrap_or_default();
         self.write(&format!(
@@ -50,7 +50,7 @@
         ));
     }
 
-    /// Answers well, and names a limit: requests a second of all gateways together.
+    /// Sends a successful answer that names a rate limit, in requests a second of all gateways together.
     pub fn answer_with_limit(&mut self, limit: &str) {
         let id = self.header("x-id").unwrap_or_default();
         self.write(&format!(
@@ -58,7 +58,7 @@
         ));
     }
 
-    /// Answers well, and says how long work takes there now, in parts of 100.
+    /// Sends a successful answer that reports a slowdown in percent, where 100 is the normal speed.
     pub fn answer_with_slowdown(&mut self, slowdown: u32) {
         let id = self.header("x-id").unwrap_or_default();
         self.write(&format!(
@@ -66,20 +66,20 @@
         ));
     }
 
-    /// Says that the request was not run.
+    /// Refuses the request, and says that it was not run.
     pub fn decline(&mut self) {
         self.decline_with_header("");
     }
 
-    /// The same, and asks for a pause.
+    /// Refuses the request like [`Exchange::decline`], and asks for a pause.
     pub fn decline_with_pause(&mut self, pause: Duration) {
         self.decline_with_header(&format!("x-pause-ms: {}\r\n", pause.as_millis()));
     }
 
-    fn decline_with_header(&mut self, line: &str) {
+    fn decline_with_header(&mut self, header: &str) {
         let id = self.header("x-id").unwrap_or_default();
         self.write(&format!(
-            "HTTP/1.1 503 X\r\nx-id: {id}\r\nx-not-run: 1\r\n{line}content-length: 0\r\n\r\n"
+            "HTTP/1.1 503 X\r\nx-id: {id}\r\nx-not-run: 1\r\n{header}content-length: 0\r\n\r\n"
         ));
     }
 
@@ -88,20 +88,20 @@
         self.begin_stream_with_header("");
     }
 
-    /// Begins a stream, and says that the endpoint leaves.
+    /// Begins a stream with the header that says that the endpoint is leaving.
     pub fn begin_leaving_stream(&mut self) {
         self.begin_stream_with_header("x-leaving: 1\r\n");
     }
 
-    fn begin_stream_with_header(&mut self, line: &str) {
+    fn begin_stream_with_header(&mut self, header: &str) {
         let id = self.header("x-id").unwrap_or_default();
         self.write(&format!(
             "HTTP/1.1 200 OK\r\nx-id: {id}\r\nx-signature: s\r\ncontent-type: text/event-stream\r\n\
-             {line}transfer-encoding: chunked\r\n\r\n"
+             {header}transfer-encoding: chunked\r\n\r\n"
         ));
     }
 
-    /// Sends one event.
+    /// Sends the event with this id.
     pub fn event(&mut self, number: u64) {
         let event = format!("id: {number}\ndata: e{number}\n\n");
         self.chunk(&event);
@@ -112,17 +112,16 @@
         self.write(&format!("{:x}\r\n{text}\r\n", text.len()));
     }
 
-    /// Ends a stream whole.
+    /// Sends the last chunk, which marks the stream as complete.
     pub fn end_stream(&mut self) {
         self.write("0\r\n\r\n");
     }
 
-    /// The connection.
     pub fn stream(&self) -> &TcpStream {
         &self.stream
     }
 
-    /// Closes the connection.
+    /// Closes the connection in both directions.
     pub fn close(&mut self) {
         let _ = self.stream.shutdown(Shutdown::Both);
     }
@@ -134,7 +133,7 @@
     }
 }
 
-/// A running endpoint.
+/// A running fake endpoint that records the heads of its requests.
 #[derive(Clone)]
 pub struct FakeEndpoint {
     pub address: SocketAddr,
@@ -142,7 +141,7 @@
 }
 
 impl FakeEndpoint {
-    /// Serves each request with `serve`, which gets the number of the request.
+    /// Serves each request with `serve`, which gets the index of the request, counted from 0 over all connections.
     pub fn start(serve: impl Fn(usize, &mut Exchange) + Send + Sync + 'static) -> Self {
         let listener = TcpListener::bind("127.0.0.1:0").unwrap();
         let address = listener.local_addr().unwrap();
@@ -157,7 +156,7 @@
         FakeEndpoint { address, heads }
     }
 
-    /// Heads of the requests that arrived.
+    /// Heads of all requests received so far.
     pub fn heads(&self) -> Vec<String> {
         self.heads.lock().unwrap().clone()
     }
--- a/components/gateway/tests/common/log_lines.rs
+++ b/components/gateway/tests/common/log_lines.rs
@@ -1,22 +1,22 @@
-//! What a gateway logs.
+//! Collects the log lines of a gateway.
 
 use std::sync::{Arc, Mutex};
 
 use slog::{o, Drain, Logger, Never, OwnedKVList, Record};
 
-/// Messages of all lines so far, without their fields.
+/// Messages of all log lines so far, without their key-value pairs.
 #[derive(Clone, Debug, Default)]
 pub struct LogLines {
     messages: Arc<Mutex<Vec<String>>>,
 }
 
 impl LogLines {
-    /// A logger that writes here.
+    /// A logger that appends to these lines.
     pub fn logger(&self) -> Logger {
         Logger::root(self.clone(), o!())
     }
 
-    /// How many lines with this message there are.
+    /// Number of lines with exactly this message.
     pub fn count(&self, message: &str) -> usize {
         let messages = self.messages.lock().unwrap();
         messages.iter().filter(|logged| *logged == message).count()
--- a/components/gateway/tests/common/mod.rs
+++ b/components/gateway/tests/common/mod.rs
@@ -1,4 +1,4 @@
-//! A gateway between a caller, endpoints, a store and orders that the tests control.
+//! Starts a gateway with a fake store, fake orders and fake endpoints, and sends requests to it.
 
 #![allow(dead_code, unused_imports)]
 
@@ -30,19 +30,22 @@
 pub use log_lines::LogLines;
 pub use store::{FakeOrders, FakeStore};
 
-/// Longest wait for something that must come; it bounds a failing test, not a passing one.
+/// Limit of every wait. Only a failing test reaches it.
 const MAX_WAIT: Duration = Duration::from_secs(20);
 
-/// Waits until something is so.
+/// Waits until the condition holds, and panics after [`MAX_WAIT`].
 pub fn wait_until(what: &str, mut condition: impl FnMut() -> bool) {
     let started = Instant::now();
     while !condition() {
-        assert!(started.elapsed() < MAX_WAIT, "in vain for: {what}");
+        assert!(
+            started.elapsed() < MAX_WAIT,
+            "timed out waiting for: {what}"
+        );
         std::thread::sleep(Duration::from_millis(5));
     }
 }
 
-/// Heads with short names.
+/// A dialect with short header names.
 #[derive(Clone, Copy, Debug)]
 pub struct PlainDialect;
 
@@ -113,7 +116,7 @@
     }
 }
 
-/// Settings of a gateway on free ports.
+/// Settings of a gateway that listens on free ports.
 pub fn settings() -> GatewaySettings {
     let any = || "127.0.0.1:0".to_string();
     GatewaySettings {
@@ -150,7 +153,7 @@
     }
 }
 
-/// A route of host `h` to the service `s`.
+/// A route of the host `h` to the service `s`.
 pub fn route(prefix: &str, execution: Execution) -> Route {
     Route {
         name: prefix.into(),
@@ -170,7 +173,7 @@
     }
 }
 
-/// A tenant with one key.
+/// A tenant with one key and without a quota.
 pub fn tenant(name: &str, key: &str) -> Tenant {
     Tenant {
         name: name.into(),
@@ -195,7 +198,7 @@
     }
 }
 
-/// An endpoint of the service `s` as it records itself.
+/// The record of a ready endpoint of the service `s`.
 pub fn endpoint(id: &str, address: SocketAddr) -> Endpoint {
     Endpoint {
         born_ms: None,
@@ -211,7 +214,7 @@
     }
 }
 
-/// An endpoint of the service `s` with a version.
+/// The record of a ready endpoint of the service `s` that runs this version.
 pub fn endpoint_with_version(version: &str, id: &str, address: SocketAddr) -> Endpoint {
     Endpoint {
         version: version.into(),
@@ -219,7 +222,7 @@
     }
 }
 
-/// A running gateway with its surroundings.
+/// A running gateway with its fake store and fake orders. Dropping it stops the gateway.
 pub struct Setup {
     pub gateway: Gateway,
     pub store: FakeStore,
@@ -252,7 +255,7 @@
             clock,
             log,
         });
-        let gateway = gateway.expect("the gateway starts");
+        let gateway = gateway.expect("gateway failed to start");
         Setup {
             gateway,
             store,
@@ -260,7 +263,7 @@
         }
     }
 
-    /// Starts a gateway with a configuration and endpoints, and waits until it is ready.
+    /// Starts a gateway with this configuration and these endpoints, and waits until it is ready.
     pub fn serving(configuration: Configuration, endpoints: Vec<Endpoint>) -> Self {
         Self::serving_with(settings(), configuration, endpoints)
     }
@@ -297,7 +300,7 @@
         self.gateway.signals().stop.store(true, Ordering::Relaxed);
     }
 
-    /// Sends a request with further header lines, and reads the whole answer.
+    /// Sends a request with additional header lines, and reads its answer.
     pub fn call(&self, path: &str, headers: &[&str]) -> Answer {
         send(self.address(), &request_text(path, headers))
     }
@@ -309,7 +312,7 @@
     }
 }
 
-/// A request with an id, as it goes over the wire.
+/// Text of a request; its id is 1 unless the header lines contain one.
 pub fn request_text(path: &str, headers: &[&str]) -> String {
     let mut head = format!("GET {path} HTTP/1.1\r\nhost: h\r\nconnection: close\r\n");
     if !headers.iter().any(|line| line.starts_with("x-id")) {
@@ -321,13 +324,13 @@
     head + "\r\n"
 }
 
-/// An answer as a caller sees it.
+/// An answer as a caller receives it.
 #[derive(Clone, Debug)]
 pub struct Answer {
     pub status: u16,
     pub head: String,
     pub body: String,
-    /// Whether its end was marked, by its length or by the last chunk.
+    /// Whether the body arrived in full, by `content-length` or the last chunk.
     pub is_complete: bool,
 }
 
@@ -341,9 +344,9 @@
     }
 }
 
-/// Opens a connection and sends bytes.
+/// Opens a connection and sends the request.
 pub fn open(address: SocketAddr, request: &str) -> TcpStream {
-    let mut stream = TcpStream::connect(address).expect("the gateway listens");
+    let mut stream = TcpStream::connect(address).expect("failed to connect to the gateway");
     stream.set_read_timeout(Some(MAX_WAIT)).unwrap();
     stream.write_all(request.as_bytes()).unwrap();
     stream
@@ -361,7 +364,7 @@
     parse_answer(&bytes)
 }
 
-/// An answer from all bytes that a connection brought.
+/// Parses all bytes received on a connection.
 pub fn parse_answer(bytes: &[u8]) -> Answer {
     let text = String::from_utf8_lossy(bytes).into_owned();
     let (head, rest) = text.split_once("\r\n\r\n").unwrap_or((&text, ""));
--- a/components/gateway/tests/common/slow_io.rs
+++ b/components/gateway/tests/common/slow_io.rs
@@ -1,4 +1,4 @@
-//! Callers and endpoints that read slowly, behind windows of a few KB.
+//! Callers and fake endpoints that read slowly, with socket buffers of a few KB.
 
 use std::io::{Read, Write};
 use std::net::{SocketAddr, TcpStream};
@@ -9,13 +9,13 @@
 use super::endpoint::Exchange;
 use super::{parse_answer, Answer, MAX_WAIT};
 
-/// Size of the buffers of a slow side, in bytes; the kernel doubles it.
+/// Requested size of the socket buffers of a slow peer. The kernel doubles it.
 const SOCKET_BUFFER_BYTES: usize = 4 << 10;
 
-/// Bytes that a stand-in writes at once; it makes no more of an answer at a time.
+/// Largest part of a body that a fake endpoint generates and writes at once.
 const CHUNK_BYTES: usize = 16 << 10;
 
-/// Opens a connection with a small window and sends bytes.
+/// Opens a connection with small socket buffers and sends the request.
 pub fn open_with_small_buffers(address: SocketAddr, request: &[u8]) -> TcpStream {
     let socket = Socket::new(Domain::IPV4, Type::STREAM, Some(Protocol::TCP)).unwrap();
     socket.set_recv_buffer_size(SOCKET_BUFFER_BYTES).unwrap();
@@ -27,10 +27,10 @@
     stream
 }
 
-/// Reads an answer in small pieces with a pause after each, until the connection closes.
-pub fn read_slowly(stream: &mut TcpStream, chunk: usize, pause: Duration) -> Answer {
+/// Reads an answer with a buffer of `buffer_bytes` and a pause after each read, until the connection closes.
+pub fn read_slowly(stream: &mut TcpStream, buffer_bytes: usize, pause: Duration) -> Answer {
     let mut bytes = Vec::new();
-    let mut buffer = vec![0; chunk];
+    let mut buffer = vec![0; buffer_bytes];
     while let Ok(read @ 1..) = stream.read(&mut buffer) {
         bytes.extend_from_slice(&buffer[..read]);
         std::thread::sleep(pause);
@@ -39,25 +39,26 @@
 }
 
 impl Exchange {
-    /// Gives this end small buffers.
+    /// Sets a small send buffer on the connection.
     pub fn shrink_send_buffer(&self) {
         let socket = SockRef::from(self.stream());
         socket.set_send_buffer_size(SOCKET_BUFFER_BYTES).unwrap();
     }
 
-    /// Writes a stream of events of so many bytes each, and cuts it off once nothing is read for `timeout`. Says whether
-    /// all was written.
+    /// Writes a stream of events with `bytes` of data each, and closes the connection if a write makes no progress for
+    /// `timeout`. Returns whether everything was written.
     pub fn stream_with_timeout(&mut self, events: u64, bytes: usize, timeout: Duration) -> bool {
         self.shrink_send_buffer();
         self.begin_stream();
-        let filling = "x".repeat(bytes);
+        let data = "x".repeat(bytes);
         (1..=events).all(|n| {
-            let event = format!("id: {n}\ndata: {filling}\n\n");
+            let event = format!("id: {n}\ndata: {data}\n\n");
             self.write_with_timeout(&format!("{:x}\r\n{event}\r\n", event.len()), timeout)
         }) && self.write_with_timeout("0\r\n\r\n", timeout)
     }
 
-    /// Answers with a body, and cuts it off once nothing is read for `timeout`. Says whether all was written.
+    /// Answers with a body of `bytes`, and closes the connection if a write makes no progress for `timeout`. Returns whether
+    /// everything was written.
     pub fn answer_with_timeout(&mut self, bytes: usize, timeout: Duration) -> bool {
         self.shrink_send_buffer();
         let id = self.header("x-id").unwrap_or_default();
@@ -72,11 +73,11 @@
             })
     }
 
-    /// Reads the body of its request in pieces of so many bytes with a pause after each. Returns how many came.
-    pub fn read_body_slowly(&mut self, chunk: usize, pause: Duration) -> usize {
+    /// Reads the request body with a buffer of `buffer_bytes` and a pause after each read. Returns the bytes read.
+    pub fn read_body_slowly(&mut self, buffer_bytes: usize, pause: Duration) -> usize {
         let length = self.header("content-length").and_then(|n| n.parse().ok());
         let length: usize = length.unwrap_or(0);
-        let mut buffer = vec![0; chunk];
+        let mut buffer = vec![0; buffer_bytes];
         let mut read = 0;
         while read < length {
             match self.stream().read(&mut buffer) {
--- a/components/gateway/tests/common/store.rs
+++ b/components/gateway/tests/common/store.rs
@@ -1,4 +1,4 @@
-//! A store in memory that can be cut off, and orders that are only noted.
+//! A fake store in memory whose calls can fail, hang or take long, and fake orders that only record what they get.
 
 use std::collections::BTreeMap;
 use std::sync::atomic::{AtomicBool, AtomicU64, AtomicUsize, Ordering};
@@ -16,9 +16,9 @@
 use schema::messages::{GatewayRow, LeaseRow};
 use usage::Report;
 
-/// Beginning of the keys of orders.
+/// Key prefix of roll-out orders.
 const ROLLOUT_PREFIX: &str = "rollout/";
-/// Pause between looks at whether a held call has its answer.
+/// Interval at which a waiting call checks whether it can return.
 const POLL_INTERVAL: Duration = Duration::from_millis(2);
 
 #[derive(Default)]
@@ -31,19 +31,19 @@
     // Incremented by each restore.
     era: u64,
     snapshot: Option<Snapshot>,
-    // Another gateway renews the lease before each look at it.
+    // Whether the lease is renewed by another gateway before each call for its row.
     is_lease_renewed_by_other: bool,
     lease_calls: u64,
 }
 
-// State that a restore brings back.
+// State that a restore reinstates.
 #[derive(Clone)]
 struct Snapshot {
     rows: BTreeMap<(Topic, String), Row>,
     revision: u64,
 }
 
-/// The store as one gateway sees it.
+/// The store as one gateway sees it: gateways share the rows, and each has faults and counts of its own.
 #[derive(Clone)]
 pub struct FakeStore {
     state: Arc<Mutex<State>>,
@@ -81,7 +81,7 @@
         write_index(&mut state, Topic::Configuration, "newest", Some(index));
     }
 
-    /// The same, in a row of so many bytes more that name the same fields over and over.
+    /// Writes a configuration in a row padded to at least `bytes` with repetitive text, which compresses well.
     pub fn put_long_configuration(&self, configuration: Configuration, bytes: usize) {
         let mut state = self.state.lock().unwrap();
         let index = state.configurations.len();
@@ -104,7 +104,7 @@
         write_index(&mut state, Topic::Endpoints, &id, Some(index));
     }
 
-    /// Orders a version of the service `s`.
+    /// Orders the roll-out of a version of the service `s` within a time.
     pub fn put_order(&self, version: &str, time: Duration) {
         let mut state = self.state.lock().unwrap();
         let value = format!("{version} {}", time.as_millis());
@@ -117,7 +117,7 @@
         );
     }
 
-    /// What the operator reads of the order for the service `s`.
+    /// Status row of the roll-out of the service `s`, as the operator reads it.
     pub fn rollout_status(&self) -> Option<String> {
         let row = self.row(Topic::RolloutStatus, "s")?;
         String::from_utf8(row.value?).ok()
@@ -127,7 +127,7 @@
         write_index(&mut self.state.lock().unwrap(), Topic::Endpoints, id, None);
     }
 
-    /// The same store as another gateway sees it.
+    /// The same store for another gateway, without any of the faults of this one.
     pub fn for_other_gateway(&self) -> Self {
         FakeStore {
             is_refusing: Arc::default(),
@@ -141,22 +141,22 @@
         }
     }
 
-    /// Refuses every call of this gateway from now on, or no more.
+    /// Sets whether calls of this gateway are refused.
     pub fn refuse(&self, is_refusing: bool) {
         self.is_refusing.store(is_refusing, Ordering::Relaxed);
     }
 
-    /// Answers no call about rows of this gateway from now on.
+    /// From now on, calls of this gateway for pages or changes never return.
     pub fn stop_responding(&self) {
         self.is_unresponsive.store(true, Ordering::Relaxed);
     }
 
-    /// Changes that it answers this gateway with from now on lie on the way, or no more.
+    /// Sets whether answers with changes are made but not delivered to this gateway.
     pub fn hold_answers(&self, holds: bool) {
         self.holds_answers.store(holds, Ordering::Relaxed);
     }
 
-    /// Answers that lay on the way so far.
+    /// Number of answers that were held back so far.
     pub fn answers_held(&self) -> usize {
         self.answers_held.load(Ordering::Relaxed)
     }
@@ -170,7 +170,7 @@
         }
     }
 
-    /// From now on calls of this gateway for rows take so long: the store lies in another region, or is slow.
+    /// Sets the duration of calls of this gateway for pages and changes, as for a store that is slow or in another region.
     pub fn set_call_time(&self, time: Duration) {
         let ms = time.as_millis() as u64;
         self.call_ms.store(ms, Ordering::Relaxed);
@@ -186,7 +186,7 @@
         }
     }
 
-    /// Forgets the changes made so far; the rows stay.
+    /// Compacts the history of changes made so far; the rows stay.
     pub fn compact_history(&self) {
         let mut state = self.state.lock().unwrap();
         state.revision += 1;
@@ -223,30 +223,30 @@
         state.rows.get(&(topic, key.to_string())).cloned()
     }
 
-    /// From now on another gateway renews the lease before each look at it.
+    /// From now on, another gateway renews the lease before each call for its row.
     pub fn renew_lease_for_other_gateway(&self) {
         self.state.lock().unwrap().is_lease_renewed_by_other = true;
     }
 
-    /// Looks at the lease so far.
+    /// Number of reads and writes of the lease so far.
     pub fn lease_calls(&self) -> u64 {
         self.state.lock().unwrap().lease_calls
     }
 
-    /// Calls of this gateway that asked for rows of a topic.
+    /// Number of calls of this gateway that read rows of a topic.
     pub fn call_count(&self, topic: Topic) -> u64 {
         let call_counts = self.call_counts.lock().unwrap();
         call_counts.get(&topic).copied().unwrap_or_default()
     }
 
-    /// Writes the row of a gateway that does not run.
+    /// Writes the row of a gateway that is not running.
     pub fn put_gateway(&self, name: &str, row: &GatewayRow) {
         let mut state = self.state.lock().unwrap();
         let value = schema::encode(row).unwrap();
         write_row(&mut state, Topic::Gateways, name, Some(value));
     }
 
-    /// Writes a row as it is.
+    /// Writes a row with this value, valid or not.
     pub fn put_row(&self, topic: Topic, key: &str, value: Vec<u8>) {
         write_row(&mut self.state.lock().unwrap(), topic, key, Some(value));
     }
@@ -295,7 +295,7 @@
     state.revision
 }
 
-// Answers report rows in the current era, whatever the era in which they were written.
+// Answers give rows the current era, not the one in which they were written.
 fn with_era(row: &Row, era: u64) -> Row {
     Row {
         revision: Revision::new(era, row.revision.number),
@@ -416,7 +416,7 @@
     }
 
     fn configuration(&self, value: &[u8]) -> Result<Configuration, RowFault> {
-        // What follows makes a row long.
+        // The bytes after the index are padding.
         let index = value.get(..8).unwrap_or_default();
         let index = decode_index(index)?;
         Ok(self.state.lock().unwrap().configurations[index].clone())
@@ -455,12 +455,12 @@
     }
 }
 
-/// Orders and reports as they came.
+/// Records the orders and reports it receives.
 #[derive(Clone, Default)]
 pub struct FakeOrders {
     pub reports: Arc<Mutex<Vec<(DutyHolder, Report)>>>,
     pub orders: Arc<Mutex<Vec<(DutyHolder, ScalingOrder)>>>,
-    /// Replies to the next reports; `Done` once there are none.
+    /// Replies to the next reports, the last one first; `Done` once there are none.
     pub replies: Arc<Mutex<Vec<OrderReply>>>,
 }
 
