--- a/components/gateway/tests/cold_start.rs
+++ b/components/gateway/tests/cold_start.rs
@@ -1,8 +1,8 @@
-//! A whole fleet that starts at once: what a gateway asks the store, and what it tells its callers meanwhile.
+//! Start of all gateways at once: calls to the store, and answers to callers until the coordinators are ready.
 //!
-//! Of hundreds of gateways that started together each wrote into one part of the store, read the list of all of them, took
-//! itself for a coordinator, looked at the lease and held calls; and those whose coordinators were still reading the
-//! endpoints read these too, or refused requests with their own small part of a limit.
+//! Guards against overload of the store: when hundreds of gateways started together, each of them wrote into one part of the
+//! store, read the list of all gateways, took itself for a coordinator, read the lease and kept long polls open. Gateways
+//! whose coordinators were still reading the endpoints read them too, or refused requests by their own small part of a limit.
 
 mod common;
 
@@ -21,26 +21,29 @@
 use schema::settings::GatewaySettings;
 
 const MAX_DATAGRAM: usize = 8192;
-/// Within this time a gateway has looked several times at whether a holder of the lease is missed.
-const FIRST_LOOKS: Duration = Duration::from_millis(400);
+/// Time in which a gateway checks several times whether the lease has a holder.
+const LEASE_CHECKS_TIME: Duration = Duration::from_millis(400);
 
-/// A coordinator that has just begun until it is told that it knows the endpoints.
-struct Coordinator {
+/// A fake coordinator that answers as one that has just started until `knows_endpoints` is set.
+struct FakeCoordinator {
     port: u16,
-    knows: Arc<AtomicBool>,
+    knows_endpoints: Arc<AtomicBool>,
 }
 
-impl Coordinator {
+impl FakeCoordinator {
     fn start(endpoint: Endpoint) -> Self {
         let socket = UdpSocket::bind("127.0.0.1:0").unwrap();
         let port = socket.local_addr().unwrap().port();
-        let knows = Arc::new(AtomicBool::new(false));
-        let seen = Arc::clone(&knows);
-        thread::spawn(move || serve(&socket, &endpoint, &seen));
-        Coordinator { port, knows }
+        let knows_endpoints = Arc::new(AtomicBool::new(false));
+        let flag = Arc::clone(&knows_endpoints);
+        thread::spawn(move || serve(&socket, &endpoint, &flag));
+        FakeCoordinator {
+            port,
+            knows_endpoints,
+        }
     }
 
-    /// Rows of three large gateways of the hall that decide at its port.
+    /// Writes the rows of three large gateways of the hall that decide at this port.
     fn list(&self, store: &FakeStore) {
         for (i, name) in ["c1", "c2", "c3"].into_iter().enumerate() {
             let row = GatewayRow {
@@ -55,14 +58,14 @@
     }
 }
 
-fn serve(socket: &UdpSocket, endpoint: &Endpoint, knows: &AtomicBool) {
+fn serve(socket: &UdpSocket, endpoint: &Endpoint, knows_endpoints: &AtomicBool) {
     let mut buffer = [0; MAX_DATAGRAM];
     while let Ok((length, from)) = socket.recv_from(&mut buffer) {
         let message: Decision = schema::decode(&buffer[..length]).unwrap();
         let Some(query) = message.query else {
             continue;
         };
-        let reply = match knows.load(Ordering::SeqCst) {
+        let reply = match knows_endpoints.load(Ordering::SeqCst) {
             true => placed(&query, endpoint),
             false => DecisionReply::new(query.number, None, None, None, Some(true)),
         };
@@ -95,13 +98,13 @@
     DecisionReply::new(query.number, None, Some(placed), None, None)
 }
 
-/// One small gateway of a hall among two, whose coordinators have just begun.
-fn start(fake: &FakeEndpoint) -> (Setup, Coordinator) {
+/// Starts a small gateway in one of two halls, whose coordinators have just started.
+fn start(fake: &FakeEndpoint) -> (Setup, FakeCoordinator) {
     let store = FakeStore::default();
     let endpoint = endpoint("e1", fake.address);
     store.put_configuration(configuration(1, vec![route("/a/", Execution::Repeatable)]));
     store.put_endpoint(endpoint.clone());
-    let coordinator = Coordinator::start(endpoint);
+    let coordinator = FakeCoordinator::start(endpoint);
     coordinator.list(&store);
     let halls = ["z1", "z2"].map(|hall| (hall.to_string(), "r".to_string()));
     let settings = GatewaySettings {
@@ -117,7 +120,7 @@
 }
 
 #[test]
-fn while_coordinators_begin_a_request_is_refused_with_the_time_to_come_back_and_served_then() {
+fn requests_are_refused_with_retry_after_while_coordinators_start_and_served_afterwards() {
     let fake = FakeEndpoint::start(|_, e| e.answer(200, "x"));
     let (asking, coordinator) = start(&fake);
     let refused = asking.call("/a/1", &[]);
@@ -125,22 +128,22 @@
     assert!(refused.header("retry-after").is_some(), "{refused:?}");
     assert!(refused.body.contains("have just begun"), "{refused:?}");
     assert!(fake.heads().is_empty());
-    coordinator.knows.store(true, Ordering::SeqCst);
+    coordinator.knows_endpoints.store(true, Ordering::SeqCst);
     assert_eq!(asking.call("/a/1", &[]).status, 200);
 }
 
 #[test]
-fn a_gateway_that_asks_calls_the_store_for_its_hall_and_the_configuration_only() {
+fn a_gateway_that_asks_coordinators_reads_only_its_hall_and_the_configuration_from_the_store() {
     let fake = FakeEndpoint::start(|_, e| e.answer(200, "x"));
     let (asking, coordinator) = start(&fake);
-    coordinator.knows.store(true, Ordering::SeqCst);
+    coordinator.knows_endpoints.store(true, Ordering::SeqCst);
     let started = Instant::now();
-    while started.elapsed() < FIRST_LOOKS {
+    while started.elapsed() < LEASE_CHECKS_TIME {
         assert_eq!(asking.call("/a/1", &[]).status, 200);
     }
-    let asks = |topic| asking.store.call_count(topic);
-    assert_eq!(asks(Topic::Gateways), 1, "its own hall's list");
-    assert_eq!(asks(Topic::Configuration), 1);
-    assert_eq!(asks(Topic::Lease), 0);
-    assert_eq!(asks(Topic::Endpoints), 0);
+    let call_count = |topic| asking.store.call_count(topic);
+    assert_eq!(call_count(Topic::Gateways), 1, "the list of its own hall");
+    assert_eq!(call_count(Topic::Configuration), 1);
+    assert_eq!(call_count(Topic::Lease), 0);
+    assert_eq!(call_count(Topic::Endpoints), 0);
 }
--- a/components/gateway/tests/common/mod.rs
+++ b/components/gateway/tests/common/mod.rs
@@ -62,7 +62,7 @@
         let fields = &head.headers;
         let tokens = number(fields, "x-tokens").map(|tokens| (tokens as u32, 0));
         Ok(CallerHead {
-            id: text(fields, "x-id").ok_or(HeadFault("no id"))?,
+            id: text(fields, "x-id").ok_or(HeadFault("x-id is missing"))?,
             deadline: number(fields, "x-deadline").map(Duration::from_millis),
             key: text(fields, "x-key"),
             tokens,
@@ -99,7 +99,7 @@
                 queued: 0,
                 slowdown: number(fields, "x-slowdown").map(|percent| {
                     let slowdown = Slowdown::from_percent(percent as u32);
-                    slowdown.ok_or(HeadFault("no slowdown"))
+                    slowdown.ok_or(HeadFault("x-slowdown is invalid"))
                 }),
             }),
             keep_alive: None,
@@ -109,7 +109,10 @@
                 None => LimitSaid::NoLimit,
                 Some(text) => {
                     let rate = text.parse().ok().and_then(SendRate::from_per_s);
-                    rate.map_or(LimitSaid::Fault(HeadFault("no rate")), LimitSaid::Limit)
+                    rate.map_or(
+                        LimitSaid::Fault(HeadFault("x-limit is not a rate")),
+                        LimitSaid::Limit,
+                    )
                 }
             },
         }
--- a/components/gateway/tests/common/store.rs
+++ b/components/gateway/tests/common/store.rs
@@ -325,7 +325,9 @@
 }
 
 fn decode_index(value: &[u8]) -> Result<usize, RowFault> {
-    let bytes = value.try_into().map_err(|_| RowFault("length".into()))?;
+    let bytes = value
+        .try_into()
+        .map_err(|_| RowFault("index is not 8 bytes".into()))?;
     Ok(u64::from_le_bytes(bytes) as usize)
 }
 
@@ -436,7 +438,7 @@
     }
 
     fn rollout_order(&self, value: &[u8], revision: u64) -> Result<Order, RowFault> {
-        let fault = || RowFault("order".into());
+        let fault = || RowFault("invalid order".into());
         let text = std::str::from_utf8(value).map_err(|_| fault())?;
         let (version, ms) = text.split_once(' ').ok_or_else(fault)?;
         Ok(Order {
--- a/components/gateway/tests/coordinator_loss.rs
+++ b/components/gateway/tests/coordinator_loss.rs
@@ -1,4 +1,4 @@
-//! For how long coordinators have left requests undecided.
+//! Detects the loss of all coordinators from requests that none of them decided.
 
 use std::time::Duration;
 
@@ -9,7 +9,7 @@
 }
 
 #[test]
-fn coordinators_that_decide_now_and_then_are_slow_and_not_lost() {
+fn a_decision_of_a_coordinator_resets_the_undecided_time() {
     let alone = Alone::default();
     alone.decided(s(1));
     alone.undecided(s(2));
@@ -22,7 +22,7 @@
 }
 
 #[test]
-fn a_gateway_without_requests_has_lost_nobody() {
+fn a_gateway_without_requests_does_not_count_as_alone() {
     let alone = Alone::default();
     assert_eq!(alone.undecided_for(s(60)), Duration::ZERO);
     assert!(!alone.is_alone(s(60)));
--- a/components/gateway/tests/coordinator_order.rs
+++ b/components/gateway/tests/coordinator_order.rs
@@ -1,4 +1,4 @@
-//! Whom a gateway asks among halls of several regions.
+//! The order in which a gateway asks coordinators of several halls and regions.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -24,7 +24,7 @@
 }
 
 #[test]
-fn after_its_own_hall_a_gateway_asks_its_region_and_then_others() {
+fn a_gateway_asks_its_own_hall_then_its_region_then_other_regions() {
     let halls = ["a1", "a2", "a3", "b1", "b2"];
     let regions = halls.map(|hall| (hall.to_string(), hall[..1].to_string()));
     let mut orders = Vec::new();
@@ -41,12 +41,16 @@
             halls[hall.unwrap()]
         };
         let asked: Vec<&str> = fleet.others.iter().map(hall_of).collect();
-        assert_eq!(asked[..3], ["a1"; 3], "listed and not heard yet: {asked:?}");
+        assert_eq!(
+            asked[..3],
+            ["a1"; 3],
+            "listed without any message received yet: {asked:?}"
+        );
         assert!(asked[3..5].iter().all(|hall| ["a2", "a3"].contains(hall)));
         assert!(asked[5..].iter().all(|hall| hall.starts_with('b')));
         assert_eq!(fleet.far, fleet.others[5..]);
         orders.push(asked);
     }
     orders.dedup();
-    assert!(orders.len() > 1, "gateways differ in whom they ask first");
+    assert!(orders.len() > 1, "all gateways ask in the same order");
 }
--- a/components/gateway/tests/deflated.rs
+++ b/components/gateway/tests/deflated.rs
@@ -1,4 +1,4 @@
-//! Rows that gateways pass on to each other, deflated.
+//! Compression of rows that gateways forward to each other.
 
 use gateway::{inflate, Encoded, LastDeflated};
 use schema::messages::{RowChange, RowsReply};
@@ -20,22 +20,22 @@
 }
 
 #[test]
-fn rows_that_name_the_same_fields_shrink_to_a_third() {
-    let whole = schema::encode(&reply(1_000, 9)).unwrap().len();
+fn rows_with_the_same_fields_shrink_below_a_third() {
+    let uncompressed = schema::encode(&reply(1_000, 9)).unwrap().len();
     let sent = LastDeflated::default().reply(reply(1_000, 9)).unwrap();
-    assert!(sent.is_deflated && sent.bytes.len() * 3 < whole);
+    assert!(sent.is_deflated && sent.bytes.len() * 3 < uncompressed);
     assert_eq!(read(&sent), reply(1_000, 9));
 }
 
 #[test]
-fn a_short_reply_is_sent_as_it_is() {
+fn a_short_reply_is_sent_uncompressed() {
     let sent = LastDeflated::default().reply(reply(3, 9)).unwrap();
     assert!(!sent.is_deflated);
     assert_eq!(read(&sent), reply(3, 9));
 }
 
 #[test]
-fn the_same_rows_are_not_deflated_again_and_other_rows_are() {
+fn a_reply_with_the_same_rows_reuses_the_compressed_bytes_and_one_with_other_rows_does_not() {
     let mut last = LastDeflated::default();
     let first = last.reply(reply(1_000, 9)).unwrap();
     assert_eq!(last.reply(reply(1_000, 12)).unwrap(), first);
@@ -44,7 +44,7 @@
 }
 
 #[test]
-fn what_is_known_for_less_long_is_never_said_to_be_known_for_longer() {
+fn a_reply_with_a_lower_known_to_does_not_reuse_a_higher_one() {
     let mut last = LastDeflated::default();
     last.reply(reply(1_000, 12));
     let sent = last.reply(reply(1_000, 9)).unwrap();
@@ -52,6 +52,6 @@
 }
 
 #[test]
-fn bytes_that_are_not_deflated_are_no_reply() {
+fn inflate_rejects_bytes_that_are_not_deflated() {
     assert_eq!(inflate(b"nothing of the kind"), None);
 }
--- a/components/gateway/tests/duties.rs
+++ b/components/gateway/tests/duties.rs
@@ -1,4 +1,4 @@
-//! Duties of the lease's holder.
+//! Duties of the gateway that holds the lease: usage reports and orders of endpoints.
 
 mod common;
 
@@ -11,7 +11,7 @@
 use gateway::ports::{OrderReply, Topic};
 use schema::messages::UsageRow;
 
-fn reporting() -> Setup {
+fn start_reporting() -> Setup {
     let fake = FakeEndpoint::start(|_, exchange| exchange.answer(200, ""));
     let mut with_tenant = configuration(1, vec![route("/a/", Execution::Once)]);
     with_tenant.tenants = vec![tenant("t", "k")];
@@ -22,17 +22,17 @@
 }
 
 #[test]
-fn what_is_reported_for_a_window_is_what_its_row_says_however_often_it_is_sent() {
-    let setup = reporting();
+fn every_report_of_a_window_has_the_counts_of_its_stored_row() {
+    let setup = start_reporting();
     *setup.orders.replies.lock().unwrap() = vec![OrderReply::Unanswered; 3];
     assert_eq!(setup.call("/a/", &["x-key: k"]).status, 200);
-    let counted = |setup: &Setup| {
+    let has_count = |setup: &Setup| {
         let reports = setup.orders.reports.lock().unwrap();
         reports
             .iter()
             .any(|(_, report)| report.counts.get("t") == Some(&1))
     };
-    wait_until("the report", || counted(&setup));
+    wait_until("the report", || has_count(&setup));
     let mut reported: BTreeMap<i64, BTreeMap<String, i64>> = BTreeMap::new();
     for (holder, report) in setup.orders.reports.lock().unwrap().iter() {
         assert!(holder.fence > 0);
@@ -50,20 +50,22 @@
 
 #[test]
 fn nothing_is_reported_while_another_gateway_renews_the_lease() {
-    let setup = reporting();
+    let setup = start_reporting();
     setup.store.renew_lease_for_other_gateway();
     let before = setup.store.lease_calls();
-    wait_until("looks at the lease", || {
+    wait_until("calls for the lease", || {
         setup.store.lease_calls() > before + 3
     });
     let reported = setup.orders.reports.lock().unwrap().len();
-    let looked = setup.store.lease_calls();
-    wait_until("more looks", || setup.store.lease_calls() > looked + 2);
+    let calls = setup.store.lease_calls();
+    wait_until("more calls for the lease", || {
+        setup.store.lease_calls() > calls + 2
+    });
     assert_eq!(setup.orders.reports.lock().unwrap().len(), reported);
 }
 
-/// A gateway that orders endpoints in two data halls: four are found in the first and dearer one.
-fn ordering(regions: [&str; 2]) -> Setup {
+/// Starts a gateway that orders endpoints in two data halls. The first hall, which is more expensive, has four endpoints.
+fn start_ordering(regions: [&str; 2]) -> Setup {
     let fake = FakeEndpoint::start(|_, exchange| exchange.answer(200, ""));
     let mut scaled = configuration(1, vec![route("/a/", Execution::Once)]);
     scaled.services.get_mut("s").unwrap().scaling = Some(Scaling {
@@ -77,11 +79,11 @@
     settings.orders_endpoints = true;
     let halls = ["z1", "z2"].into_iter().zip(regions);
     settings.halls = halls.map(|(h, r)| (h.to_string(), r.to_string())).collect();
-    let found = (0..4).map(|i| Endpoint {
+    let endpoints = (0..4).map(|i| Endpoint {
         slots: 8,
         ..endpoint(&format!("e{i}"), fake.address)
     });
-    Setup::serving_with(settings, scaled, found.collect())
+    Setup::serving_with(settings, scaled, endpoints.collect())
 }
 
 fn orders_until_second_hall_has_one(setup: &Setup) -> Vec<ScalingOrder> {
@@ -96,9 +98,15 @@
 }
 
 #[test]
-fn what_one_region_needs_is_not_given_back_for_an_endpoint_of_another() {
-    let one = orders_until_second_hall_has_one(&ordering(["r", "r"]));
-    assert!(one.iter().any(|o| o.hall == "z1" && o.count < 4), "{one:?}");
-    let two = orders_until_second_hall_has_one(&ordering(["r", "q"]));
-    assert!(two.iter().all(|o| o.hall == "z2"), "{two:?}");
+fn endpoints_of_one_region_are_not_released_for_cheaper_ones_of_another_region() {
+    let same_region = orders_until_second_hall_has_one(&start_ordering(["r", "r"]));
+    assert!(
+        same_region.iter().any(|o| o.hall == "z1" && o.count < 4),
+        "{same_region:?}"
+    );
+    let two_regions = orders_until_second_hall_has_one(&start_ordering(["r", "q"]));
+    assert!(
+        two_regions.iter().all(|o| o.hall == "z2"),
+        "{two_regions:?}"
+    );
 }
--- a/components/gateway/tests/echoes.rs
+++ b/components/gateway/tests/echoes.rs
@@ -1,4 +1,4 @@
-//! What echoes of messages show of the way between gateways.
+//! Round-trip times between coordinators, measured by echoes of message times.
 
 use std::time::Duration;
 
@@ -9,21 +9,21 @@
 }
 
 #[test]
-fn an_echo_shows_the_way_without_the_time_that_it_was_held() {
+fn the_round_trip_excludes_the_time_for_which_an_echo_was_held() {
     let mut other = Echoes::default();
-    // Sent at 5 s on the sender's clock; the other process has run for an hour.
+    // The message was sent at 5 s on the sender's clock; the receiver has run for an hour.
     other.receive(ms(3_600_000), "g1", 5_000);
     let echo = other.next(ms(3_600_400)).unwrap();
     assert_eq!(round_trip(ms(5_461), "g1", &echo), Some(ms(61)));
     assert_eq!(
         round_trip(ms(5_461), "g2", &echo),
         None,
-        "another's message"
+        "echo of another gateway's message"
     );
 }
 
 #[test]
-fn each_coordinator_has_its_turn() {
+fn coordinators_are_echoed_in_turn() {
     let mut echoes = Echoes::default();
     for name in ["g1", "g2", "g3"] {
         echoes.receive(ms(0), name, 1);
@@ -38,14 +38,14 @@
 }
 
 #[test]
-fn what_came_long_ago_is_not_echoed() {
+fn an_old_message_is_not_echoed() {
     let mut echoes = Echoes::default();
     echoes.receive(ms(0), "g1", 1);
     assert!(echoes.next(ms(1_600)).is_none());
 }
 
 #[test]
-fn an_echo_to_a_process_before_this_one_shows_nothing() {
+fn an_echo_of_a_message_of_an_earlier_process_gives_no_round_trip() {
     let mut echoes = Echoes::default();
     echoes.receive(ms(0), "g1", 900_000);
     let echo = echoes.next(ms(10)).unwrap();
@@ -53,7 +53,7 @@
 }
 
 #[test]
-fn an_echo_from_behind_a_full_link_shows_a_long_way() {
+fn a_long_round_trip_counts_as_two_seconds() {
     let mut echoes = Echoes::default();
     echoes.receive(ms(0), "g1", 5_000);
     let echo = echoes.next(ms(10)).unwrap();
--- a/components/gateway/tests/endpoint_restarts.rs
+++ b/components/gateway/tests/endpoint_restarts.rs
@@ -1,4 +1,4 @@
-//! Endpoints that start again under their id, and entries that other writers made.
+//! Endpoints that restart under the same id, and endpoint rows that cannot be read.
 
 mod common;
 
@@ -28,15 +28,15 @@
     (setup, lines)
 }
 
-fn born(born_ms: u64, endpoint: Endpoint) -> Endpoint {
+fn started_at(born_ms: u64, endpoint: Endpoint) -> Endpoint {
     Endpoint {
         born_ms: Some(born_ms),
         ..endpoint
     }
 }
 
-/// An endpoint that begins a stream, sends one event and says nothing more.
-fn silent_after_one() -> FakeEndpoint {
+/// A fake endpoint that begins a stream, sends one event and nothing after it.
+fn silent_after_one_event() -> FakeEndpoint {
     FakeEndpoint::start(|_, exchange| {
         exchange.begin_stream();
         exchange.event(1);
@@ -45,14 +45,15 @@
 }
 
 #[test]
-fn a_stream_whose_endpoint_started_again_goes_on_although_its_connection_is_silent() {
+fn a_stream_resumes_at_another_endpoint_when_its_endpoint_restarts_without_closing_the_connection()
+{
     let store = FakeStore::default();
     let mut patient = route("/a/", Execution::Stream { resumable: true });
-    // Silence alone would be waited out.
+    // The stream waits for longer than that when only silence indicates a fault.
     patient.gap_target = Some(Duration::from_secs(5));
     store.put_configuration(configuration(1, vec![patient]));
-    let first = silent_after_one();
-    store.put_endpoint(born(1, endpoint("e1", first.address)));
+    let first = silent_after_one_event();
+    store.put_endpoint(started_at(1, endpoint("e1", first.address)));
     let (setup, _) = start(&store);
     let mut stream = open(setup.address(), &request_text("/a/1", &[]));
     wait_until("the request", || first.heads().len() == 1);
@@ -62,95 +63,97 @@
         exchange.end_stream();
     });
     store.put_endpoint(endpoint("e2", second.address));
-    // Behind a cut the old process ended without a word on its connections.
-    store.put_endpoint(born(2, endpoint("e1", first.address)));
+    // The old process ended during a network partition, so its connections were not closed.
+    store.put_endpoint(started_at(2, endpoint("e1", first.address)));
     let answer = read_answer(&mut stream);
     assert!(answer.is_complete, "{}", answer.body);
     assert!(answer.body.contains("e1") && answer.body.contains("e2"));
 }
 
 #[test]
-fn a_request_that_may_run_once_ends_truthfully_when_its_endpoint_started_again() {
+fn a_run_once_request_fails_and_is_not_sent_again_when_its_endpoint_restarts() {
     let store = store(Execution::Once);
     let silent = FakeEndpoint::start(|_, exchange| exchange.wait_closed());
-    store.put_endpoint(born(1, endpoint("e1", silent.address)));
+    store.put_endpoint(started_at(1, endpoint("e1", silent.address)));
     let (setup, _) = start(&store);
     let address = setup.address();
-    let asked = thread::spawn(move || send(address, &request_text("/a/1", &[])));
+    let caller = thread::spawn(move || send(address, &request_text("/a/1", &[])));
     wait_until("the request", || silent.heads().len() == 1);
-    store.put_endpoint(born(2, endpoint("e1", silent.address)));
-    assert_eq!(asked.join().unwrap().status, 502);
+    store.put_endpoint(started_at(2, endpoint("e1", silent.address)));
+    assert_eq!(caller.join().unwrap().status, 502);
     assert_eq!(silent.heads().len(), 1);
 }
 
 #[test]
-fn one_endpoint_that_ends_again_and_again_counts_each_time() {
+fn each_crash_of_a_restarted_endpoint_counts_towards_quarantine() {
     let store = store(Execution::Once);
     let (setup, lines) = {
         let first = CrashingEndpoint::start();
-        store.put_endpoint(born(0, endpoint("e", first.address)));
+        store.put_endpoint(started_at(0, endpoint("e", first.address)));
         start(&store)
     };
     for start in 1..=3 {
         let crashing = CrashingEndpoint::start();
-        store.put_endpoint(born(start, endpoint("e", crashing.address)));
-        wait_until("the record", || {
+        store.put_endpoint(started_at(start, endpoint("e", crashing.address)));
+        wait_until("the endpoint row", || {
             lines.count("endpoint changed") > start as usize
         });
-        wait_until("the request to reach it", || {
+        wait_until("the request to reach the endpoint", || {
             setup.call(common::crashing::POISON_PATH, &[]);
             crashing.has_stopped()
         });
     }
-    wait_until("it to be held back", || {
+    wait_until("the request to be quarantined", || {
         lines.count("request quarantined") > 0
     });
 }
 
 #[test]
-fn an_end_is_counted_also_if_the_endpoint_takes_connections_again_at_once() {
-    // It cuts off each answer and lives on, as one that is started again within a moment.
+fn a_crash_counts_also_if_the_endpoint_accepts_connections_again_at_once() {
+    // The endpoint cuts off each answer and accepts connections again, as after an immediate restart.
     let store = store(Execution::Once);
     let fake = FakeEndpoint::start(|_, exchange| exchange.close());
-    store.put_endpoint(born(0, endpoint("e", fake.address)));
+    store.put_endpoint(started_at(0, endpoint("e", fake.address)));
     let (setup, lines) = start(&store);
     for start in 1..=3 {
         assert_eq!(setup.call("/a/1", &[]).status, 502);
-        wait_until("the look", || {
+        wait_until("the log line of the cut-off answer", || {
             lines.count("endpoint cut an answer off") >= start as usize
         });
-        store.put_endpoint(born(start, endpoint("e", fake.address)));
-        wait_until("the record", || {
+        store.put_endpoint(started_at(start, endpoint("e", fake.address)));
+        wait_until("the endpoint row", || {
             lines.count("endpoint changed") > start as usize
         });
     }
-    wait_until("it to be held back", || {
+    wait_until("the request to be quarantined", || {
         lines.count("request quarantined") > 0
     });
 }
 
 #[test]
-fn an_entry_that_turns_unreadable_takes_its_endpoint_out_and_no_other() {
+fn an_endpoint_whose_row_becomes_unreadable_gets_no_new_requests_and_finishes_running_ones() {
     let store = store(Execution::Once);
     let may_answer = Arc::new(AtomicBool::new(false));
     let waits = Arc::clone(&may_answer);
     let first = FakeEndpoint::start(move |_, exchange| {
-        wait_until("leave to answer", || waits.load(Ordering::Relaxed));
+        wait_until("permission to answer", || waits.load(Ordering::Relaxed));
         exchange.answer(200, "first");
     });
     store.put_endpoint(endpoint("e1", first.address));
     let (setup, lines) = start(&store);
     let address = setup.address();
-    let asked = thread::spawn(move || send(address, &request_text(HANGING_PATH, &[])));
+    let caller = thread::spawn(move || send(address, &request_text(HANGING_PATH, &[])));
     wait_until("the request", || first.heads().len() == 1);
     let second = FakeEndpoint::start(|_, exchange| exchange.answer(200, "second"));
     store.put_endpoint(endpoint("e2", second.address));
-    store.put_row(Topic::Endpoints, "e1", b"of another writer".to_vec());
-    wait_until("the entry", || lines.count("entry passed over") == 1);
+    store.put_row(Topic::Endpoints, "e1", b"unreadable".to_vec());
+    wait_until("the log line of the skipped row", || {
+        lines.count("entry passed over") == 1
+    });
     for _ in 0..10 {
         assert_eq!(setup.call("/a/1", &[]).body, "second");
     }
     may_answer.store(true, Ordering::Relaxed);
-    assert_eq!(asked.join().unwrap().body, "first");
+    assert_eq!(caller.join().unwrap().body, "first");
     assert_eq!(first.heads().len(), 1);
 }
--- a/components/gateway/tests/listing.rs
+++ b/components/gateway/tests/listing.rs
@@ -1,4 +1,4 @@
-//! Reading a whole topic over a link that is slow.
+//! Listing a topic of the store page by page over a slow link.
 
 use std::time::Duration;
 
@@ -29,7 +29,7 @@
 }
 
 #[test]
-fn pages_follow_each_other_and_what_changed_after_the_first_is_asked_for_again() {
+fn pages_continue_after_the_last_key_and_the_list_has_the_revision_of_the_first_page() {
     let mut listing = Listing::new(Topic::Endpoints, None);
     assert_eq!(listing.query().after, None);
     assert!(!listing.take(page(&["a", "b"], 3, true)));
@@ -44,23 +44,23 @@
 }
 
 #[test]
-fn a_page_that_does_not_come_is_asked_for_smaller_later_and_with_more_patience() {
+fn a_missed_page_is_retried_with_a_lower_limit_a_longer_pause_and_no_shorter_timeout() {
     let mut listing = Listing::new(Topic::Endpoints, Some("h1"));
     listing.take(page(&["a", "b"], 3, true));
-    let (mut limit, mut patience, mut pause) =
+    let (mut limit, mut timeout, mut pause) =
         (listing.query().limit, FIRST_PATIENCE, Duration::ZERO);
     while let Some(next) = listing.missed(0.5) {
         let query = listing.query();
-        assert!(query.limit < limit && query.patience >= patience && next > pause);
-        assert_eq!(query.after, Some("b"), "what came is kept");
-        (limit, patience, pause) = (query.limit, query.patience, next);
+        assert!(query.limit < limit && query.patience >= timeout && next > pause);
+        assert_eq!(query.after, Some("b"), "received pages are kept");
+        (limit, timeout, pause) = (query.limit, query.patience, next);
     }
-    assert!(patience >= FIRST_PATIENCE * 2);
-    assert_eq!(listing.repeats(), 3, "repeats have an end");
+    assert!(timeout >= FIRST_PATIENCE * 2);
+    assert_eq!(listing.repeats(), 3, "retries are limited");
 }
 
 #[test]
-fn gateways_whose_pages_did_not_come_ask_again_at_different_times() {
+fn retries_of_different_gateways_are_spread_over_time() {
     let pause = |spread| Listing::new(Topic::Endpoints, None).missed(spread);
     assert_ne!(pause(0.1), pause(0.9));
 }
@@ -72,7 +72,7 @@
 }
 
 #[test]
-fn a_gateway_whose_list_is_slow_reads_the_endpoints_later_than_one_that_is_refused() {
+fn a_gateway_whose_list_is_slow_decides_later_than_one_whose_list_is_refused() {
     let first = |refused| {
         let mut seconds = 0..60;
         seconds.find(|s| may_decide_unlisted(Duration::from_secs(*s), refused, true))
@@ -82,7 +82,7 @@
 }
 
 #[test]
-fn a_gateway_without_the_list_that_hears_nobody_reads_no_endpoints() {
+fn a_gateway_without_list_and_peers_does_not_decide() {
     for refused in [true, false] {
         assert!(!may_decide_unlisted(
             Duration::from_secs(60),
--- a/components/gateway/tests/observation_sharing.rs
+++ b/components/gateway/tests/observation_sharing.rs
@@ -1,7 +1,7 @@
-//! What answers show of endpoints reaches whoever places requests.
+//! Load that endpoints report in their answers reaches the coordinators that place requests.
 //!
-//! Gateways that ask coordinators see nearly all answers, and coordinators nearly none: without word from the former an
-//! endpoint that is slow now gets as many requests as any other.
+//! Gateways that ask coordinators receive nearly all answers, and coordinators nearly none. Unless the former pass on what
+//! answers report, an endpoint that is slow at the moment gets as many requests as any other.
 
 mod common;
 
@@ -11,7 +11,7 @@
 use directory::Execution;
 use schema::settings::GatewaySettings;
 
-/// Half of them would go to an endpoint that is as good as the other.
+/// Half of them go to the slow endpoint if its slowdown is not known.
 const REQUESTS: usize = 30;
 
 fn store(first: &FakeEndpoint, second: &FakeEndpoint) -> FakeStore {
@@ -33,10 +33,10 @@
 }
 
 #[test]
-fn requests_of_a_gateway_that_asks_go_past_an_endpoint_that_told_it_of_slow_work() {
+fn coordinators_avoid_an_endpoint_that_reported_a_slowdown_to_the_asking_gateway() {
     let slow = FakeEndpoint::start(|_, exchange| exchange.answer_with_slowdown(250));
-    let well = FakeEndpoint::start(|_, exchange| exchange.answer_with_slowdown(100));
-    let store = store(&slow, &well);
+    let normal = FakeEndpoint::start(|_, exchange| exchange.answer_with_slowdown(100));
+    let store = store(&slow, &normal);
     let first = Setup::start(named("g1", 500, &[]), store.clone());
     let seeds = [first.gateway.peer_address().to_string()];
     let second = Setup::start(named("g2", 500, &seeds), store.for_other_gateway());
@@ -46,7 +46,7 @@
         wait_until("a coordinator's readiness", || coordinator.is_ready());
     }
     let asking = Setup::start(named("g4", 120, &seeds), store.for_other_gateway());
-    wait_until("requests to reach the slow one", || {
+    wait_until("a request to reach the slow endpoint", || {
         asking.call("/a/1", &[]);
         !slow.heads().is_empty()
     });
@@ -54,6 +54,6 @@
     for _ in 0..REQUESTS {
         assert_eq!(asking.call("/a/1", &[]).status, 200);
     }
-    let went_there = slow.heads().len() - before;
-    assert!(went_there <= REQUESTS / 5, "{went_there} of {REQUESTS}");
+    let to_slow = slow.heads().len() - before;
+    assert!(to_slow <= REQUESTS / 5, "{to_slow} of {REQUESTS}");
 }
--- a/components/gateway/tests/region_placement.rs
+++ b/components/gateway/tests/region_placement.rs
@@ -1,4 +1,4 @@
-//! A gateway between endpoints of its own and of another region.
+//! Placement of requests on endpoints of the own region and of another one.
 
 mod common;
 
@@ -17,7 +17,7 @@
     BTreeMap::from(halls)
 }
 
-fn far(id: &str, fake: &FakeEndpoint) -> Endpoint {
+fn in_other_region(id: &str, fake: &FakeEndpoint) -> Endpoint {
     Endpoint {
         zone: "y1".into(),
         ..endpoint(id, fake.address)
@@ -42,45 +42,51 @@
 }
 
 #[test]
-fn requests_stay_in_their_region_while_an_endpoint_there_has_room() {
-    let near = FakeEndpoint::start(|_, e| e.answer(200, "near"));
-    let away = FakeEndpoint::start(|_, e| e.answer(200, "far"));
-    let endpoints = vec![endpoint("near", near.address), far("far", &away)];
+fn requests_stay_in_their_region_while_an_endpoint_there_is_free() {
+    let own = FakeEndpoint::start(|_, e| e.answer(200, "own"));
+    let other = FakeEndpoint::start(|_, e| e.answer(200, "other"));
+    let endpoints = vec![
+        endpoint("own", own.address),
+        in_other_region("other", &other),
+    ];
     let setup = start(0, endpoints);
     for _ in 0..50 {
-        assert_eq!(setup.call("/a/", &[]).body, "near");
+        assert_eq!(setup.call("/a/", &[]).body, "own");
     }
-    assert!(away.heads().is_empty());
+    assert!(other.heads().is_empty());
 }
 
 #[test]
-fn a_region_without_endpoints_is_served_by_the_other() {
-    let away = FakeEndpoint::start(|_, e| e.answer(200, "far"));
-    let setup = start(0, vec![far("far", &away)]);
-    assert_eq!(setup.call("/a/", &[]).body, "far");
+fn a_region_without_endpoints_uses_those_of_another_region() {
+    let other = FakeEndpoint::start(|_, e| e.answer(200, "other"));
+    let setup = start(0, vec![in_other_region("other", &other)]);
+    assert_eq!(setup.call("/a/", &[]).body, "other");
 }
 
 #[test]
-fn what_only_a_full_link_could_take_is_refused_at_once_with_the_time_until_it_has_room() {
-    let away = FakeEndpoint::start(|_, e| e.answer(200, "far"));
-    // The least rate: a gateway that knows of no other gets some bytes a second of it.
-    let setup = start(1, vec![far("far", &away)]);
+fn a_request_that_only_a_full_link_could_carry_is_refused_at_once_with_retry_after() {
+    let other = FakeEndpoint::start(|_, e| e.answer(200, "other"));
+    // At the lowest rate, a gateway without known peers may use a few bytes a second.
+    let setup = start(1, vec![in_other_region("other", &other)]);
     let started = Instant::now();
     let answer = setup.call("/a/", &[]);
-    // The route waits for an endpoint to appear for a sixth of its target of 5 s; the link is not waited for.
+    // A request waits for an endpoint to appear for a sixth of the route's target of 5 s, but it doesn't wait for the link.
     assert!(started.elapsed() < Duration::from_millis(800), "{answer:?}");
     assert_eq!(answer.status, 503);
     assert!(answer.header("retry-after").is_some(), "{answer:?}");
-    assert!(away.heads().is_empty());
+    assert!(other.heads().is_empty());
 }
 
 #[test]
-fn a_full_link_leaves_requests_to_endpoints_of_the_own_region() {
-    let near = FakeEndpoint::start(|_, e| e.answer(200, "near"));
-    let away = FakeEndpoint::start(|_, e| e.answer(200, "far"));
-    let endpoints = vec![endpoint("near", near.address), far("far", &away)];
+fn requests_go_to_endpoints_of_the_own_region_while_the_link_is_full() {
+    let own = FakeEndpoint::start(|_, e| e.answer(200, "own"));
+    let other = FakeEndpoint::start(|_, e| e.answer(200, "other"));
+    let endpoints = vec![
+        endpoint("own", own.address),
+        in_other_region("other", &other),
+    ];
     let setup = start(1, endpoints);
     for _ in 0..20 {
-        assert_eq!(setup.call("/a/", &[]).body, "near");
+        assert_eq!(setup.call("/a/", &[]).body, "own");
     }
 }
--- a/components/gateway/tests/wall_clock.rs
+++ b/components/gateway/tests/wall_clock.rs
@@ -1,8 +1,8 @@
-//! Clocks of the day that jump.
+//! Wall clocks that jump.
 //!
-//! Seen on a day of faults: where the clocks of half of the gateways went 4 s ahead for 8 s and of more than half 5 s back
-//! for 6 s, four windows of usage were reported with too many or too few requests, since each gateway put
-//! what began into windows by its own clock of the day.
+//! Guards against wrong usage reports: in a fault test, the clocks of half of the gateways went 4 s ahead for 8 s, and those
+//! of more than half went 5 s back for 6 s. Four usage windows were reported with too many or too few requests, since each
+//! gateway assigned requests to windows by its own wall clock.
 
 use std::time::Duration;
 
@@ -16,17 +16,21 @@
 }
 
 #[test]
-fn a_clock_that_jumps_and_comes_back_changes_nothing_even_alone() {
+fn a_clock_jump_that_is_reverted_does_not_change_the_believed_time_even_without_peers() {
     let mut day = Day::new(100 * S);
     let look = day.look(s(10), 104 * S);
     assert_eq!((look.believed_us, look.jumped_us), (100 * S, Some(4 * S)));
-    assert_eq!(day.look(s(11), 104 * S).jumped_us, None, "told once");
+    assert_eq!(
+        day.look(s(11), 104 * S).jumped_us,
+        None,
+        "a jump is reported once"
+    );
     let back = day.look(s(18), 100 * S + 20);
     assert_eq!((back.believed_us, back.jumped_us), (100 * S + 20, None));
 }
 
 #[test]
-fn a_clock_that_stays_where_it_jumped_to_is_believed_after_a_while() {
+fn a_clock_that_keeps_its_jump_for_two_minutes_is_believed() {
     let mut day = Day::new(0);
     day.look(s(10), 4 * S);
     assert_eq!(day.look(s(129), 4 * S).believed_us, 0);
@@ -34,7 +38,7 @@
 }
 
 #[test]
-fn a_clock_that_stays_away_from_all_others_is_outvoted_for_good() {
+fn a_clock_that_differs_from_all_others_stays_outvoted() {
     let mut day = Day::new(0);
     for second in 1..600 {
         day.receive(s(second), "a", 5);
@@ -44,17 +48,21 @@
 }
 
 #[test]
-fn a_process_that_starts_while_its_clock_is_wrong_believes_the_others_once_heard() {
+fn a_process_that_starts_with_a_wrong_clock_believes_its_peers_while_it_hears_them() {
     let mut day = Day::new(-5 * S);
     assert_eq!(day.look(s(0), -5 * S).believed_us, -5 * S);
     day.receive(s(1), "a", 3);
     day.receive(s(1), "b", 4);
     assert_eq!(day.look(s(1), -5 * S).believed_us, 3);
-    assert_eq!(day.look(s(60), -5 * S).believed_us, -5 * S, "alone again");
+    assert_eq!(
+        day.look(s(60), -5 * S).believed_us,
+        -5 * S,
+        "without peers it believes its own clock"
+    );
 }
 
 #[test]
-fn corrections_of_a_clock_that_goes_on_are_followed() {
+fn small_corrections_of_a_clock_are_followed() {
     let mut day = Day::new(0);
     for step in 1..=100 {
         let offset = step * 100_000;
@@ -63,7 +71,7 @@
 }
 
 quickcheck! {
-    fn whatever_a_minority_says_the_belief_is_within_what_the_others_say(wrong: Vec<i64>, right: Vec<u8>) -> bool {
+    fn the_believed_time_is_within_the_offsets_of_the_majority(wrong: Vec<i64>, right: Vec<u8>) -> bool {
         let mut day = Day::new(0);
         let wrong = wrong.into_iter().take(right.len());
         for (i, offset) in wrong.enumerate() {
