--- a/components/gateway/tests/coordinator_loss.rs
+++ b/components/gateway/tests/coordinator_loss.rs
@@ -8,6 +8,7 @@
     Duration::from_secs(s)
 }
 
+// Coordinators that decide some of the requests are slow, not lost.
 #[test]
 fn a_decision_of_a_coordinator_resets_the_undecided_time() {
     let alone = Alone::default();
--- a/components/gateway/tests/coordinators.rs
+++ b/components/gateway/tests/coordinators.rs
@@ -1,4 +1,4 @@
-//! Gateways of one data hall, three of which decide for the fourth.
+//! Four gateways of one data hall: three coordinators decide for the fourth.
 
 mod common;
 
@@ -12,7 +12,7 @@
 use schema::messages::GatewayRow;
 use schema::settings::GatewaySettings;
 
-/// Requests a second and at once that the team's limit lets pass over all four gateways.
+/// Rate in requests a second, and burst, of the team over all four gateways.
 const LIMIT: f64 = 8.0;
 
 fn named(name: &str, cores_milli: i32, seeds: Vec<String>) -> GatewaySettings {
@@ -20,7 +20,7 @@
         name: name.into(),
         cores_milli,
         seeds,
-        // Only what is reported makes a gateway ask the store.
+        // Long, so that gateways read the store only for changes that they were told of.
         change_due_ms: 60_000,
         ..settings()
     }
@@ -41,8 +41,8 @@
     store
 }
 
-/// Three coordinators and one gateway that asks them.
-fn four(store: &FakeStore) -> (Vec<Setup>, Setup) {
+/// Starts three coordinators and one gateway that asks them.
+fn start_four(store: &FakeStore) -> (Vec<Setup>, Setup) {
     let first = Setup::start(named("g1", 500, Vec::new()), store.clone());
     let seeds = || vec![first.gateway.peer_address().to_string()];
     let second = Setup::start(named("g2", 500, seeds()), store.for_other_gateway());
@@ -52,8 +52,8 @@
     (vec![first, second, third], asking)
 }
 
-/// Puts a configuration with this route only and waits until the gateway serves it.
-fn change(gateway: &Setup, version: u64, prefix: &str) {
+/// Writes a configuration with only this route and waits until the gateway serves it.
+fn replace_route(gateway: &Setup, version: u64, prefix: &str) {
     let mut changed = configuration(version, vec![route(prefix, Execution::Repeatable)]);
     changed.tenants = vec![tenant("t", "k")];
     gateway.store.put_configuration(changed);
@@ -75,21 +75,21 @@
 }
 
 #[test]
-fn a_gateway_that_asks_may_use_the_whole_limit_that_all_share() {
+fn a_gateway_that_asks_coordinators_can_use_most_of_the_shared_team_limit() {
     let fake = FakeEndpoint::start(|_, e| e.answer(200, "x"));
     let store = limited_store(&fake);
-    let (_coordinators, asking) = four(&store);
-    // Its own part is a quarter: two a second.
+    let (_coordinators, asking) = start_four(&store);
+    // Its own part of the limit is a quarter, two requests a second.
     wait_until("the whole limit", || {
         served_in_a_second(&asking) as f64 >= LIMIT * 0.75
     });
 }
 
 #[test]
-fn without_any_coordinator_a_gateway_decides_itself() {
+fn a_gateway_decides_itself_after_all_coordinators_stop() {
     let fake = FakeEndpoint::start(|_, e| e.answer(200, "x"));
     let store = limited_store(&fake);
-    let (coordinators, asking) = four(&store);
+    let (coordinators, asking) = start_four(&store);
     wait_until("the whole limit", || {
         served_in_a_second(&asking) as f64 >= LIMIT * 0.75
     });
@@ -102,38 +102,38 @@
 }
 
 #[test]
-fn a_small_change_of_the_configuration_is_taken_from_a_coordinator() {
+fn a_small_change_of_the_configuration_comes_from_a_coordinator_and_not_from_the_store() {
     let fake = FakeEndpoint::start(|_, e| e.answer(200, "x"));
     let store = limited_store(&fake);
-    let (_coordinators, asking) = four(&store);
+    let (_coordinators, asking) = start_four(&store);
     wait_until("the whole limit", || {
         served_in_a_second(&asking) as f64 >= LIMIT * 0.75
     });
-    // The first change ends a call that was held at the store before the coordinators were found.
-    change(&asking, 2, "/second/");
-    let asks_before = asking.store.call_count(Topic::Configuration);
-    change(&asking, 3, "/third/");
-    assert_eq!(asking.store.call_count(Topic::Configuration), asks_before);
+    // The first change ends a long poll at the store that was started before the coordinators were found.
+    replace_route(&asking, 2, "/second/");
+    let calls_before = asking.store.call_count(Topic::Configuration);
+    replace_route(&asking, 3, "/third/");
+    assert_eq!(asking.store.call_count(Topic::Configuration), calls_before);
 }
 
 #[test]
-fn a_gateway_whose_turn_it_is_to_hold_calls_at_the_store_does_so_at_once() {
+fn a_gateway_polls_the_store_before_its_next_due_time_after_all_coordinators_stop() {
     let fake = FakeEndpoint::start(|_, e| e.answer(200, "x"));
     let store = limited_store(&fake);
-    let (coordinators, asking) = four(&store);
+    let (coordinators, asking) = start_four(&store);
     wait_until("the whole limit", || {
         served_in_a_second(&asking) as f64 >= LIMIT * 0.75
     });
-    // Ends a call that was held from before the coordinators were found; from now on it rests for 39 s.
-    change(&asking, 2, "/second/");
+    // Ends a long poll that was started before the coordinators were found. The gateway would poll next after 39 s.
+    replace_route(&asking, 2, "/second/");
     for coordinator in coordinators {
         coordinator.stop();
     }
-    change(&asking, 3, "/third/");
+    replace_route(&asking, 3, "/third/");
 }
 
 #[test]
-fn a_gateway_that_asks_does_not_read_the_endpoints() {
+fn a_gateway_that_asks_coordinators_does_not_read_the_endpoints() {
     let fake = FakeEndpoint::start(|_, e| e.answer(200, "x"));
     let store = limited_store(&fake);
     let seeds = || Vec::new();
@@ -153,16 +153,16 @@
 }
 
 #[test]
-fn a_gateway_whose_hall_has_no_coordinator_asks_one_of_another_hall() {
+fn a_gateway_whose_listed_coordinators_are_down_asks_one_of_another_hall() {
     let fake = FakeEndpoint::start(|_, e| e.answer(200, "x"));
     let store = limited_store(&fake);
-    let elsewhere = GatewaySettings {
+    let in_other_hall = GatewaySettings {
         zone: "z2".into(),
         ..named("g1", 500, Vec::new())
     };
-    let elsewhere = Setup::start(elsewhere, store.for_other_gateway());
-    wait_until("readiness", || elsewhere.is_ready());
-    // Three larger gateways of its hall are listed and do not run.
+    let in_other_hall = Setup::start(in_other_hall, store.for_other_gateway());
+    wait_until("readiness", || in_other_hall.is_ready());
+    // Three larger gateways of its hall are listed but not running.
     for (i, name) in ["g2", "g3", "g4"].into_iter().enumerate() {
         let row = GatewayRow {
             address: format!("127.0.0.1:{}", 9 + i),
--- a/components/gateway/tests/endpoint_limits.rs
+++ b/components/gateway/tests/endpoint_limits.rs
@@ -1,7 +1,8 @@
-//! Endpoints that name a rate for all gateways together.
+//! Rate limits that endpoints name in their answers, for all gateways together.
 //!
-//! Seen: an endpoint that had named 4 requests a second got 32 in 4 s, and one that had named 1 got 12, from gateways that it
-//! had told; no gateway by itself sent more than the limit. The limit stood in the answers and nobody read it.
+//! Guards against limits that are ignored: an endpoint that had named 4 requests a second got 32 in 4 s, and one that had
+//! named 1 got 12, from gateways that had received the limit. No single gateway sent more than the limit. The limit was in
+//! the answers, and the gateways did not read it.
 
 mod common;
 
@@ -15,24 +16,24 @@
 use directory::Execution;
 use schema::settings::GatewaySettings;
 
-/// The users' rule counts requests in this time.
+/// Time over which the users' rule counts requests.
 const WINDOW: Duration = Duration::from_secs(4);
-/// Word that a gateway has passed on binds it after this time.
-const BINDS_AFTER: Duration = Duration::from_millis(500);
+/// Time after which a limit has to be kept by a gateway that has passed on the answer with it.
+const IN_FORCE_AFTER: Duration = Duration::from_millis(500);
 
-/// Requests that the users' rule allows in a window.
-fn allowed(per_s: f64) -> usize {
+/// Largest number of requests in a window under the users' rule.
+fn max_allowed(per_s: f64) -> usize {
     (1.5 * per_s * WINDOW.as_secs_f64() + 5.0) as usize
 }
 
-/// An endpoint that names a limit, and when requests reached it.
-struct InNeed {
+/// A fake endpoint that names a limit and records the times at which requests arrive.
+struct LimitedEndpoint {
     fake: FakeEndpoint,
     arrivals: Arc<Mutex<Vec<Instant>>>,
     limit: Arc<Mutex<Option<String>>>,
 }
 
-impl InNeed {
+impl LimitedEndpoint {
     fn start(limit: &str) -> Self {
         let arrivals: Arc<Mutex<Vec<Instant>>> = Arc::default();
         let limit = Arc::new(Mutex::new(Some(limit.to_string())));
@@ -45,15 +46,15 @@
                 None => exchange.answer(200, "x"),
             }
         });
-        InNeed {
+        LimitedEndpoint {
             fake,
             arrivals,
             limit,
         }
     }
 
-    /// Names another limit, or none, from now on.
-    fn name(&self, limit: Option<&str>) {
+    /// Changes the limit that the answers name; `None` for no limit.
+    fn set_limit(&self, limit: Option<&str>) {
         *self.limit.lock().unwrap() = limit.map(str::to_string);
     }
 
@@ -66,8 +67,8 @@
         self.arrivals.lock().unwrap().len()
     }
 
-    /// The most that arrived in a window, counted from then on.
-    fn most_in_window(&self, since: Instant) -> usize {
+    /// Largest number of requests in a window that begins at `since` or later.
+    fn max_in_window(&self, since: Instant) -> usize {
         let arrivals = self.arrivals.lock().unwrap();
         let counted: Vec<Instant> = arrivals.iter().copied().filter(|at| *at >= since).collect();
         let in_window = |from: &Instant| {
@@ -101,8 +102,8 @@
     }
 }
 
-/// Gateways of one hall: the first three decide, any others ask them.
-fn fleet(store: &FakeStore, count: usize) -> Vec<Setup> {
+/// Starts gateways of one hall: the first three are coordinators, the others ask them.
+fn start_fleet(store: &FakeStore, count: usize) -> Vec<Setup> {
     let first = Setup::start(named("g1", 500, Vec::new()), store.clone());
     let seeds = vec![first.gateway.peer_address().to_string()];
     let mut gateways = vec![first];
@@ -117,8 +118,8 @@
     gateways
 }
 
-/// Each gateway is called without a pause for a time. Returns how often each status came.
-fn press(gateways: &[Setup], time: Duration) -> Vec<u16> {
+/// Calls all gateways in parallel without pauses for a time. Returns the statuses of all answers.
+fn load_all(gateways: &[Setup], time: Duration) -> Vec<u16> {
     let statuses: Mutex<Vec<u16>> = Mutex::default();
     thread::scope(|scope| {
         for gateway in gateways {
@@ -135,70 +136,69 @@
     statuses.into_inner().unwrap()
 }
 
-/// Calls each gateway until the endpoint has told it its limit.
-fn tell(gateways: &[Setup], in_need: &InNeed) {
+/// Calls each gateway until an answer of the endpoint has told it the limit.
+fn announce_limit(gateways: &[Setup], limited: &LimitedEndpoint) {
     for gateway in gateways {
-        let told = in_need.count();
+        let count_before = limited.count();
         wait_until("the limit to be told", || {
             gateway.call("/a/1", &[]);
-            in_need.count() > told
+            limited.count() > count_before
         });
     }
 }
 
-// Guards against gateways that each keep to an endpoint's limit, or to none, while their sum is past it.
+// Guards against gateways whose requests together exceed the limit of an endpoint, whether or not each one keeps it.
 #[test]
-fn gateways_together_send_an_endpoint_no_more_than_the_limit_it_names() {
+fn requests_of_all_gateways_to_a_limited_endpoint_stay_within_the_users_rule() {
     for (count, per_s) in [(3, 4.0), (5, 1.0)] {
-        let in_need = InNeed::start(&per_s.to_string());
+        let limited = LimitedEndpoint::start(&per_s.to_string());
         let steady = FakeEndpoint::start(|_, exchange| exchange.answer(200, "x"));
-        let store = store(&[("e1", &in_need.fake), ("e2", &steady)]);
-        let gateways = fleet(&store, count);
-        let since = Instant::now() + BINDS_AFTER;
-        let statuses = press(&gateways, BINDS_AFTER + WINDOW);
+        let store = store(&[("e1", &limited.fake), ("e2", &steady)]);
+        let gateways = start_fleet(&store, count);
+        let since = Instant::now() + IN_FORCE_AFTER;
+        let statuses = load_all(&gateways, IN_FORCE_AFTER + WINDOW);
         assert!(
             statuses.iter().all(|status| *status == 200),
-            "the other one serves"
+            "a request was not served by the other endpoint"
         );
-        let most = in_need.most_in_window(since);
+        let max = limited.max_in_window(since);
         assert!(
-            most <= allowed(per_s),
-            "{most} at {per_s} a second, {count} gateways"
+            max <= max_allowed(per_s),
+            "{max} at {per_s} a second, {count} gateways"
         );
     }
 }
 
-// Guards against a limit that is kept by sending nothing.
+// Guards against a limit that is kept by sending far fewer requests than it allows.
 #[test]
-fn an_endpoint_without_another_beside_it_gets_what_its_limit_allows_and_the_rest_is_refused_at_once(
-) {
+fn a_sole_endpoint_gets_nearly_what_its_limit_allows_and_other_requests_are_refused() {
     let per_s = 4.0;
-    let in_need = InNeed::start(&per_s.to_string());
-    let store = store(&[("e1", &in_need.fake)]);
-    let gateways = fleet(&store, 3);
-    tell(&gateways, &in_need);
-    let since = Instant::now() + BINDS_AFTER;
-    let statuses = press(&gateways, BINDS_AFTER + WINDOW);
-    let most = in_need.most_in_window(since);
-    let least = (0.9 * per_s * WINDOW.as_secs_f64()) as usize;
-    assert!(most <= allowed(per_s), "{most}");
-    assert!(in_need.arrived_since(since) >= least, "{most}");
+    let limited = LimitedEndpoint::start(&per_s.to_string());
+    let store = store(&[("e1", &limited.fake)]);
+    let gateways = start_fleet(&store, 3);
+    announce_limit(&gateways, &limited);
+    let since = Instant::now() + IN_FORCE_AFTER;
+    let statuses = load_all(&gateways, IN_FORCE_AFTER + WINDOW);
+    let max = limited.max_in_window(since);
+    let min = (0.9 * per_s * WINDOW.as_secs_f64()) as usize;
+    assert!(max <= max_allowed(per_s), "{max}");
+    assert!(limited.arrived_since(since) >= min, "{max}");
     let answer = gateways[0].call("/a/1", &[]);
     assert!(statuses.iter().all(|status| matches!(status, 200 | 503)));
     assert!(answer.status == 200 || answer.header("retry-after").is_some());
 }
 
-// Guards against a limit that outlives the answers that name it, 0 included: nobody would hear that it ended.
+// Guards against a limit that stays in force after the endpoint names none. With a limit of 0 no answer could end it.
 #[test]
-fn an_endpoint_that_names_no_limit_any_more_gets_requests_as_before() {
+fn an_endpoint_that_no_longer_names_a_limit_gets_requests_without_limit() {
     for limit in ["0", "-1", "nan"] {
-        let in_need = InNeed::start(limit);
-        let store = store(&[("e1", &in_need.fake)]);
-        let gateways = fleet(&store, 3);
-        tell(&gateways[..1], &in_need);
-        in_need.name(None);
+        let limited = LimitedEndpoint::start(limit);
+        let store = store(&[("e1", &limited.fake)]);
+        let gateways = start_fleet(&store, 3);
+        announce_limit(&gateways[..1], &limited);
+        limited.set_limit(None);
         for gateway in &gateways {
-            wait_until("it to be sent requests without a pause", || {
+            wait_until("30 requests in a row to be served", || {
                 (0..30).all(|_| gateway.call("/a/1", &[]).status == 200)
             });
         }
--- a/components/gateway/tests/endpoint_restarts.rs
+++ b/components/gateway/tests/endpoint_restarts.rs
@@ -48,10 +48,10 @@
 fn a_stream_resumes_at_another_endpoint_when_its_endpoint_restarts_without_closing_the_connection()
 {
     let store = FakeStore::default();
-    let mut patient = route("/a/", Execution::Stream { resumable: true });
-    // The stream waits for longer than that when only silence indicates a fault.
-    patient.gap_target = Some(Duration::from_secs(5));
-    store.put_configuration(configuration(1, vec![patient]));
+    let mut long_gap_route = route("/a/", Execution::Stream { resumable: true });
+    // The long gap target keeps the gateway waiting while silence is the only sign of a fault.
+    long_gap_route.gap_target = Some(Duration::from_secs(5));
+    store.put_configuration(configuration(1, vec![long_gap_route]));
     let first = silent_after_one_event();
     store.put_endpoint(started_at(1, endpoint("e1", first.address)));
     let (setup, _) = start(&store);
--- a/components/gateway/tests/peers.rs
+++ b/components/gateway/tests/peers.rs
@@ -1,4 +1,4 @@
-//! What a gateway knows of the others.
+//! What a gateway knows of the other gateways.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -54,12 +54,12 @@
 }
 
 #[test]
-fn a_gateway_that_knows_of_nobody_uses_a_small_part_of_what_all_share() {
+fn a_gateway_without_known_peers_assumes_a_live_part_of_at_most_one_percent() {
     assert!(peers().count(ms(0)).live_part() <= 0.01);
 }
 
 #[test]
-fn gateways_listed_and_not_heard_yet_may_be_running() {
+fn listed_gateways_without_a_message_yet_count_as_possibly_running() {
     let mut peers = peers();
     peers.listed(ms(0), (1..=8).map(listed));
     assert_eq!(peers.count(ms(0)).live_part(), 1.0 / 8.0);
@@ -68,7 +68,7 @@
 }
 
 #[test]
-fn an_address_that_is_tried_counts_only_until_the_stores_list_is_read() {
+fn an_address_without_a_known_gateway_counts_only_until_the_list_of_the_store_is_read() {
     let mut peers = peers();
     peers.learn(ms(0), address(9));
     peers.receive(ms(1), greeting("b", 1, 1));
@@ -78,7 +78,7 @@
 }
 
 #[test]
-fn the_address_of_a_gateway_that_is_heard_is_nobody_else() {
+fn the_address_of_a_known_live_gateway_does_not_count_as_another_gateway() {
     let mut peers = peers();
     peers.receive(ms(0), greeting("b", 1, 1));
     peers.learn(ms(1), address(2));
@@ -86,14 +86,14 @@
 }
 
 #[test]
-fn a_gateway_that_is_alone_uses_everything() {
+fn the_only_listed_gateway_has_the_whole_live_part() {
     let mut peers = peers();
     peers.listed(ms(0), [listed(1)].into_iter());
     assert_eq!(peers.count(ms(0)).live_part(), 1.0);
 }
 
 #[test]
-fn a_process_that_seems_to_have_started_earlier_is_heard_once_the_one_before_is_silent() {
+fn a_lower_incarnation_is_accepted_once_the_higher_one_is_silent() {
     let mut peers = peers();
     peers.receive(ms(0), greeting("b", 2_400_000, 9));
     assert_eq!(peers.receive(ms(100), greeting("b", 5, 1)), Receipt::Stale);
@@ -109,15 +109,15 @@
 }
 
 #[test]
-fn what_a_process_of_the_same_age_did_is_recent() {
+fn reports_of_a_process_of_similar_uptime_are_recent_and_of_a_much_older_one_are_not() {
     assert!(is_recent(ms(500), ms(900)));
     assert!(!is_recent(ms(500), ms(60_000)));
 }
 
 #[test]
-fn all_gateways_agree_on_who_holds_calls_at_the_store() {
+fn all_gateways_agree_on_which_of_those_that_reach_the_store_poll_it() {
     let names = ["a", "b", "c", "d"];
-    let watches = |own: &str, unreachable: Option<&str>| {
+    let polls = |own: &str, unreachable: Option<&str>| {
         let mut peers = peers_of(own);
         for name in names.iter().filter(|name| **name != own) {
             let reaches_store = unreachable != Some(name);
@@ -132,16 +132,16 @@
         }
         peers.is_among_first(ms(1), 2)
     };
-    let first: Vec<&str> = names.into_iter().filter(|n| watches(n, None)).collect();
+    let first: Vec<&str> = names.into_iter().filter(|n| polls(n, None)).collect();
     assert_eq!(first.len(), 2);
     let lost = first[0];
     let others = names.into_iter().filter(|name| *name != lost);
-    let after: Vec<&str> = others.filter(|name| watches(name, Some(lost))).collect();
+    let after: Vec<&str> = others.filter(|name| polls(name, Some(lost))).collect();
     assert_eq!(after.len(), 2);
 }
 
 #[test]
-fn a_holder_that_gave_the_lease_up_does_not_count_as_heard_and_the_next_one_does() {
+fn a_holder_that_gave_up_the_lease_does_not_count_as_alive_and_the_next_one_does() {
     let at = Duration::from_secs;
     let long = Duration::from_secs(10);
     let mut peers = peers();
@@ -150,7 +150,7 @@
     peers.receive_given_up(at(2), 7);
     assert!(!peers.holder_alive(at(2), long));
     assert!(peers.given_up_within(at(3), at(2)));
-    // Old gossip of the same holder change nothing.
+    // Old gossip about the same holder changes nothing.
     peers.receive_lease(at(3), 7, address(2));
     assert!(!peers.holder_alive(at(3), long));
     peers.receive_lease(at(4), 8, address(2));
--- a/components/gateway/tests/rollouts.rs
+++ b/components/gateway/tests/rollouts.rs
@@ -1,4 +1,4 @@
-//! Roll-outs that the operator orders, at real gateways.
+//! Roll-outs ordered by the operator, with running gateways and fake endpoints.
 
 mod common;
 
@@ -13,24 +13,24 @@
 use directory::{Endpoint, Execution};
 use schema::settings::GatewaySettings;
 
-/// Time of the orders: some 100 requests go to the ordered version within it.
-const TIME: Duration = Duration::from_secs(4);
+/// Duration of the roll-outs, in which about 100 requests go to the ordered version.
+const ORDER_TIME: Duration = Duration::from_secs(4);
 
-struct World {
+struct Fixture {
     store: FakeStore,
     old: FakeEndpoint,
     new: Vec<FakeEndpoint>,
 }
 
-impl World {
-    /// Endpoints of the version `v1`, and some of `v2` that answer with `status`.
+impl Fixture {
+    /// One endpoint of the version `v1`, and three of `v2` that answer with `status`.
     fn new(status: u16) -> Self {
         let store = FakeStore::default();
         store.put_configuration(configuration(1, vec![route("/a/", Execution::Once)]));
         let old = FakeEndpoint::start(|_, e| e.answer(200, "x"));
         store.put_endpoint(endpoint_with_version("v1", "old", old.address));
         let new = (0..3).map(|_| FakeEndpoint::start(move |_, e| e.answer(status, "x")));
-        World {
+        Fixture {
             store,
             old,
             new: new.collect(),
@@ -69,120 +69,120 @@
     }
 }
 
-/// Calls a gateway until the status is so.
-fn call_until_status(world: &World, gateway: &Setup, wanted: &str) -> usize {
+/// Calls a gateway until the roll-out has the wanted status. Returns the number of calls.
+fn call_until_status(fixture: &Fixture, gateway: &Setup, wanted: &str) -> usize {
     let mut calls = 0;
     wait_until(wanted, || {
         gateway.call("/a/1", &[]);
         calls += 1;
-        world.status_is(wanted)
+        fixture.status_is(wanted)
     });
     calls
 }
 
 #[test]
 fn a_good_version_is_completed_and_then_gets_all_requests() {
-    let world = World::new(200);
-    let gateway = world.start("g1", Vec::new());
-    world.start_new_version();
-    world.store.put_order("v2", TIME);
-    let calls = call_until_status(&world, &gateway, "v2 Some(Completed)");
-    let most = calls / 10 + 50;
+    let fixture = Fixture::new(200);
+    let gateway = fixture.start("g1", Vec::new());
+    fixture.start_new_version();
+    fixture.store.put_order("v2", ORDER_TIME);
+    let calls = call_until_status(&fixture, &gateway, "v2 Some(Completed)");
+    let max = calls / 10 + 50;
     assert!(
-        world.new_requests() <= most,
+        fixture.new_requests() <= max,
         "{} of {calls}",
-        world.new_requests()
+        fixture.new_requests()
     );
-    let before = world.old.heads().len();
+    let before = fixture.old.heads().len();
     for _ in 0..50 {
         assert_eq!(gateway.call("/a/1", &[]).status, 200);
     }
-    assert_eq!(world.old.heads().len(), before);
+    assert_eq!(fixture.old.heads().len(), before);
 }
 
-/// The old endpoint answers within 1 ms, the new ones 8 ms later, as connections that rest do on busy processors: what
-/// no caller notices says nothing of a version.
+/// The old endpoint answers within 1 ms and the new ones 8 ms later, as idle connections do on busy processors. A difference
+/// that no caller notices must not count against a version.
 #[test]
-fn a_version_whose_quick_answers_come_some_milliseconds_later_is_completed() {
-    let mut world = World::new(200);
+fn a_version_that_is_8_ms_slower_than_quick_answers_is_completed() {
+    let mut fixture = Fixture::new(200);
     let late = || {
         FakeEndpoint::start(|_, e| {
             std::thread::sleep(Duration::from_millis(8));
             e.answer(200, "x");
         })
     };
-    world.new = (0..3).map(|_| late()).collect();
-    let gateway = world.start("g1", Vec::new());
-    world.start_new_version();
-    world.store.put_order("v2", TIME);
-    call_until_status(&world, &gateway, "v2 Some(Completed)");
+    fixture.new = (0..3).map(|_| late()).collect();
+    let gateway = fixture.start("g1", Vec::new());
+    fixture.start_new_version();
+    fixture.store.put_order("v2", ORDER_TIME);
+    call_until_status(&fixture, &gateway, "v2 Some(Completed)");
 }
 
 #[test]
 fn a_bad_version_is_reverted_and_then_gets_no_request() {
-    let world = World::new(500);
-    let gateway = world.start("g1", Vec::new());
-    world.start_new_version();
-    world.store.put_order("v2", TIME);
-    call_until_status(&world, &gateway, "v2 Some(Reverted)");
-    assert!(world.new_requests() < 50, "{}", world.new_requests());
-    let before = world.new_requests();
+    let fixture = Fixture::new(500);
+    let gateway = fixture.start("g1", Vec::new());
+    fixture.start_new_version();
+    fixture.store.put_order("v2", ORDER_TIME);
+    call_until_status(&fixture, &gateway, "v2 Some(Reverted)");
+    assert!(fixture.new_requests() < 50, "{}", fixture.new_requests());
+    let before = fixture.new_requests();
     for _ in 0..50 {
         assert_eq!(gateway.call("/a/1", &[]).status, 200);
     }
-    assert_eq!(world.new_requests(), before);
+    assert_eq!(fixture.new_requests(), before);
 }
 
 #[test]
 fn a_version_that_never_starts_is_reverted() {
-    let world = World::new(200);
-    let gateway = world.start("g1", Vec::new());
-    world.store.put_order("v2", Duration::from_secs(2));
-    call_until_status(&world, &gateway, "v2 Some(Reverted)");
+    let fixture = Fixture::new(200);
+    let gateway = fixture.start("g1", Vec::new());
+    fixture.store.put_order("v2", Duration::from_secs(2));
+    call_until_status(&fixture, &gateway, "v2 Some(Reverted)");
 }
 
 #[test]
-fn whoever_starts_later_goes_by_the_decision() {
-    let world = World::new(200);
-    let first = world.start("g1", Vec::new());
-    world.start_new_version();
-    world.store.put_order("v2", TIME);
-    call_until_status(&world, &first, "v2 Some(Completed)");
-    // The old endpoint is left in place to see that it is not used.
+fn a_gateway_that_starts_later_follows_the_decision() {
+    let fixture = Fixture::new(200);
+    let first = fixture.start("g1", Vec::new());
+    fixture.start_new_version();
+    fixture.store.put_order("v2", ORDER_TIME);
+    call_until_status(&fixture, &first, "v2 Some(Completed)");
+    // The old endpoint keeps running, so that the test can see that it gets no requests.
     let seeds = vec![first.gateway.peer_address().to_string()];
     first.stop();
-    let second = world.start("g2", seeds);
+    let second = fixture.start("g2", seeds);
     wait_until("the decision to be known", || {
-        let before = world.old.heads().len();
+        let before = fixture.old.heads().len();
         second.call("/a/1", &[]);
-        world.old.heads().len() == before
+        fixture.old.heads().len() == before
     });
-    let before = world.old.heads().len();
+    let before = fixture.old.heads().len();
     for _ in 0..50 {
         assert_eq!(second.call("/a/1", &[]).status, 200);
     }
-    assert_eq!(world.old.heads().len(), before);
-    assert!(world.status_is("v2 Some(Completed)"));
+    assert_eq!(fixture.old.heads().len(), before);
+    assert!(fixture.status_is("v2 Some(Completed)"));
 }
 
 #[test]
-fn another_gateway_goes_on_when_the_holder_stops() {
-    let world = World::new(500);
-    let first = world.start("g1", Vec::new());
+fn another_gateway_continues_the_roll_out_when_the_lease_holder_stops() {
+    let fixture = Fixture::new(500);
+    let first = fixture.start("g1", Vec::new());
     let seeds = vec![first.gateway.peer_address().to_string()];
-    let second = world.start("g2", seeds);
-    world.store.put_order("v2", Duration::from_secs(12));
-    wait_until("the order to be taken up", || world.status_is("v2 None"));
+    let second = fixture.start("g2", seeds);
+    fixture.store.put_order("v2", Duration::from_secs(12));
+    wait_until("the roll-out to begin", || fixture.status_is("v2 None"));
     first.stop();
-    world.start_new_version();
-    call_until_status(&world, &second, "v2 Some(Reverted)");
-    assert!(world.new_requests() < 50, "{}", world.new_requests());
+    fixture.start_new_version();
+    call_until_status(&fixture, &second, "v2 Some(Reverted)");
+    assert!(fixture.new_requests() < 50, "{}", fixture.new_requests());
 }
 
 #[test]
-fn a_second_order_for_the_version_that_was_reverted_is_judged_anew() {
+fn a_new_order_for_a_reverted_version_starts_a_new_evaluation() {
     let bad = Arc::new(AtomicBool::new(true));
-    let mut world = World::new(200);
+    let mut fixture = Fixture::new(200);
     let is_bad = Arc::clone(&bad);
     let fake = FakeEndpoint::start(move |_, e| {
         let status = if is_bad.load(Ordering::Relaxed) {
@@ -192,30 +192,30 @@
         };
         e.answer(status, "x");
     });
-    world.new = vec![fake];
-    let gateway = world.start("g1", Vec::new());
-    world.start_new_version();
-    world.store.put_order("v2", TIME);
-    call_until_status(&world, &gateway, "v2 Some(Reverted)");
+    fixture.new = vec![fake];
+    let gateway = fixture.start("g1", Vec::new());
+    fixture.start_new_version();
+    fixture.store.put_order("v2", ORDER_TIME);
+    call_until_status(&fixture, &gateway, "v2 Some(Reverted)");
     bad.store(false, Ordering::Relaxed);
-    world.store.put_order("v2", TIME);
-    call_until_status(&world, &gateway, "v2 None");
-    call_until_status(&world, &gateway, "v2 Some(Completed)");
+    fixture.store.put_order("v2", ORDER_TIME);
+    call_until_status(&fixture, &gateway, "v2 None");
+    call_until_status(&fixture, &gateway, "v2 Some(Completed)");
 }
 
 #[test]
-fn endpoints_of_a_later_version_that_nobody_ordered_serve_once_the_ordered_one_is_gone() {
-    let world = World::new(200);
-    let gateway = world.start("g1", Vec::new());
-    world.start_new_version();
-    world.store.put_order("v2", TIME);
-    call_until_status(&world, &gateway, "v2 Some(Completed)");
+fn endpoints_of_a_version_without_an_order_serve_once_the_ordered_version_is_gone() {
+    let fixture = Fixture::new(200);
+    let gateway = fixture.start("g1", Vec::new());
+    fixture.start_new_version();
+    fixture.store.put_order("v2", ORDER_TIME);
+    call_until_status(&fixture, &gateway, "v2 Some(Completed)");
     let released = FakeEndpoint::start(|_, e| e.answer(200, "released"));
-    world
+    fixture
         .store
         .put_endpoint(endpoint_with_version("v3", "released", released.address));
     for id in ["old", "new0", "new1", "new2"] {
-        world.store.delete_endpoint(id);
+        fixture.store.delete_endpoint(id);
     }
     wait_until("an answer of the later version", || {
         gateway.call("/a/1", &[]).body == "released"
@@ -223,25 +223,25 @@
 }
 
 #[test]
-fn requests_at_endpoints_that_are_slow_from_their_start_count_as_exposure() {
-    let world = World::new(200);
-    let gateway = world.start_with(GatewaySettings {
+fn requests_to_cold_endpoints_count_towards_the_exposure_limit() {
+    let fixture = Fixture::new(200);
+    let gateway = fixture.start_with(GatewaySettings {
         reports_usage: true,
         exposure_extra: 0,
         ..settings()
     });
-    for (i, fake) in world.new.iter().enumerate() {
+    for (i, fake) in fixture.new.iter().enumerate() {
         let endpoint = endpoint_with_version("v2", &format!("new{i}"), fake.address);
-        world.store.put_endpoint(Endpoint {
+        fixture.store.put_endpoint(Endpoint {
             cold: Duration::from_secs(600),
             ..endpoint
         });
     }
-    world.store.put_order("v2", TIME);
-    wait_until("the order to be taken up", || world.status_is("v2 None"));
-    // Their answers are no evidence, so the version is not proven.
-    let calls = call_until_status(&world, &gateway, "v2 Some(Reverted)");
-    // Half of what a bad version may get is for evidence.
-    let (got, most) = (world.new_requests(), calls / 20);
-    assert!(got <= most, "{got} of {calls}");
+    fixture.store.put_order("v2", ORDER_TIME);
+    wait_until("the roll-out to begin", || fixture.status_is("v2 None"));
+    // Answers of cold endpoints are no evidence, so the version is reverted for lack of it.
+    let calls = call_until_status(&fixture, &gateway, "v2 Some(Reverted)");
+    // Half of the exposure limit is reserved for requests that give evidence.
+    let (got, max) = (fixture.new_requests(), calls / 20);
+    assert!(got <= max, "{got} of {calls}");
 }
--- a/components/gateway/tests/row_forwarding.rs
+++ b/components/gateway/tests/row_forwarding.rs
@@ -1,4 +1,4 @@
-//! Gateways that pass the store's rows on to each other.
+//! Rows of the store that gateways forward to each other.
 
 mod common;
 
@@ -12,7 +12,7 @@
 
 const CREDENTIAL_AGE: Duration = Duration::from_secs(3);
 
-/// Two gateways, the second of which the store turns away once it is ready.
+/// Two gateways. The store refuses the calls of the second one after both are ready.
 struct Pair {
     first: Setup,
     second: Setup,
@@ -45,7 +45,7 @@
 }
 
 #[test]
-fn a_gateway_that_the_store_turns_away_gets_new_routes_and_endpoints_from_the_others() {
+fn a_gateway_refused_by_the_store_gets_changes_of_routes_and_endpoints_from_another() {
     let fake = FakeEndpoint::start(|_, e| e.answer(200, "x"));
     let store = store_with(1, "/old/");
     store.put_endpoint(endpoint("e1", fake.address));
@@ -65,7 +65,7 @@
 }
 
 #[test]
-fn a_change_that_others_know_does_not_wait_for_a_store_that_says_nothing() {
+fn a_gateway_gets_a_change_from_another_while_the_store_does_not_respond() {
     let fake = FakeEndpoint::start(|_, e| e.answer(200, "x"));
     let store = store_with(1, "/old/");
     store.put_endpoint(endpoint("e1", fake.address));
@@ -81,16 +81,16 @@
 }
 
 #[test]
-fn a_gateway_that_the_store_turns_away_accepts_keys_while_another_confirms_them() {
+fn a_gateway_refused_by_the_store_accepts_keys_while_another_gateway_confirms_them() {
     let fake = FakeEndpoint::start(|_, e| e.answer(200, "x"));
     let store = store_with(1, "/a/");
     store.put_endpoint(endpoint("e1", fake.address));
     let pair = pair(&store);
-    let began = Instant::now();
-    while began.elapsed() < CREDENTIAL_AGE * 3 / 2 {
+    let started = Instant::now();
+    while started.elapsed() < CREDENTIAL_AGE * 3 / 2 {
         assert_eq!(pair.second.call("/a/1", &["x-key: k"]).status, 200);
     }
-    // Nobody confirms any more.
+    // No gateway can confirm the key from here on.
     pair.first.store.refuse(true);
     wait_until("the key to be refused", || {
         pair.second.call("/a/1", &["x-key: k"]).status == 503
@@ -98,7 +98,7 @@
 }
 
 #[test]
-fn a_key_that_was_taken_away_is_refused_by_a_gateway_that_the_store_turns_away() {
+fn a_gateway_refused_by_the_store_rejects_a_removed_key() {
     let fake = FakeEndpoint::start(|_, e| e.answer(200, "x"));
     let store = store_with(1, "/a/");
     store.put_endpoint(endpoint("e1", fake.address));
@@ -111,7 +111,7 @@
     });
 }
 
-fn unbounded(name: &str, seeds: Vec<String>) -> GatewaySettings {
+fn without_key_expiry(name: &str, seeds: Vec<String>) -> GatewaySettings {
     GatewaySettings {
         credential_age_ms: 0,
         ..named(name, seeds)
@@ -119,35 +119,35 @@
 }
 
 #[test]
-fn where_keys_have_no_bound_a_gateway_that_starts_without_the_store_serves_what_others_know() {
+fn without_key_expiry_a_gateway_that_starts_without_the_store_serves_by_rows_of_another() {
     let fake = FakeEndpoint::start(|_, e| e.answer(200, "x"));
     let store = store_with(1, "/a/");
     store.put_endpoint(endpoint("e1", fake.address));
-    let first = Setup::start(unbounded("g1", Vec::new()), store.clone());
+    let first = Setup::start(without_key_expiry("g1", Vec::new()), store.clone());
     wait_until("readiness", || first.is_ready());
     let seeds = vec![first.gateway.peer_address().to_string()];
-    let away = store.for_other_gateway();
-    away.refuse(true);
-    let second = Setup::start(unbounded("g2", seeds), away);
+    let unreachable = store.for_other_gateway();
+    unreachable.refuse(true);
+    let second = Setup::start(without_key_expiry("g2", seeds), unreachable);
     assert_eq!(second.call("/a/1", &["x-key: k"]).status, 503);
     wait_until("readiness", || second.is_ready());
     wait_until("an answer", || {
         second.call("/a/1", &["x-key: k"]).status == 200
     });
-    // What it cannot confirm it does not deny.
+    // Without the store it cannot tell whether this key or route is new, so it does not answer 401 or 404.
     assert_eq!(second.call("/a/1", &["x-key: other"]).status, 503);
     assert_eq!(second.call("/b/1", &["x-key: k"]).status, 503);
 }
 
 #[test]
-fn where_keys_have_no_bound_they_are_accepted_however_long_the_store_is_away() {
+fn without_key_expiry_keys_are_accepted_while_the_store_is_unreachable() {
     let fake = FakeEndpoint::start(|_, e| e.answer(200, "x"));
     let store = store_with(1, "/a/");
     store.put_endpoint(endpoint("e1", fake.address));
-    let alone = Setup::start(unbounded("g1", Vec::new()), store.clone());
+    let alone = Setup::start(without_key_expiry("g1", Vec::new()), store.clone());
     wait_until("readiness", || alone.is_ready());
     store.refuse(true);
-    wait_until("denials to end", || {
+    wait_until("unknown keys to be answered with 503", || {
         alone.call("/a/1", &["x-key: other"]).status == 503
     });
     assert_eq!(alone.call("/a/1", &["x-key: k"]).status, 200);
@@ -155,7 +155,7 @@
 }
 
 #[test]
-fn a_configuration_of_a_thousand_routes_is_passed_on_too() {
+fn a_configuration_of_60_kb_is_forwarded() {
     const BYTES: usize = 60_000;
     let fake = FakeEndpoint::start(|_, e| e.answer(200, "x"));
     let store = store_with(1, "/old/");
@@ -170,22 +170,22 @@
 }
 
 #[test]
-fn a_gateway_that_the_store_turns_away_hears_of_leaving_endpoints_amid_thousands_of_changes() {
+fn a_gateway_refused_by_the_store_learns_of_a_draining_endpoint_among_thousands_of_changes() {
     const OTHERS: u64 = 4_000;
-    /// Half of them would go to each of the two.
+    /// Half of them go to each of the two endpoints while both are in use.
     const CALLS: usize = 40;
-    let leaving = FakeEndpoint::start(|_, e| e.answer(200, "leaving"));
+    let draining = FakeEndpoint::start(|_, e| e.answer(200, "draining"));
     let steady = FakeEndpoint::start(|_, e| e.answer(200, "steady"));
     let store = store_with(1, "/a/");
-    store.put_endpoint(endpoint("e1", leaving.address));
+    store.put_endpoint(endpoint("e1", draining.address));
     store.put_endpoint(endpoint("e2", steady.address));
     let pair = pair(&store);
-    // All of it comes to the first gateway at once.
+    // The first gateway receives all changes at once.
     pair.first.store.refuse(true);
-    let mut left = endpoint("e1", leaving.address);
-    left.state = EndpointState::Draining { leaves_in: None };
-    store.put_endpoint(left);
-    // Names that don't shrink: together more than one gateway passes on to another at once.
+    let mut record = endpoint("e1", draining.address);
+    record.state = EndpointState::Draining { leaves_in: None };
+    store.put_endpoint(record);
+    // Names that cannot be compressed, so that the changes exceed the size of one reply between gateways.
     for number in 0..OTHERS {
         let name = format!("{:016x}", xxhash_rust::xxh3::xxh3_64(&number.to_le_bytes()));
         let mut other = endpoint(&name, steady.address);
@@ -194,10 +194,10 @@
     }
     pair.first.store.refuse(false);
     let call = || pair.second.call("/a/1", &["x-key: k"]);
-    wait_until("the leaving one to get nothing more", || {
-        let before = leaving.heads().len();
+    wait_until("the draining endpoint to get no more requests", || {
+        let before = draining.heads().len();
         let served = (0..CALLS).filter(|_| call().status == 200).count();
-        served == CALLS && leaving.heads().len() == before
+        served == CALLS && draining.heads().len() == before
     });
     assert!(steady.heads().len() >= CALLS);
 }
--- a/components/gateway/tests/store_readers.rs
+++ b/components/gateway/tests/store_readers.rs
@@ -1,4 +1,4 @@
-//! Who reads the store for a region, and which halls' lists are read, in virtual time.
+//! Which gateways read the store for their region and which hall lists they read, simulated in virtual time.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
@@ -8,7 +8,7 @@
 use topology::Topology;
 
 const READERS: usize = 2;
-const IN_HALL: usize = 10;
+const GATEWAYS_PER_HALL: usize = 10;
 const HALLS: [&str; 4] = ["a1", "a2", "b1", "b2"];
 
 fn ms(ms: u64) -> Duration {
@@ -37,7 +37,7 @@
 }
 
 fn of_hall(hall: &str) -> Vec<Listed> {
-    (0..IN_HALL).map(|i| listed(hall, i)).collect()
+    (0..GATEWAYS_PER_HALL).map(|i| listed(hall, i)).collect()
 }
 
 struct Member {
@@ -58,8 +58,8 @@
         }
     }
 
-    /// Reads what is due at once, and returns the halls.
-    fn list(&mut self, now: Duration) -> Vec<String> {
+    /// Reads the lists of all halls that are due, and returns the halls.
+    fn read_due_lists(&mut self, now: Duration) -> Vec<String> {
         let mut read = Vec::new();
         while let Some(hall) = self.peers.next_hall(now, &self.topology) {
             let gateways = of_hall(&hall);
@@ -92,24 +92,24 @@
     }
 }
 
-/// All gateways of all halls; those that are cut off from the store say so.
-struct World {
+/// Simulates all gateways of all halls; gateways that cannot reach the store report it.
+struct Simulation {
     members: Vec<Member>,
     dead: BTreeSet<String>,
-    away: BTreeSet<String>,
+    cut_from_store: BTreeSet<String>,
     sequence: i64,
-    read: usize,
+    lists_read: usize,
 }
 
-impl World {
+impl Simulation {
     fn new() -> Self {
         let all = HALLS.iter().flat_map(|hall| of_hall(hall));
-        World {
+        Simulation {
             members: all.map(Member::new).collect(),
             dead: BTreeSet::new(),
-            away: BTreeSet::new(),
+            cut_from_store: BTreeSet::new(),
             sequence: 0,
-            read: 0,
+            lists_read: 0,
         }
     }
 
@@ -119,8 +119,8 @@
         let runs = |m: &Member| !dead.contains(&m.own.name);
         let mut greetings = Vec::new();
         for member in self.members.iter_mut().filter(|m| runs(m)) {
-            self.read += member.list(now).len();
-            let reaches = !self.away.contains(&member.own.name);
+            self.lists_read += member.read_due_lists(now).len();
+            let reaches = !self.cut_from_store.contains(&member.own.name);
             greetings.push(member.greeting(now, self.sequence, reaches));
         }
         for member in self.members.iter_mut().filter(|m| runs(m)) {
@@ -154,13 +154,13 @@
 }
 
 #[test]
-fn two_gateways_of_each_region_read_the_store_also_right_after_a_start_of_all() {
-    let mut world = World::new();
+fn only_two_gateways_of_each_region_read_the_store_from_a_simultaneous_start_on() {
+    let mut simulation = Simulation::new();
     let mut have_read: BTreeMap<&str, BTreeSet<String>> = BTreeMap::new();
     for at in (0..=3000).step_by(100) {
-        world.step(ms(at));
+        simulation.step(ms(at));
         for region in ["a", "b"] {
-            let readers = world.readers(region, ms(at));
+            let readers = simulation.readers(region, ms(at));
             have_read.entry(region).or_default().extend(readers);
         }
     }
@@ -170,72 +170,84 @@
 }
 
 #[test]
-fn a_region_whose_readers_are_killed_at_once_finds_others_within_a_second() {
-    let mut world = World::new();
-    let now = world.run(0, 3000);
-    let gone = world.readers("b", now);
-    let others = world.readers("a", now);
-    world.dead = gone.clone();
-    let now = world.run(3100, 4100);
-    let readers = world.readers("b", now);
+fn a_region_whose_readers_die_together_has_others_within_a_second() {
+    let mut simulation = Simulation::new();
+    let now = simulation.run(0, 3000);
+    let gone = simulation.readers("b", now);
+    let others = simulation.readers("a", now);
+    simulation.dead = gone.clone();
+    let now = simulation.run(3100, 4100);
+    let readers = simulation.readers("b", now);
     assert_eq!(readers.len(), READERS, "{readers:?}");
     assert!(readers.is_disjoint(&gone));
     assert_eq!(
-        world.readers("a", now),
+        simulation.readers("a", now),
         others,
-        "the other region keeps its own"
+        "the readers of the other region changed"
     );
 }
 
 #[test]
-fn a_reader_that_the_store_turns_away_is_followed_by_another() {
-    let mut world = World::new();
-    let now = world.run(0, 3000);
-    let turned_away = world.readers("b", now);
-    world.away = turned_away.clone();
-    let now = world.run(3100, 3300);
-    assert!(world.readers("b", now).difference(&turned_away).count() >= READERS);
+fn readers_refused_by_the_store_are_replaced() {
+    let mut simulation = Simulation::new();
+    let now = simulation.run(0, 3000);
+    let refused = simulation.readers("b", now);
+    simulation.cut_from_store = refused.clone();
+    let now = simulation.run(3100, 3300);
+    assert!(simulation.readers("b", now).difference(&refused).count() >= READERS);
 }
 
 #[test]
-fn only_those_that_coordinate_read_the_lists_of_other_halls() {
-    let mut world = World::new();
-    world.run(0, 3000);
-    let all = HALLS.len() * IN_HALL;
-    // Each its own, and three of each hall those of the three others.
-    assert_eq!(world.read, all + HALLS.len() * 3 * (HALLS.len() - 1));
+fn only_coordinators_read_the_lists_of_other_halls() {
+    let mut simulation = Simulation::new();
+    simulation.run(0, 3000);
+    let all = HALLS.len() * GATEWAYS_PER_HALL;
+    // Every gateway reads its own list, and the three coordinators of each hall read those of the other halls.
+    assert_eq!(
+        simulation.lists_read,
+        all + HALLS.len() * 3 * (HALLS.len() - 1)
+    );
 }
 
 #[test]
-fn a_gateway_that_hears_no_coordinator_reads_the_halls_of_its_region_before_the_others() {
+fn a_gateway_without_reachable_coordinators_reads_lists_of_its_region_before_those_of_others() {
     let all = of_hall("b1").into_iter().map(Member::new);
     let mut members: Vec<Member> = all.collect();
     for member in &mut members {
-        assert_eq!(member.list(ms(0)), ["b1"]);
+        assert_eq!(member.read_due_lists(ms(0)), ["b1"]);
     }
-    let mut lonely = members
+    let mut isolated = members
         .into_iter()
         .find(|m| !m.peers.coordinates(ms(0)))
         .unwrap();
-    assert!(lonely.list(ms(1000)).is_empty(), "it waits first");
-    // One after the other: somebody may answer before the next is needed.
-    assert_eq!(lonely.list(ms(1500)), ["b2"]);
-    assert!(lonely.list(ms(1600)).is_empty(), "it waits for an answer");
+    assert!(
+        isolated.read_due_lists(ms(1000)).is_empty(),
+        "read before the first wait ended"
+    );
+    // It reads one list at a time, since a gateway of that list may answer before the next one is needed.
+    assert_eq!(isolated.read_due_lists(ms(1500)), ["b2"]);
+    assert!(
+        isolated.read_due_lists(ms(1600)).is_empty(),
+        "read while an answer may still come"
+    );
     let read: Vec<String> = (1700..5000)
         .step_by(100)
-        .flat_map(|at| lonely.list(ms(at)))
+        .flat_map(|at| isolated.read_due_lists(ms(at)))
         .collect();
     assert_eq!(read, ["a1", "a2"]);
-    assert!(lonely.list(ms(5000)).is_empty());
+    assert!(isolated.read_due_lists(ms(5000)).is_empty());
 }
 
 #[test]
-fn halls_that_were_not_read_count_as_large_as_the_own_one() {
+fn unread_halls_count_as_many_gateways_as_the_own_hall() {
     let mut member = Member::new(listed("a1", 0));
     let before = member.peers.count(ms(0)).gateways();
-    assert!(before > 100, "nothing is known yet: {before}");
+    assert!(
+        before > 100,
+        "too few gateways assumed before any list was read: {before}"
+    );
     let hall = of_hall("a1").into_iter();
     member.peers.listed_hall(ms(0), "a1", hall);
     let count = member.peers.count(ms(0)).gateways();
-    assert!(count >= HALLS.len() * IN_HALL, "{count}");
+    assert!(count >= HALLS.len() * GATEWAYS_PER_HALL, "{count}");
 }
--- a/components/gateway/tests/version_skew.rs
+++ b/components/gateway/tests/version_skew.rs
@@ -1,4 +1,4 @@
-//! Gateways of an earlier message set beside today's, as while a fleet is replaced one by one.
+//! Gateways beside coordinators with an earlier version of the messages, as during a rolling update.
 
 mod common;
 
@@ -21,14 +21,14 @@
 const REQUESTS: usize = 20;
 const MAX_DATAGRAM: usize = 8192;
 
-/// A coordinator that knows neither what endpoints told the gateway that asks, nor their starts.
+/// A fake coordinator of an earlier version: it ignores what endpoints reported to the asking gateway, and their restarts.
 struct EarlierCoordinator {
     port: u16,
     decided: Arc<AtomicUsize>,
 }
 
 impl EarlierCoordinator {
-    /// Places each request at the first of the endpoints that it was not tried at.
+    /// Places each request on the first endpoint that the query does not exclude.
     fn start(endpoints: Vec<Endpoint>) -> Self {
         let socket = UdpSocket::bind("127.0.0.1:0").unwrap();
         let port = socket.local_addr().unwrap().port();
@@ -42,7 +42,7 @@
         self.decided.load(Ordering::SeqCst)
     }
 
-    /// Rows of three gateways of the hall that decide at its port.
+    /// Writes the rows of three gateways of the hall that decide at this port.
     fn list(&self, store: &FakeStore) {
         for (i, name) in ["old1", "old2", "old3"].into_iter().enumerate() {
             let row = GatewayRow {
@@ -97,8 +97,8 @@
     DecisionReply::new(query.number, None, placed, None, None)
 }
 
-/// An earlier coordinator, and a gateway of today that asks it.
-fn earlier_and_asking(endpoints: Vec<Endpoint>) -> (EarlierCoordinator, Setup) {
+/// Starts an earlier coordinator and a gateway of the current version that asks it.
+fn start_with_earlier_coordinator(endpoints: Vec<Endpoint>) -> (EarlierCoordinator, Setup) {
     let store = FakeStore::default();
     store.put_configuration(configuration(1, vec![route("/a/", Execution::Repeatable)]));
     for endpoint in endpoints.clone() {
@@ -116,42 +116,45 @@
 }
 
 #[test]
-fn what_endpoints_told_a_gateway_binds_it_whatever_an_earlier_coordinator_decides() {
+fn a_gateway_avoids_leaving_and_paused_endpoints_that_an_earlier_coordinator_chooses() {
     let leaving = FakeEndpoint::start(|_, exchange| exchange.answer_leaving());
     let busy = FakeEndpoint::start(|_, exchange| exchange.decline_with_pause(PAUSE));
     let steady = FakeEndpoint::start(|_, exchange| exchange.answer(200, "x"));
     let fakes = [("e1", &leaving), ("e2", &busy), ("e3", &steady)];
     let endpoints = fakes.map(|(id, fake)| endpoint(id, fake.address));
-    let (coordinator, asking) = earlier_and_asking(endpoints.to_vec());
-    wait_until("both to tell it", || {
-        asking.call("/a/1", &[]);
-        !leaving.heads().is_empty() && !busy.heads().is_empty()
-    });
+    let (coordinator, asking) = start_with_earlier_coordinator(endpoints.to_vec());
+    wait_until(
+        "a request to reach the leaving and the busy endpoint",
+        || {
+            asking.call("/a/1", &[]);
+            !leaving.heads().is_empty() && !busy.heads().is_empty()
+        },
+    );
     let before = coordinator.decided();
     for _ in 0..REQUESTS {
         assert_eq!(asking.call("/a/1", &[]).status, 200);
     }
-    // It names each of the two first, and is asked again.
+    // For each request the coordinator chooses each of the two endpoints first, so it is asked three times.
     assert!(coordinator.decided() >= before + 3 * REQUESTS);
     assert_eq!((leaving.heads().len(), busy.heads().len()), (1, 1));
     assert!(steady.heads().len() >= REQUESTS);
 }
 
-// Guards against sends past an endpoint's limit while those who place requests keep no account of it.
+// Guards against requests beyond an endpoint's limit when coordinators keep no account of the limit.
 #[test]
-fn an_endpoint_that_names_a_limit_gets_nothing_where_earlier_coordinators_keep_no_account() {
-    let in_need = FakeEndpoint::start(|_, exchange| exchange.answer_with_limit("1"));
+fn an_endpoint_with_a_limit_gets_no_requests_if_the_coordinator_keeps_no_account_of_it() {
+    let limited = FakeEndpoint::start(|_, exchange| exchange.answer_with_limit("1"));
     let steady = FakeEndpoint::start(|_, exchange| exchange.answer(200, "x"));
-    let endpoints = [("e1", &in_need), ("e2", &steady)];
+    let endpoints = [("e1", &limited), ("e2", &steady)];
     let endpoints = endpoints.map(|(id, fake)| endpoint(id, fake.address));
-    let (_coordinator, asking) = earlier_and_asking(endpoints.to_vec());
-    wait_until("it to tell its limit", || {
+    let (_coordinator, asking) = start_with_earlier_coordinator(endpoints.to_vec());
+    wait_until("the endpoint to name its limit", || {
         asking.call("/a/1", &[]);
-        !in_need.heads().is_empty()
+        !limited.heads().is_empty()
     });
     for _ in 0..REQUESTS {
         assert_eq!(asking.call("/a/1", &[]).status, 200);
     }
-    assert_eq!(in_need.heads().len(), 1);
+    assert_eq!(limited.heads().len(), 1);
     assert!(steady.heads().len() >= REQUESTS);
 }
--- a/components/gateway/tests/vm_suspension.rs
+++ b/components/gateway/tests/vm_suspension.rs
@@ -1,7 +1,8 @@
-//! A VM that was suspended: its steady clock stood, the time of everybody else went on.
+//! Suspension of the VM of a gateway: its monotonic clock stops while time goes on for all others.
 //!
-//! Found by reading: whatever bounds a promise was read from the steady clock, so a gateway that woke believed its word on
-//! keys, its lease and its callers' deadlines younger than they were.
+//! Guards against expired state that is still used after a suspension: ages were measured on the monotonic clock, so a
+//! resumed gateway took its confirmation of keys, its lease and the deadlines of its callers for younger than they were.
+//! The fault was found by reading the code.
 
 mod common;
 
@@ -17,7 +18,7 @@
 use gateway::Clock;
 use schema::settings::GatewaySettings;
 
-/// A gateway whose VM can be suspended.
+/// A gateway on a VM that a test can suspend.
 struct Suspendable {
     setup: Setup,
     lines: LogLines,
@@ -37,7 +38,7 @@
         }
     }
 
-    /// Its steady clock stands for so long; nothing runs meanwhile.
+    /// Simulates a suspension: the time passes at once, and the monotonic clock does not count it.
     fn suspend(&self, time: Duration) {
         let ms = time.as_millis() as u64;
         self.suspended_ms.fetch_add(ms, Ordering::Relaxed);
@@ -56,41 +57,41 @@
     store
 }
 
-/// A ready gateway that accepts keys on word of the last minute only.
-fn start_fail_closed(store: &FakeStore) -> Suspendable {
-    let fail_closed = GatewaySettings {
+/// Starts a gateway that accepts keys only if they were confirmed in the last minute.
+fn start_with_key_expiry(store: &FakeStore) -> Suspendable {
+    let key_expiry = GatewaySettings {
         credential_age_ms: 60_000,
         ..settings()
     };
-    let gateway = Suspendable::start(fail_closed, store);
+    let gateway = Suspendable::start(key_expiry, store);
     wait_until("readiness", || gateway.setup.is_ready());
     gateway
 }
 
 #[test]
-fn a_key_is_not_accepted_on_word_from_before_a_suspension() {
+fn a_key_confirmed_before_a_suspension_is_not_accepted_after_it_expired() {
     let store = store_with_key();
     let fake = FakeEndpoint::start(|_, exchange| exchange.answer(200, "x"));
     store.put_endpoint(endpoint("e", fake.address));
-    let gateway = start_fail_closed(&store);
+    let gateway = start_with_key_expiry(&store);
     store.stop_responding();
     store.refuse(true);
     let call = || gateway.setup.call("/a/1", &["x-key: k"]).status;
     assert_eq!(call(), 200);
     gateway.suspend(Duration::from_secs(60));
     assert_eq!(call(), 503);
-    wait_until("it to notice", || gateway.has_noticed());
+    wait_until("the log line of the suspension", || gateway.has_noticed());
 }
 
 #[test]
-fn a_request_between_decision_and_send_is_not_sent_after_its_time() {
+fn a_request_waiting_for_an_endpoint_is_not_sent_if_its_deadline_passed_in_a_suspension() {
     let store = store_with_key();
     let gateway = Suspendable::start(settings(), &store);
     wait_until("readiness", || gateway.setup.is_ready());
     let address = gateway.setup.address();
-    // It waits for an endpoint to appear.
+    // The request waits for an endpoint to appear.
     let request = request_text("/a/1", &["x-key: k", "x-deadline: 30000"]);
-    let asked = thread::spawn(move || send(address, &request));
+    let caller = thread::spawn(move || send(address, &request));
     let accepted = || {
         gateway
             .setup
@@ -103,13 +104,13 @@
     gateway.suspend(Duration::from_secs(30));
     let fake = FakeEndpoint::start(|_, exchange| exchange.answer(200, "x"));
     store.put_endpoint(endpoint("e", fake.address));
-    let answer = asked.join().unwrap();
+    let answer = caller.join().unwrap();
     assert_eq!(answer.status, 503, "{}", answer.head);
     assert!(fake.heads().is_empty());
 }
 
 #[test]
-fn a_wait_whose_time_passed_in_a_suspension_ends_soon_after_it() {
+fn a_request_whose_deadline_passed_in_a_suspension_ends_soon_after_it() {
     let store = store_with_key();
     let silent = FakeEndpoint::start(|_, exchange| exchange.wait_closed());
     store.put_endpoint(endpoint("e", silent.address));
@@ -117,16 +118,19 @@
     wait_until("readiness", || gateway.setup.is_ready());
     let address = gateway.setup.address();
     let request = request_text("/a/1", &["x-key: k", "x-deadline: 9000"]);
-    let asked = thread::spawn(move || send(address, &request));
+    let caller = thread::spawn(move || send(address, &request));
     wait_until("the request", || silent.heads().len() == 1);
     let started = Instant::now();
     gateway.suspend(Duration::from_secs(9));
-    assert_eq!(asked.join().unwrap().status, 504);
-    assert!(started.elapsed() < Duration::from_secs(5), "by its timer");
+    assert_eq!(caller.join().unwrap().status, 504);
+    assert!(
+        started.elapsed() < Duration::from_secs(5),
+        "ended by the timer of the deadline"
+    );
 }
 
 #[test]
-fn a_holder_of_the_lease_that_was_suspended_for_longer_than_it_gives_it_up() {
+fn a_lease_holder_suspended_for_longer_than_the_lease_gives_it_up() {
     let store = store_with_key();
     let long_lease = GatewaySettings {
         reports_usage: true,
@@ -135,24 +139,26 @@
     };
     let gateway = Suspendable::start(long_lease, &store);
     wait_until("the lease", || gateway.lines.count("lease gained") > 0);
-    // Nothing tells it that another holds the lease by now.
+    // The store cannot tell it that another gateway holds the lease by now.
     store.refuse(true);
     gateway.suspend(Duration::from_secs(60));
-    wait_until("it to give it up", || gateway.lines.count("lease lost") > 0);
+    wait_until("the lease to be given up", || {
+        gateway.lines.count("lease lost") > 0
+    });
 }
 
 #[test]
-fn an_answer_of_the_store_that_lay_on_the_way_through_a_suspension_confirms_no_key() {
+fn a_store_answer_in_flight_during_a_suspension_confirms_no_key() {
     let store = store_with_key();
     let fake = FakeEndpoint::start(|_, exchange| exchange.answer(200, "x"));
     store.put_endpoint(endpoint("e", fake.address));
-    let gateway = start_fail_closed(&store);
+    let gateway = start_with_key_expiry(&store);
     let call = || gateway.setup.call("/b/1", &["x-key: k"]).status;
     let mut changed = configuration(2, vec![route("/b/", Execution::Once)]);
     changed.tenants = vec![tenant("t", "k")];
     store.hold_answers(true);
     store.put_configuration(changed);
-    // The store has answered; nothing else does from now on.
+    // The held answer is the only one that can confirm the key from here on.
     wait_until("the answer to be made", || store.answers_held() > 0);
     store.refuse(true);
     gateway.suspend(Duration::from_secs(60));
