--- a/components/gateway/tests/endpoint_signals.rs
+++ b/components/gateway/tests/endpoint_signals.rs
@@ -1,10 +1,10 @@
-//! Endpoints that say in an answer that they leave, or ask for a pause.
+//! Answers in which an endpoint says that it is leaving or asks for a pause.
 //!
-//! Seen: while the store was silent, gateways went on sending to an endpoint for six seconds after they had passed on an
-//! answer of it which said that it leaves; and an endpoint that had turned a request away and asked for 3 s of rest got
-//! five more from the same gateway meanwhile, since it looked idle. The words stood in the answers and nobody read them.
-//! What proved it: every such request was a new one, placed by the gateway itself within milliseconds, and the endpoint's
-//! record could not have told of it.
+//! Guards against ignored answers: while the store did not respond, gateways sent requests to an endpoint for six seconds after
+//! they had passed on an answer that said that it was leaving. An endpoint that had declined a request and asked for a pause
+//! of 3 s got five more from the same gateway in that time, since it looked idle. The gateways did not read these parts of the
+//! answers. Each of the requests was new and placed by the gateway itself within milliseconds, so the record of the endpoint
+//! could not have told the gateway.
 
 mod common;
 
@@ -19,12 +19,12 @@
 use gateway::Clock;
 use schema::settings::GatewaySettings;
 
-/// Requests after the word; half of them would go to an endpoint that is as good as the other.
+/// Requests sent after the answer. Half of them go to each of two endpoints that are equally good.
 const REQUESTS: usize = 30;
 /// Longer than any test runs.
 const PAUSE: Duration = Duration::from_secs(600);
-/// A connection that may be used again is kept for so long.
-const RESTS_FOR: Duration = Duration::from_secs(8);
+/// Time for which an idle connection is kept.
+const IDLE_TIME: Duration = Duration::from_secs(8);
 
 fn steady() -> FakeEndpoint {
     FakeEndpoint::start(|_, exchange| exchange.answer(200, "steady"))
@@ -60,22 +60,22 @@
     setup
 }
 
-/// Calls until an endpoint has been asked once.
-fn call_until_asked(setup: &Setup, fake: &FakeEndpoint) {
-    wait_until("a request to reach it", || {
+/// Sends requests until one reaches the endpoint.
+fn call_until_reached(setup: &Setup, fake: &FakeEndpoint) {
+    wait_until("a request to reach the endpoint", || {
         setup.call("/a/1", &[]);
         !fake.heads().is_empty()
     });
 }
 
-fn call_all_served(setup: &Setup) {
+fn assert_all_served(setup: &Setup) {
     for _ in 0..REQUESTS {
         assert_eq!(setup.call("/a/1", &[]).status, 200);
     }
 }
 
-/// Three gateways that decide, and one that asks them.
-fn four(store: &FakeStore) -> (Vec<Setup>, Setup) {
+/// Starts three coordinators and one gateway that asks them.
+fn start_four(store: &FakeStore) -> (Vec<Setup>, Setup) {
     let named = |name: &str, cores_milli, seeds| GatewaySettings {
         name: name.into(),
         cores_milli,
@@ -92,18 +92,18 @@
 }
 
 #[test]
-fn an_endpoint_that_says_it_leaves_gets_nothing_more_while_the_store_is_silent() {
+fn a_leaving_endpoint_gets_no_more_requests_while_the_store_does_not_respond() {
     let (leaving, steady) = (leaving(), steady());
     let store = store(Execution::Once, both(&leaving, &steady));
     let setup = start(&store);
     store.stop_responding();
-    call_until_asked(&setup, &leaving);
-    call_all_served(&setup);
+    call_until_reached(&setup, &leaving);
+    assert_all_served(&setup);
     assert_eq!(leaving.heads().len(), 1);
 }
 
 #[test]
-fn an_endpoint_that_asked_for_a_pause_gets_nothing_until_its_end() {
+fn an_endpoint_that_asked_for_a_pause_gets_no_requests_until_the_pause_ends() {
     let (busy, steady) = (busy(), steady());
     let store = store(Execution::Repeatable, both(&busy, &steady));
     let suspended_ms: &'static AtomicU64 = Box::leak(Box::default());
@@ -114,72 +114,78 @@
         Clock::start_suspendable(suspended_ms),
     );
     wait_until("readiness", || setup.is_ready());
-    call_until_asked(&setup, &busy);
-    call_all_served(&setup);
+    call_until_reached(&setup, &busy);
+    assert_all_served(&setup);
     assert_eq!(busy.heads().len(), 1);
-    // Its end comes also for a gateway whose VM was suspended meanwhile.
+    // The pause also ends for a gateway whose VM is suspended during it.
     suspended_ms.fetch_add(PAUSE.as_millis() as u64, Ordering::Relaxed);
-    wait_until("it to be asked again", || {
+    wait_until("a request to reach the endpoint again", || {
         setup.call("/a/1", &[]);
         busy.heads().len() == 2
     });
 }
 
 #[test]
-fn a_gateway_that_asks_coordinators_keeps_to_what_endpoints_told_it() {
+fn a_gateway_that_asks_coordinators_avoids_leaving_and_paused_endpoints() {
     let (leaving, busy, steady) = (leaving(), busy(), steady());
     let mut endpoints = both(&leaving, &steady);
     endpoints.push(endpoint("e3", busy.address));
-    let (_coordinators, asking) = four(&store(Execution::Repeatable, endpoints));
-    call_until_asked(&asking, &leaving);
-    call_until_asked(&asking, &busy);
-    call_all_served(&asking);
+    let (_coordinators, asking) = start_four(&store(Execution::Repeatable, endpoints));
+    call_until_reached(&asking, &leaving);
+    call_until_reached(&asking, &busy);
+    assert_all_served(&asking);
     assert_eq!((leaving.heads().len(), busy.heads().len()), (1, 1));
 }
 
 #[test]
-fn a_record_that_still_says_ready_does_not_bring_a_leaving_endpoint_back() {
+fn a_record_with_the_state_ready_does_not_return_a_leaving_endpoint_to_use() {
     let (leaving, steady) = (leaving(), steady());
     let store = store(Execution::Once, both(&leaving, &steady));
     let lines = LogLines::default();
     let setup = Setup::start_with_log(settings(), store.clone(), lines.logger());
     wait_until("readiness", || setup.is_ready());
-    call_until_asked(&setup, &leaving);
-    // Its newest heartbeat, written before it began to leave.
-    let mut late = endpoint("e1", leaving.address);
-    late.slots += 1;
-    store.put_endpoint(late.clone());
-    wait_until("the record", || lines.count("endpoint changed") > 2);
-    call_all_served(&setup);
-    // Its record lapses and is back.
+    call_until_reached(&setup, &leaving);
+    // A late heartbeat that the endpoint wrote before it began to leave.
+    let mut late_record = endpoint("e1", leaving.address);
+    late_record.slots += 1;
+    store.put_endpoint(late_record.clone());
+    wait_until("the log line of the record", || {
+        lines.count("endpoint changed") > 2
+    });
+    assert_all_served(&setup);
+    // The record expires and is written again.
     store.delete_endpoint("e1");
-    wait_until("the drop", || lines.count("endpoint gone") > 0);
-    store.put_endpoint(late);
-    wait_until("the record", || lines.count("endpoint changed") > 3);
-    call_all_served(&setup);
+    wait_until("the log line of the expiry", || {
+        lines.count("endpoint gone") > 0
+    });
+    store.put_endpoint(late_record);
+    wait_until("the log line of the record", || {
+        lines.count("endpoint changed") > 3
+    });
+    assert_all_served(&setup);
     assert_eq!(leaving.heads().len(), 1);
 }
 
 #[test]
-fn an_endpoint_that_started_again_gets_requests_again() {
+fn a_leaving_endpoint_gets_requests_again_after_a_restart() {
     let (leaving, steady) = (leaving(), steady());
-    let born = |born_ms| Endpoint {
+    let started_at = |born_ms| Endpoint {
         born_ms: Some(born_ms),
         ..endpoint("e1", leaving.address)
     };
-    let endpoints = vec![born(1), endpoint("e2", steady.address)];
+    let endpoints = vec![started_at(1), endpoint("e2", steady.address)];
     let store = store(Execution::Once, endpoints);
     let setup = start(&store);
-    call_until_asked(&setup, &leaving);
-    store.put_endpoint(born(2));
-    wait_until("a request to reach its next start", || {
+    call_until_reached(&setup, &leaving);
+    store.put_endpoint(started_at(2));
+    wait_until("a request to reach the restarted endpoint", || {
         setup.call("/a/1", &[]);
         leaving.heads().len() == 2
     });
 }
 
 #[test]
-fn a_connection_that_rests_is_not_kept_to_an_endpoint_that_leaves() {
+fn an_idle_connection_to_a_leaving_endpoint_is_closed_early() {
     let closed = Arc::new(AtomicBool::new(false));
     let seen = Arc::clone(&closed);
     let leaving = FakeEndpoint::start(move |_, exchange| {
@@ -189,14 +195,17 @@
     });
     let steady = steady();
     let setup = start(&store(Execution::Once, both(&leaving, &steady)));
-    call_until_asked(&setup, &leaving);
-    let asked = Instant::now();
+    call_until_reached(&setup, &leaving);
+    let reached = Instant::now();
     wait_until("the connection to close", || closed.load(Ordering::SeqCst));
-    assert!(asked.elapsed() < RESTS_FOR / 2, "by its time");
+    assert!(
+        reached.elapsed() < IDLE_TIME / 2,
+        "closed by the idle timeout"
+    );
 }
 
 #[test]
-fn a_stream_of_an_endpoint_that_leaves_ends_whole_and_another_goes_on_elsewhere() {
+fn a_stream_of_a_leaving_endpoint_completes_and_a_broken_one_does_not_resume_there() {
     let resumable = Execution::Stream { resumable: true };
     let leaving = FakeEndpoint::start(|_, exchange| {
         exchange.begin_leaving_stream();
@@ -217,7 +226,7 @@
     let mut endpoints = both(&leaving, &steady);
     endpoints.push(endpoint("e3", breaking.address));
     let setup = start(&store(resumable, endpoints));
-    call_until_asked(&setup, &leaving);
+    call_until_reached(&setup, &leaving);
     for _ in 0..REQUESTS {
         let answer = setup.call("/a/1", &[]);
         assert!(answer.is_complete, "{}", answer.body);
@@ -227,19 +236,19 @@
 }
 
 #[test]
-fn a_request_whose_endpoints_all_paused_is_refused_at_once_with_the_time_until_one_wants_it() {
+fn a_request_whose_endpoints_are_all_paused_is_refused_with_the_time_until_a_pause_ends() {
     let (first, second) = (busy(), busy());
-    let mut patient = route("/a/", Execution::Repeatable);
-    // An endpoint is waited for during a sixth of it.
-    patient.target = Duration::from_secs(600);
-    patient.timeout = Duration::from_secs(600);
+    let mut long_route = route("/a/", Execution::Repeatable);
+    // A request waits for an endpoint for a sixth of the target.
+    long_route.target = Duration::from_secs(600);
+    long_route.timeout = Duration::from_secs(600);
     let store = FakeStore::default();
-    store.put_configuration(configuration(1, vec![patient]));
+    store.put_configuration(configuration(1, vec![long_route]));
     for endpoint in both(&first, &second) {
         store.put_endpoint(endpoint);
     }
     let setup = start(&store);
-    // Both are tried, and the time is told already.
+    // The first request tries both endpoints and already gets the time.
     let answers = [setup.call("/a/1", &[]), setup.call("/a/1", &[])];
     for answer in answers {
         assert_eq!(answer.status, 503);
@@ -251,7 +260,7 @@
 }
 
 #[test]
-fn a_pause_asked_of_one_gateway_does_not_bind_another() {
+fn a_pause_requested_from_one_gateway_does_not_apply_to_another() {
     let busy = busy();
     let endpoints = vec![endpoint("e1", busy.address)];
     let store = store(Execution::Once, endpoints);
@@ -262,13 +271,13 @@
 }
 
 #[test]
-fn a_pause_asked_of_a_coordinator_does_not_bind_the_gateways_that_ask_it() {
+fn a_pause_requested_from_coordinators_does_not_apply_to_a_gateway_that_asks_them() {
     let busy = FakeEndpoint::start(|number, exchange| match number {
         0..3 => exchange.decline_with_pause(PAUSE),
         _ => exchange.answer(200, "x"),
     });
     let store = store(Execution::Once, vec![endpoint("e1", busy.address)]);
-    let (coordinators, asking) = four(&store);
+    let (coordinators, asking) = start_four(&store);
     for coordinator in &coordinators {
         assert_eq!(coordinator.call("/a/1", &[]).status, 503);
     }
@@ -276,7 +285,7 @@
 }
 
 #[test]
-fn the_end_of_an_endpoint_that_said_it_leaves_says_nothing_of_what_it_ran() {
+fn an_answer_cut_off_by_a_leaving_endpoint_is_not_logged_as_cut_off() {
     let leaving = FakeEndpoint::start(|_, exchange| {
         exchange.begin_leaving_stream();
         exchange.event(1);
@@ -288,25 +297,27 @@
     let setup = Setup::start_with_log(settings(), store, lines.logger());
     wait_until("readiness", || setup.is_ready());
     assert!(!setup.call("/a/1", &[]).is_complete);
-    wait_until("the stream's line", || lines.count("stream ended") > 0);
+    wait_until("the log line of the stream", || {
+        lines.count("stream ended") > 0
+    });
     assert_eq!(lines.count("endpoint cut an answer off"), 0);
 }
 
 #[test]
-fn a_pause_of_one_endpoint_is_not_told_as_the_time_to_come_back_while_another_is_open() {
-    let full = || FakeEndpoint::start(|_, exchange| exchange.decline());
-    let wait = |gateway: &Setup| {
+fn retry_after_ignores_the_pause_of_one_endpoint_while_another_is_not_paused() {
+    let declining = || FakeEndpoint::start(|_, exchange| exchange.decline());
+    let retry_after = |gateway: &Setup| {
         let answer = gateway.call("/a/1", &[]);
         assert_eq!(answer.status, 503);
         let wait = answer.header("retry-after").unwrap().parse::<f64>();
         wait.unwrap()
     };
-    let (busy, open) = (busy(), full());
-    let store = store(Execution::Repeatable, both(&busy, &open));
-    let (coordinators, asking) = four(&store);
+    let (busy, not_paused) = (busy(), declining());
+    let store = store(Execution::Repeatable, both(&busy, &not_paused));
+    let (coordinators, asking) = start_four(&store);
     for gateway in [&coordinators[0], &asking] {
         for _ in 0..3 {
-            let wait = wait(gateway);
+            let wait = retry_after(gateway);
             assert!(wait < 60.0, "{wait}");
         }
     }
--- a/components/gateway/tests/hall_coordinators.rs
+++ b/components/gateway/tests/hall_coordinators.rs
@@ -1,4 +1,4 @@
-//! Who coordinates in each data hall, in a world of many gateways in virtual time.
+//! Choice of coordinators in each data hall, simulated for many gateways in virtual time.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
@@ -7,32 +7,32 @@
 use gateway::{Greeting, Listed, Peers};
 
 const STEP: Duration = Duration::from_millis(500);
-/// Steps until those that died are silent for all and others took their place.
-const SETTLED: usize = 12;
+/// Steps after which dead gateways count as silent everywhere and others have taken their place.
+const SETTLE_STEPS: usize = 12;
 
 struct Member {
     listed: Listed,
     peers: Peers,
     sequence: i64,
-    runs: bool,
-    cut_off: bool,
+    is_running: bool,
+    is_cut_off: bool,
 }
 
-struct World {
+struct Simulation {
     now: Duration,
     members: Vec<Member>,
     by_address: BTreeMap<SocketAddr, usize>,
-    sent: usize,
+    sent_in_step: usize,
 }
 
 fn address(index: usize) -> SocketAddr {
     SocketAddr::from(([10, 0, (index / 250) as u8, (index % 250) as u8], 7600))
 }
 
-impl World {
-    /// Gateways in halls, three of them larger in each, that all read the store's list.
-    fn new(halls: usize, in_each: usize) -> Self {
-        let listed = (0..halls * in_each).map(|i| Listed {
+impl Simulation {
+    /// Starts gateways in all halls, three larger ones in each. All of them have read the list of the store.
+    fn new(halls: usize, gateways_per_hall: usize) -> Self {
+        let listed = (0..halls * gateways_per_hall).map(|i| Listed {
             name: format!("g{i}"),
             address: address(i),
             hall: format!("h{}", i % halls),
@@ -47,33 +47,33 @@
                 listed: own.clone(),
                 peers,
                 sequence: 0,
-                runs: true,
-                cut_off: false,
+                is_running: true,
+                is_cut_off: false,
             }
         });
-        World {
+        Simulation {
             now: Duration::ZERO,
             members: members.collect(),
             by_address: (0..all.len()).map(|i| (address(i), i)).collect(),
-            sent: 0,
+            sent_in_step: 0,
         }
     }
 
     fn step(&mut self) {
         self.now += STEP;
-        self.sent = 0;
+        self.sent_in_step = 0;
         for from in 0..self.members.len() {
-            if !self.members[from].runs {
+            if !self.members[from].is_running {
                 continue;
             }
-            let (greeting, targets) = self.members[from].says(self.now);
-            self.sent += targets.len();
+            let (greeting, targets) = self.members[from].next_greeting(self.now);
+            self.sent_in_step += targets.len();
             for target in targets {
                 let Some(to) = self.by_address.get(&target).copied() else {
                     continue;
                 };
-                let reached = self.members[from].cut_off == self.members[to].cut_off;
-                if reached && self.members[to].runs {
+                let is_connected = self.members[from].is_cut_off == self.members[to].is_cut_off;
+                if is_connected && self.members[to].is_running {
                     self.members[to].peers.receive(self.now, greeting.clone());
                 }
             }
@@ -94,17 +94,17 @@
     }
 
     fn running(&self) -> impl Iterator<Item = &Member> {
-        self.members.iter().filter(|m| m.runs)
+        self.members.iter().filter(|m| m.is_running)
     }
 
     fn kill(&mut self, index: usize) {
-        self.members[index].runs = false;
+        self.members[index].is_running = false;
     }
 
     fn start(&mut self, index: usize) {
         let all: Vec<Listed> = self.members.iter().map(|m| m.listed.clone()).collect();
         let member = &mut self.members[index];
-        member.runs = true;
+        member.is_running = true;
         member.peers = Peers::new(member.listed.clone());
         member.peers.listed(self.now, all.into_iter());
         member.sequence = 0;
@@ -112,7 +112,7 @@
 }
 
 impl Member {
-    fn says(&mut self, now: Duration) -> (Greeting, BTreeSet<SocketAddr>) {
+    fn next_greeting(&mut self, now: Duration) -> (Greeting, BTreeSet<SocketAddr>) {
         self.sequence += 1;
         let coordinates = self.peers.coordinates(now);
         let targets = match coordinates {
@@ -148,17 +148,17 @@
 }
 
 #[test]
-fn in_each_hall_the_three_largest_gateways_coordinate_and_all_others_ask_them() {
-    let mut world = World::new(6, 50);
-    world.run(SETTLED);
+fn three_gateways_of_each_hall_coordinate_and_all_others_ask_them() {
+    let mut simulation = Simulation::new(6, 50);
+    simulation.run(SETTLE_STEPS);
     for hall in 0..6 {
-        let coordinators = world.coordinators(&format!("h{hall}"));
+        let coordinators = simulation.coordinators(&format!("h{hall}"));
         assert_eq!(coordinators.len(), 3, "hall {hall}: {coordinators:?}");
     }
-    for member in world.running() {
-        let fleet = member.peers.fleet(world.now);
+    for member in simulation.running() {
+        let fleet = member.peers.fleet(simulation.now);
         assert_eq!(fleet.gateways, 300);
-        match member.peers.coordinates(world.now) {
+        match member.peers.coordinates(simulation.now) {
             true => assert_eq!(fleet.part, 1.0),
             false => assert_eq!(fleet.coordinators.len(), 3),
         }
@@ -166,125 +166,136 @@
 }
 
 #[test]
-fn a_gateway_that_asks_knows_a_coordinator_of_each_other_hall() {
-    let mut world = World::new(6, 50);
-    world.run(SETTLED);
-    for member in world.running() {
-        let fleet = member.peers.fleet(world.now);
-        assert_eq!(fleet.decides, member.peers.coordinates(world.now));
-        let others: BTreeSet<usize> = fleet.others.iter().map(|a| world.by_address[a]).collect();
+fn a_gateway_that_asks_coordinators_knows_one_of_each_other_hall() {
+    let mut simulation = Simulation::new(6, 50);
+    simulation.run(SETTLE_STEPS);
+    for member in simulation.running() {
+        let fleet = member.peers.fleet(simulation.now);
+        assert_eq!(fleet.decides, member.peers.coordinates(simulation.now));
+        let others: BTreeSet<usize> = fleet
+            .others
+            .iter()
+            .map(|a| simulation.by_address[a])
+            .collect();
         let halls: BTreeSet<&str> = others
             .iter()
-            .map(|i| world.members[*i].listed.hall.as_str())
+            .map(|i| simulation.members[*i].listed.hall.as_str())
             .collect();
         let expected = if fleet.decides { 0 } else { 5 };
         assert_eq!(halls.len(), expected, "{}", member.listed.name);
-        let coordinate = |i: &usize| world.members[*i].peers.coordinates(world.now);
+        let coordinate = |i: &usize| simulation.members[*i].peers.coordinates(simulation.now);
         assert!(others.iter().all(coordinate));
     }
 }
 
 #[test]
-fn gateways_say_little_to_each_other_however_many_there_are() {
-    let mut world = World::new(6, 50);
-    world.run(SETTLED);
-    // Each of 282 to the three of its hall, 18 to each other and to the others of their hall.
-    assert!(world.sent <= 282 * 3 + 18 * (17 + 47), "{}", world.sent);
+fn messages_per_step_do_not_exceed_those_to_and_from_coordinators() {
+    let mut simulation = Simulation::new(6, 50);
+    simulation.run(SETTLE_STEPS);
+    // 282 gateways send to the three coordinators of their hall. 18 coordinators send to each other and to the 47 other
+    // gateways of their hall.
+    assert!(
+        simulation.sent_in_step <= 282 * 3 + 18 * (17 + 47),
+        "{}",
+        simulation.sent_in_step
+    );
 }
 
 #[test]
-fn where_halls_are_small_every_gateway_decides_for_itself() {
-    let mut world = World::new(4, 2);
-    world.run(SETTLED);
-    for member in world.running() {
-        let fleet = member.peers.fleet(world.now);
+fn every_gateway_of_a_small_hall_decides_itself() {
+    let mut simulation = Simulation::new(4, 2);
+    simulation.run(SETTLE_STEPS);
+    for member in simulation.running() {
+        let fleet = member.peers.fleet(simulation.now);
         assert!(fleet.coordinators.is_empty());
         assert_eq!(fleet.part, 1.0);
     }
 }
 
 #[test]
-fn others_take_the_place_of_coordinators_that_died_and_give_it_back() {
-    let mut world = World::new(6, 50);
-    world.run(SETTLED);
+fn dead_coordinators_are_replaced_until_they_run_again() {
+    let mut simulation = Simulation::new(6, 50);
+    simulation.run(SETTLE_STEPS);
     for index in [0, 6, 12] {
-        assert!(world.members[index].peers.coordinates(world.now));
-        world.kill(index);
+        assert!(simulation.members[index].peers.coordinates(simulation.now));
+        simulation.kill(index);
     }
-    world.run(SETTLED);
-    assert_eq!(world.coordinators("h0").len(), 3);
-    for member in world.running() {
-        let fleet = member.peers.fleet(world.now);
+    simulation.run(SETTLE_STEPS);
+    assert_eq!(simulation.coordinators("h0").len(), 3);
+    for member in simulation.running() {
+        let fleet = member.peers.fleet(simulation.now);
         assert!(fleet.part == 1.0 / 300.0 || fleet.part > 0.98, "{fleet:?}");
-        if !member.peers.coordinates(world.now) {
+        if !member.peers.coordinates(simulation.now) {
             assert_eq!(fleet.coordinators.len(), 3, "{}", member.listed.name);
         }
     }
-    [0, 6, 12].into_iter().for_each(|index| world.start(index));
-    world.run(SETTLED);
-    assert_eq!(world.coordinators("h0"), ["g0", "g6", "g12"]);
+    [0, 6, 12]
+        .into_iter()
+        .for_each(|index| simulation.start(index));
+    simulation.run(SETTLE_STEPS);
+    assert_eq!(simulation.coordinators("h0"), ["g0", "g6", "g12"]);
 }
 
 #[test]
-fn gateways_that_are_cut_off_from_the_others_use_no_more_than_their_part_together() {
-    let mut world = World::new(6, 50);
-    world.run(SETTLED);
-    // All coordinators of two halls and a fifth of the others.
+fn both_sides_of_a_network_partition_together_use_at_most_the_shared_whole() {
+    let mut simulation = Simulation::new(6, 50);
+    simulation.run(SETTLE_STEPS);
+    // Cuts off all coordinators of two halls and a fifth of all gateways.
     for index in (0..300).filter(|i| i % 5 == 0 || (i % 6 < 2 && *i < 18)) {
-        world.members[index].cut_off = true;
+        simulation.members[index].is_cut_off = true;
     }
-    world.run(SETTLED);
+    simulation.run(SETTLE_STEPS);
     let sum = |cut_off: bool| {
-        let side = || world.running().filter(|m| m.cut_off == cut_off);
+        let side = || simulation.running().filter(|m| m.is_cut_off == cut_off);
         let alone = side().filter(|m| {
-            let fleet = m.peers.fleet(world.now);
-            fleet.coordinators.is_empty() && !m.peers.coordinates(world.now)
+            let fleet = m.peers.fleet(simulation.now);
+            fleet.coordinators.is_empty() && !m.peers.coordinates(simulation.now)
         });
-        let alone: f64 = alone.map(|m| m.peers.fleet(world.now).part).sum();
-        let coordinators = side().filter(|m| m.peers.coordinates(world.now));
-        let most = coordinators.map(|m| m.peers.fleet(world.now).part);
-        alone + most.fold(0.0, f64::max)
+        let alone: f64 = alone.map(|m| m.peers.fleet(simulation.now).part).sum();
+        let coordinators = side().filter(|m| m.peers.coordinates(simulation.now));
+        let parts = coordinators.map(|m| m.peers.fleet(simulation.now).part);
+        alone + parts.fold(0.0, f64::max)
     };
     let (inside, outside) = (sum(false), sum(true));
     assert!(inside + outside <= 1.02, "{inside} and {outside}");
 }
 
 #[test]
-fn a_gateway_is_alone_while_its_coordinators_are_silent_and_no_other_took_their_place() {
-    let mut world = World::new(6, 50);
-    world.run(SETTLED);
-    let asking = &world.members[200];
-    assert!(!asking.peers.fleet(world.now).coordinators.is_empty());
-    let silent_since = world.now + STEP * 4;
-    let fleet = asking.peers.fleet(silent_since);
+fn a_gateway_is_alone_while_its_coordinators_are_silent_and_not_replaced() {
+    let mut simulation = Simulation::new(6, 50);
+    simulation.run(SETTLE_STEPS);
+    let asking = &simulation.members[200];
+    assert!(!asking.peers.fleet(simulation.now).coordinators.is_empty());
+    let after_silence = simulation.now + STEP * 4;
+    let fleet = asking.peers.fleet(after_silence);
     assert!(fleet.coordinators.is_empty());
     assert!(fleet.is_alone());
-    let coordinator = world.members[0].peers.fleet(world.now);
+    let coordinator = simulation.members[0].peers.fleet(simulation.now);
     assert!(!coordinator.is_alone());
 }
 
 #[test]
-fn a_coordinator_sends_to_all_three_of_a_hall_until_it_hears_them() {
+fn a_coordinator_sends_to_each_listed_coordinator_of_another_hall_that_it_has_not_heard_yet() {
     for missing in 0..3 {
-        let mut world = World::new(2, 3);
-        let is_alive = (0..3).filter(|other| *other != missing);
-        for other in is_alive {
-            // Those with an odd number are of the other hall.
-            let (greeting, _) = world.members[2 * other + 1].says(STEP);
-            world.members[0].peers.receive(STEP, greeting);
+        let mut simulation = Simulation::new(2, 3);
+        let heard = (0..3).filter(|other| *other != missing);
+        for other in heard {
+            // Gateways with an odd number belong to the other hall.
+            let (greeting, _) = simulation.members[2 * other + 1].next_greeting(STEP);
+            simulation.members[0].peers.receive(STEP, greeting);
         }
-        let targets = world.members[0].peers.coordinators(STEP);
+        let targets = simulation.members[0].peers.coordinators(STEP);
         assert!(targets.contains(&address(2 * missing + 1)), "{targets:?}");
     }
 }
 
 #[test]
-fn after_a_start_of_all_a_gateway_asks_the_coordinators_that_it_has_not_heard_yet() {
-    let world = World::new(6, 50);
-    let asking = &world.members[200];
-    let fleet = asking.peers.fleet(world.now);
+fn after_a_simultaneous_start_a_gateway_first_asks_the_listed_coordinators_of_its_hall() {
+    let simulation = Simulation::new(6, 50);
+    let asking = &simulation.members[200];
+    let fleet = asking.peers.fleet(simulation.now);
     assert!(fleet.coordinators.is_empty());
-    // Number 200 is of the third hall, as the coordinators 2, 8 and 14.
+    // Gateway 200 belongs to the third hall, like the coordinators 2, 8 and 14.
     let own_hall = [address(2), address(8), address(14)];
     let first: BTreeSet<SocketAddr> = fleet.others[..3].iter().copied().collect();
     assert_eq!(first, BTreeSet::from(own_hall));
--- a/components/gateway/tests/requests.rs
+++ b/components/gateway/tests/requests.rs
@@ -1,4 +1,4 @@
-//! Promises of a gateway to callers, each with the failure that would break it.
+//! Guarantees of a gateway to callers. Each test provokes the failure that would break the guarantee.
 
 mod common;
 
@@ -17,7 +17,7 @@
 const STREAM: Execution = Execution::Stream { resumable: false };
 const RESUMABLE: Execution = Execution::Stream { resumable: true };
 
-fn serving(execution: Execution, fakes: &[&FakeEndpoint]) -> Setup {
+fn start_serving(execution: Execution, fakes: &[&FakeEndpoint]) -> Setup {
     let endpoints = fakes.iter().enumerate();
     let endpoints = endpoints.map(|(i, s)| endpoint(&format!("e{i}"), s.address));
     Setup::serving(
@@ -27,9 +27,9 @@
 }
 
 #[test]
-fn an_answer_comes_back_as_the_endpoint_made_it() {
+fn an_answer_is_forwarded_and_a_tenant_header_of_the_caller_is_not() {
     let fake = FakeEndpoint::start(|_, exchange| exchange.answer(201, "made"));
-    let setup = serving(Execution::Once, &[&fake]);
+    let setup = start_serving(Execution::Once, &[&fake]);
     let answer = setup.call("/a/b?c=d", &["x-tenant: forged", "x-other: kept"]);
     assert_eq!((answer.status, answer.body.as_str()), (201, "made"));
     assert_eq!(answer.header("x-signature"), Some("s"));
@@ -43,37 +43,37 @@
 }
 
 #[test]
-fn an_answer_to_another_request_is_never_passed_on() {
+fn an_answer_with_the_id_of_another_request_is_not_forwarded() {
     let fake = FakeEndpoint::start(|_, exchange| exchange.answer_with_id("9", 200, "foreign"));
-    let setup = serving(Execution::Once, &[&fake]);
+    let setup = start_serving(Execution::Once, &[&fake]);
     let answer = setup.call("/a/", &[]);
     assert_eq!(answer.status, 502);
     assert!(!answer.body.contains("foreign"));
 }
 
 #[test]
-fn a_request_that_may_have_run_is_not_sent_again_and_not_promised() {
+fn a_run_once_request_that_may_have_run_is_not_sent_again_and_gets_502() {
     let fake = FakeEndpoint::start(|_, exchange| exchange.close());
-    let setup = serving(Execution::Once, &[&fake, &fake]);
+    let setup = start_serving(Execution::Once, &[&fake, &fake]);
     assert_eq!(setup.call("/a/", &[]).status, 502);
     assert_eq!(fake.heads().len(), 1);
 }
 
 #[test]
-fn a_request_that_an_endpoint_declined_goes_to_another() {
+fn a_declined_request_is_sent_to_another_endpoint() {
     let fake = FakeEndpoint::start(|number, exchange| match number {
         0 => exchange.decline(),
         _ => exchange.answer(200, "second"),
     });
-    let setup = serving(Execution::Once, &[&fake, &fake]);
+    let setup = start_serving(Execution::Once, &[&fake, &fake]);
     let answer = setup.call("/a/", &[]);
     assert_eq!((answer.status, answer.body.as_str()), (200, "second"));
 }
 
 #[test]
-fn a_request_that_all_declined_is_promised_not_to_run() {
+fn a_request_that_all_endpoints_declined_gets_503_with_retry_after() {
     let fake = FakeEndpoint::start(|_, exchange| exchange.decline());
-    let setup = serving(Execution::Once, &[&fake]);
+    let setup = start_serving(Execution::Once, &[&fake]);
     let answer = setup.call("/a/", &[]);
     assert_eq!(answer.status, 503);
     assert!(answer.header("retry-after").is_some());
@@ -81,53 +81,53 @@
 }
 
 #[test]
-fn a_repeatable_request_is_sent_again_after_a_failure_but_not_past_its_attempts() {
+fn a_failed_repeatable_request_is_retried_up_to_its_max_attempts() {
     let fake = FakeEndpoint::start(|_, exchange| exchange.answer(500, "bad"));
-    let setup = serving(Execution::Repeatable, &[&fake, &fake, &fake]);
+    let setup = start_serving(Execution::Repeatable, &[&fake, &fake, &fake]);
     let answer = setup.call("/a/", &[]);
     assert_eq!((answer.status, answer.body.as_str()), (500, "bad"));
     assert_eq!(fake.heads().len(), 2);
 }
 
 #[test]
-fn a_repeatable_request_that_failed_is_not_promised_not_to_run_when_no_other_is_there() {
+fn a_failed_repeatable_request_gets_502_if_there_is_no_other_endpoint() {
     let fake = FakeEndpoint::start(|_, exchange| exchange.answer(500, "bad"));
-    let setup = serving(Execution::Repeatable, &[&fake]);
+    let setup = start_serving(Execution::Repeatable, &[&fake]);
     assert_eq!(setup.call("/a/", &[]).status, 502);
     assert_eq!(fake.heads().len(), 1);
 }
 
 #[test]
-fn a_repeatable_request_that_failed_is_not_promised_not_to_run_when_the_other_declines() {
+fn a_failed_repeatable_request_gets_502_if_the_other_endpoint_declines() {
     let fake = FakeEndpoint::start(|number, exchange| match number {
         0 => exchange.answer(500, "bad"),
         _ => exchange.decline(),
     });
-    let setup = serving(Execution::Repeatable, &[&fake, &fake]);
+    let setup = start_serving(Execution::Repeatable, &[&fake, &fake]);
     assert_eq!(setup.call("/a/", &[]).status, 502);
     assert_eq!(fake.heads().len(), 2);
 }
 
 #[test]
-fn a_success_without_the_endpoints_proof_is_no_success() {
+fn a_successful_answer_without_a_signature_gets_502() {
     let fake = FakeEndpoint::start(|_, exchange| {
         exchange.write("HTTP/1.1 200 OK\r\nx-id: 1\r\ncontent-length: 2\r\n\r\nhi");
     });
-    let setup = serving(Execution::Once, &[&fake]);
+    let setup = start_serving(Execution::Once, &[&fake]);
     assert_eq!(setup.call("/a/", &[]).status, 502);
 }
 
 #[test]
-fn a_request_ends_at_the_time_of_its_route_with_a_final_answer() {
+fn a_request_ends_with_504_at_the_timeout_of_its_route() {
     let fake = FakeEndpoint::start(|_, exchange| exchange.wait_closed());
     let mut slow = route("/a/", Execution::Once);
     slow.timeout = Duration::from_millis(300);
     let one = endpoint("e0", fake.address);
     let setup = Setup::serving(configuration(1, vec![slow]), vec![one]);
-    let began = Instant::now();
+    let started = Instant::now();
     let answer = setup.call("/a/", &["x-deadline: 60000"]);
     assert_eq!(answer.status, 504);
-    assert!(began.elapsed() < Duration::from_secs(5));
+    assert!(started.elapsed() < Duration::from_secs(5));
     let head = fake.heads()[0].to_lowercase();
     let reported = head.split("x-deadline: ").nth(1).unwrap();
     let reported: u64 = reported.split('\r').next().unwrap().parse().unwrap();
@@ -135,38 +135,38 @@
 }
 
 #[test]
-fn a_caller_that_leaves_ends_its_run() {
-    let (left, closed) = flume::bounded(1);
+fn the_disconnect_of_a_caller_ends_its_request() {
+    let (disconnects, disconnected) = flume::bounded(1);
     let fake = FakeEndpoint::start(move |_, exchange| {
         exchange.wait_closed();
-        let _ = left.send(());
+        let _ = disconnects.send(());
     });
-    let setup = serving(Execution::Once, &[&fake]);
+    let setup = start_serving(Execution::Once, &[&fake]);
     let caller = open(setup.address(), &request_text("/a/", &[]));
     wait_until("the request at the endpoint", || !fake.heads().is_empty());
     drop(caller);
-    closed.recv_timeout(Duration::from_secs(5)).unwrap();
+    disconnected.recv_timeout(Duration::from_secs(5)).unwrap();
 }
 
 #[test]
-fn a_caller_that_leaves_a_stream_ends_its_run() {
-    let (left, closed) = flume::bounded(1);
+fn the_disconnect_of_a_caller_ends_its_stream() {
+    let (disconnects, disconnected) = flume::bounded(1);
     let fake = FakeEndpoint::start(move |_, exchange| {
         exchange.begin_stream();
         exchange.event(1);
         exchange.wait_closed();
-        let _ = left.send(());
+        let _ = disconnects.send(());
     });
-    let setup = serving(STREAM, &[&fake]);
+    let setup = start_serving(STREAM, &[&fake]);
     let mut caller = open(setup.address(), &request_text("/a/", &[]));
     let mut byte = [0];
     std::io::Read::read_exact(&mut caller, &mut byte).unwrap();
     drop(caller);
-    closed.recv_timeout(Duration::from_secs(5)).unwrap();
+    disconnected.recv_timeout(Duration::from_secs(5)).unwrap();
 }
 
 #[test]
-fn a_stream_that_breaks_off_goes_on_at_another_endpoint_without_gap_or_repeat() {
+fn a_broken_resumable_stream_resumes_at_another_endpoint_without_gap_or_repeat() {
     let fake = FakeEndpoint::start(|number, exchange| {
         exchange.begin_stream();
         if number == 0 {
@@ -176,12 +176,12 @@
             return exchange.close();
         }
         assert_eq!(exchange.header("x-last-event").as_deref(), Some("2"));
-        // It repeats an event that the caller has.
+        // Repeats an event that the caller already has.
         exchange.event(2);
         exchange.event(3);
         exchange.end_stream();
     });
-    let setup = serving(RESUMABLE, &[&fake, &fake]);
+    let setup = start_serving(RESUMABLE, &[&fake, &fake]);
     let answer = setup.call("/a/", &[]);
     let events = [1, 2, 3]
         .map(|n| format!("id: {n}\ndata: e{n}\n\n"))
@@ -191,13 +191,13 @@
 }
 
 #[test]
-fn a_stream_that_cannot_go_on_looks_cut_off() {
+fn a_broken_stream_that_cannot_resume_is_incomplete_for_the_caller() {
     let fake = FakeEndpoint::start(|_, exchange| {
         exchange.begin_stream();
         exchange.event(1);
         exchange.close();
     });
-    let setup = serving(STREAM, &[&fake, &fake]);
+    let setup = start_serving(STREAM, &[&fake, &fake]);
     let answer = setup.call("/a/", &[]);
     assert_eq!(answer.body, "id: 1\ndata: e1\n\n");
     assert!(!answer.is_complete);
@@ -205,11 +205,11 @@
 }
 
 #[test]
-fn a_silent_stream_is_waited_for_while_no_repeat_is_allowed() {
+fn a_silent_stream_is_not_resumed_elsewhere_without_retry_budget() {
     let fake = FakeEndpoint::start(|_, exchange| {
         exchange.begin_stream();
         exchange.event(1);
-        // Four times as long as a stream is waited for that may go on elsewhere.
+        // Four times the silence after which a stream may resume elsewhere.
         std::thread::sleep(Duration::from_millis(400));
         exchange.event(2);
         exchange.end_stream();
@@ -228,7 +228,7 @@
 }
 
 #[test]
-fn routes_and_keys_that_do_not_exist_are_distinguished_from_a_missing_configuration() {
+fn unknown_routes_and_keys_get_other_statuses_than_a_missing_configuration() {
     let store = FakeStore::default();
     let setup = Setup::start(settings(), store);
     assert!(!setup.is_ready());
@@ -246,9 +246,9 @@
 }
 
 #[test]
-fn a_newer_configuration_takes_force_and_an_older_one_never_does_again() {
+fn a_newer_configuration_takes_effect_and_an_older_one_does_not() {
     let fake = FakeEndpoint::start(|_, exchange| exchange.answer(200, ""));
-    let setup = serving(Execution::Once, &[&fake]);
+    let setup = start_serving(Execution::Once, &[&fake]);
     let newer = configuration(5, vec![route("/b/", Execution::Once)]);
     setup.store.put_configuration(newer);
     wait_until("the new route", || setup.call("/b/", &[]).status == 200);
@@ -261,9 +261,9 @@
 }
 
 #[test]
-fn a_change_is_found_after_the_store_forgot_its_history() {
+fn changes_are_found_after_the_store_compacted_its_history() {
     let fake = FakeEndpoint::start(|_, exchange| exchange.answer(200, ""));
-    let setup = serving(Execution::Once, &[&fake]);
+    let setup = start_serving(Execution::Once, &[&fake]);
     setup.store.refuse(true);
     setup.store.delete_endpoint("e0");
     let newer = configuration(2, vec![route("/b/", Execution::Once)]);
@@ -277,7 +277,7 @@
 }
 
 #[test]
-fn a_key_is_refused_once_the_configuration_is_not_confirmed_any_more() {
+fn a_key_is_refused_once_its_confirmation_expires_until_the_store_is_back() {
     let fake = FakeEndpoint::start(|_, exchange| exchange.answer(200, ""));
     let mut with_tenant = configuration(1, vec![route("/a/", Execution::Once)]);
     with_tenant.tenants = vec![tenant("t", "k")];
@@ -287,25 +287,29 @@
     let setup = Setup::serving_with(settings, with_tenant, vec![one]);
     assert_eq!(setup.call("/a/", &["x-key: k"]).status, 200);
     setup.store.refuse(true);
-    wait_until("refusal", || setup.call("/a/", &["x-key: k"]).status == 503);
+    wait_until("the key to be refused", || {
+        setup.call("/a/", &["x-key: k"]).status == 503
+    });
     assert!(!setup.is_ready());
     let ran = fake.heads().len();
     assert_eq!(setup.call("/a/", &["x-key: k"]).status, 503);
     assert_eq!(
         setup.call("/zz/", &["x-key: k"]).status,
         503,
-        "it may be a new route"
+        "the route may be new"
     );
     assert_eq!(fake.heads().len(), ran);
     setup.store.refuse(false);
-    wait_until("service", || setup.call("/a/", &["x-key: k"]).status == 200);
+    wait_until("the key to be accepted", || {
+        setup.call("/a/", &["x-key: k"]).status == 200
+    });
 }
 
 #[test]
-fn an_endpoint_that_drains_or_is_gone_gets_no_new_request() {
+fn a_draining_or_deleted_endpoint_gets_no_new_requests() {
     let leaving = FakeEndpoint::start(|_, exchange| exchange.answer(200, "leaving"));
     let staying = FakeEndpoint::start(|_, exchange| exchange.answer(200, "staying"));
-    let setup = serving(Execution::Once, &[&leaving]);
+    let setup = start_serving(Execution::Once, &[&leaving]);
     assert_eq!(setup.call("/a/", &[]).body, "leaving");
     let mut draining = endpoint("e0", leaving.address);
     draining.state = EndpointState::Draining { leaves_in: None };
@@ -324,7 +328,7 @@
 }
 
 #[test]
-fn a_team_beyond_its_limit_learns_when_to_come_back() {
+fn a_team_beyond_its_limit_gets_429_with_retry_after() {
     let fake = FakeEndpoint::start(|_, exchange| exchange.answer(200, ""));
     let mut limited = tenant("t", "k");
     limited.quota = Some(Quota {
@@ -346,25 +350,25 @@
 }
 
 #[test]
-fn a_stopping_gateway_finishes_streams_and_takes_nothing_new() {
-    let (go_on, waits) = flume::bounded::<()>(1);
+fn a_stopping_gateway_finishes_streams_and_closes_its_listener() {
+    let (resume, resumed) = flume::bounded::<()>(1);
     let fake = FakeEndpoint::start(move |_, exchange| {
         exchange.begin_stream();
         exchange.event(1);
-        let _ = waits.recv();
+        let _ = resumed.recv();
         exchange.event(2);
         exchange.end_stream();
     });
-    let setup = serving(STREAM, &[&fake]);
+    let setup = start_serving(STREAM, &[&fake]);
     let address = setup.address();
     let mut caller = open(address, &request_text("/a/", &[]));
     wait_until("the request at the endpoint", || !fake.heads().is_empty());
     setup.stop();
-    wait_until("not ready", || !setup.is_ready());
-    wait_until("a closed listener", || {
+    wait_until("readiness to be withdrawn", || !setup.is_ready());
+    wait_until("the listener to close", || {
         std::net::TcpStream::connect(address).is_err()
     });
-    go_on.send(()).unwrap();
+    resume.send(()).unwrap();
     let answer = read_answer(&mut caller);
     assert!(answer.is_complete, "{answer:?}");
     assert!(answer.body.ends_with("id: 2\ndata: e2\n\n"));
@@ -372,14 +376,14 @@
 }
 
 thread_local! {
-    // Each connection of a stand-in has a thread of its own.
+    // A fake endpoint serves each connection on its own thread.
     static REQUESTS_OF_CONNECTION: Cell<usize> = const { Cell::new(0) };
 }
 
 #[test]
-fn a_repeat_after_silence_does_not_use_a_connection_that_rested() {
+fn a_retry_after_silence_does_not_use_an_idle_connection() {
     let arrived = Arc::new(AtomicUsize::new(0));
-    // Each connection answers once, when both endpoints are asked, and says nothing more.
+    // Each connection answers once, after both endpoints have got a request, and sends nothing after that.
     let start = || {
         let arrived = Arc::clone(&arrived);
         FakeEndpoint::start(move |_, e| {
--- a/components/gateway/tests/slow_callers.rs
+++ b/components/gateway/tests/slow_callers.rs
@@ -1,4 +1,4 @@
-//! Callers that read slowly, or nothing, beside quick ones; each with the failure that would break its promise.
+//! Callers that read slowly or nothing, beside fast ones. Each test provokes the failure that would break the guarantee.
 
 mod common;
 
@@ -14,47 +14,47 @@
 use directory::{CallerBounds, Execution, Route};
 
 const STREAM: Execution = Execution::Stream { resumable: false };
-/// An endpoint here cuts an answer off that nobody reads for so long.
-const UNREAD: Duration = Duration::from_millis(1500);
-/// The least budget is 8 MiB, whatever the VM says.
+/// Time without progress of a write after which a fake endpoint closes the connection.
+const WRITE_TIMEOUT: Duration = Duration::from_millis(1500);
+/// The memory budget is at least 8 MiB, also for a smaller VM.
 const SMALL_VM_MIB: i32 = 16;
 const LARGE_VM_MIB: i32 = 256;
-const EVENT: usize = 1000;
+const EVENT_BYTES: usize = 1000;
 
-fn serving_on(mib: i32, route: Route, fake: &FakeEndpoint) -> Setup {
+fn start_on_vm(mib: i32, route: Route, fake: &FakeEndpoint) -> Setup {
     let mut settings = settings();
     settings.memory_mib = mib;
     let configuration = configuration(1, vec![route]);
     Setup::serving_with(settings, configuration, vec![endpoint("e0", fake.address)])
 }
 
-fn patient_route(execution: Execution) -> Route {
+fn route_with_long_timeout(execution: Execution) -> Route {
     let mut route = route("/a/", execution);
     route.timeout = Duration::from_secs(60);
     route
 }
 
-/// Events of a stream that is larger than what the kernel holds at most for a connection, 4 MiB.
-const LARGE_EVENT: usize = 20_000;
+/// Size of events for streams that exceed 4 MiB, which is the most that the kernel buffers for a connection.
+const LARGE_EVENT_BYTES: usize = 20_000;
 
-/// Streams as many events as the path ends in, and says whether all were written.
-fn streaming() -> (FakeEndpoint, flume::Receiver<bool>) {
-    streaming_of(EVENT)
+/// Starts a fake endpoint that streams as many events as the path says, and reports whether all were written.
+fn start_streaming() -> (FakeEndpoint, flume::Receiver<bool>) {
+    start_streaming_events(EVENT_BYTES)
 }
 
-fn streaming_of(bytes: usize) -> (FakeEndpoint, flume::Receiver<bool>) {
-    let (told, written) = flume::unbounded();
+fn start_streaming_events(bytes: usize) -> (FakeEndpoint, flume::Receiver<bool>) {
+    let (reports, written) = flume::unbounded();
     let fake = FakeEndpoint::start(move |_, exchange| {
         let path = exchange.head.split(' ').nth(1).unwrap_or_default();
         let events = path.rsplit('/').next().and_then(|n| n.parse().ok());
-        let all = exchange.stream_with_timeout(events.unwrap_or(1), bytes, UNREAD);
-        let _ = told.send(all);
+        let all = exchange.stream_with_timeout(events.unwrap_or(1), bytes, WRITE_TIMEOUT);
+        let _ = reports.send(all);
     });
     (fake, written)
 }
 
-/// Answers with as many bytes as the path ends in.
-fn answering() -> FakeEndpoint {
+/// Starts a fake endpoint that answers with as many bytes as the path says.
+fn start_answering() -> FakeEndpoint {
     FakeEndpoint::start(move |_, exchange| {
         let path = exchange.head.split(' ').nth(1).unwrap_or_default();
         let bytes = path.rsplit('/').next().and_then(|n| n.parse().ok());
@@ -62,65 +62,72 @@
     })
 }
 
-fn ask(setup: &Setup, path: &str) -> TcpStream {
+fn call_slowly(setup: &Setup, path: &str) -> TcpStream {
     open_with_small_buffers(setup.address(), request_text(path, &[]).as_bytes())
 }
 
-fn events_of(body: &str) -> usize {
+fn count_events(body: &str) -> usize {
     body.matches("id: ").count()
 }
 
 #[test]
-fn a_stream_is_read_as_fast_as_it_is_made_however_slowly_its_caller_reads() {
-    let (fake, written) = streaming_of(LARGE_EVENT);
-    let setup = serving_on(LARGE_VM_MIB, patient_route(STREAM), &fake);
-    let mut caller = ask(&setup, "/a/600");
+fn a_stream_is_read_ahead_in_full_while_its_caller_reads_nothing() {
+    let (fake, written) = start_streaming_events(LARGE_EVENT_BYTES);
+    let setup = start_on_vm(LARGE_VM_MIB, route_with_long_timeout(STREAM), &fake);
+    let mut caller = call_slowly(&setup, "/a/600");
     assert!(written.recv_timeout(Duration::from_secs(20)).unwrap());
     let answer = read_slowly(&mut caller, 256 << 10, Duration::from_millis(1));
-    assert_eq!(events_of(&answer.body), 600);
+    assert_eq!(count_events(&answer.body), 600);
     assert!(answer.is_complete);
 }
 
 #[test]
-fn a_slow_caller_gets_the_rest_of_a_whole_answer_after_its_routes_time() {
-    let (fake, written) = streaming_of(LARGE_EVENT);
-    let mut short = patient_route(STREAM);
-    short.timeout = Duration::from_millis(700);
+fn a_slow_caller_gets_the_rest_of_a_complete_stream_after_the_timeout_of_its_route() {
+    let (fake, written) = start_streaming_events(LARGE_EVENT_BYTES);
+    let mut short_route = route_with_long_timeout(STREAM);
+    short_route.timeout = Duration::from_millis(700);
     let began = Instant::now();
-    let setup = serving_on(LARGE_VM_MIB, short, &fake);
-    let mut caller = ask(&setup, "/a/300");
+    let setup = start_on_vm(LARGE_VM_MIB, short_route, &fake);
+    let mut caller = call_slowly(&setup, "/a/300");
     assert!(written.recv_timeout(Duration::from_secs(20)).unwrap());
-    wait_until("the route's time", || {
+    wait_until("the timeout of the route", || {
         began.elapsed() > Duration::from_millis(1500)
     });
     let answer = read_answer(&mut caller);
-    assert_eq!(events_of(&answer.body), 300);
+    assert_eq!(count_events(&answer.body), 300);
     assert!(answer.is_complete);
 }
 
 #[test]
-fn quick_callers_are_served_beside_slow_ones_which_get_their_whole_answers() {
-    let (fake, written) = streaming();
-    let setup = serving_on(SMALL_VM_MIB, patient_route(STREAM), &fake);
-    let mut slow: Vec<TcpStream> = (0..4).map(|_| ask(&setup, "/a/1000")).collect();
+fn fast_callers_are_served_beside_slow_ones_which_get_complete_streams() {
+    let (fake, written) = start_streaming();
+    let setup = start_on_vm(SMALL_VM_MIB, route_with_long_timeout(STREAM), &fake);
+    let mut slow: Vec<TcpStream> = (0..4).map(|_| call_slowly(&setup, "/a/1000")).collect();
     for _ in &slow {
         assert!(written.recv_timeout(Duration::from_secs(20)).unwrap());
     }
     for _ in 0..20 {
         let answer = setup.call("/a/3", &[]);
-        assert_eq!((answer.is_complete, events_of(&answer.body)), (true, 3));
+        assert_eq!((answer.is_complete, count_events(&answer.body)), (true, 3));
     }
     for caller in &mut slow {
         let answer = read_slowly(caller, 64 << 10, Duration::from_millis(2));
-        assert_eq!((answer.is_complete, events_of(&answer.body)), (true, 1000));
+        assert_eq!(
+            (answer.is_complete, count_events(&answer.body)),
+            (true, 1000)
+        );
     }
 }
 
 #[test]
-fn callers_that_read_nothing_fill_no_more_than_the_budget_and_quick_ones_are_served() {
-    let fake = answering();
-    let setup = serving_on(SMALL_VM_MIB, patient_route(Execution::Once), &fake);
-    let silent: Vec<TcpStream> = (0..20).map(|_| ask(&setup, "/a/1000000")).collect();
+fn fast_callers_are_served_beside_callers_that_read_nothing_of_large_answers() {
+    let fake = start_answering();
+    let setup = start_on_vm(
+        SMALL_VM_MIB,
+        route_with_long_timeout(Execution::Once),
+        &fake,
+    );
+    let silent: Vec<TcpStream> = (0..20).map(|_| call_slowly(&setup, "/a/1000000")).collect();
     wait_until("all requests at the endpoint", || {
         fake.heads().len() == silent.len()
     });
@@ -131,18 +138,18 @@
 }
 
 #[test]
-fn a_caller_that_reads_nothing_is_cut_off_visibly_once_others_need_its_memory() {
-    let (fake, written) = streaming();
-    let setup = serving_on(SMALL_VM_MIB, patient_route(STREAM), &fake);
-    let mut silent: Vec<TcpStream> = (0..5).map(|_| ask(&setup, "/a/1000")).collect();
+fn a_caller_that_reads_nothing_gets_an_incomplete_stream_once_others_need_its_memory() {
+    let (fake, written) = start_streaming();
+    let setup = start_on_vm(SMALL_VM_MIB, route_with_long_timeout(STREAM), &fake);
+    let mut silent: Vec<TcpStream> = (0..5).map(|_| call_slowly(&setup, "/a/1000")).collect();
     for _ in &silent {
         assert!(written.recv_timeout(Duration::from_secs(20)).unwrap());
     }
-    // These need more than is left; they read on.
-    let late: Vec<TcpStream> = (0..4).map(|_| ask(&setup, "/a/1000")).collect();
+    // These callers need more memory than is left, and they keep reading.
+    let late: Vec<TcpStream> = (0..4).map(|_| call_slowly(&setup, "/a/1000")).collect();
     let whole = late.into_iter().map(|mut caller| {
         std::thread::spawn(move || {
-            // Longer than a caller that reads nothing is kept in need.
+            // Takes longer than a caller that reads nothing is kept while memory is short.
             let answer = read_slowly(&mut caller, 8 << 10, Duration::from_millis(40));
             (answer.status, answer.is_complete)
         })
@@ -159,55 +166,58 @@
 }
 
 #[test]
-fn a_caller_that_leaves_while_events_wait_for_it_ends_its_run() {
-    let (left, closed) = flume::bounded(1);
+fn a_caller_that_disconnects_while_events_are_buffered_for_it_ends_its_request() {
+    let (progress, progressed) = flume::bounded(1);
     let fake = FakeEndpoint::start(move |_, exchange| {
         exchange.begin_stream();
         for n in 1..=200 {
-            exchange.chunk(&format!("id: {n}\ndata: {}\n\n", "x".repeat(EVENT)));
+            exchange.chunk(&format!("id: {n}\ndata: {}\n\n", "x".repeat(EVENT_BYTES)));
         }
-        let _ = left.send(());
+        let _ = progress.send(());
         exchange.wait_closed();
-        let _ = left.send(());
+        let _ = progress.send(());
     });
-    let setup = serving_on(LARGE_VM_MIB, patient_route(STREAM), &fake);
-    let caller = ask(&setup, "/a/");
-    closed.recv_timeout(Duration::from_secs(20)).unwrap();
+    let setup = start_on_vm(LARGE_VM_MIB, route_with_long_timeout(STREAM), &fake);
+    let caller = call_slowly(&setup, "/a/");
+    progressed.recv_timeout(Duration::from_secs(20)).unwrap();
     drop(caller);
-    closed.recv_timeout(Duration::from_secs(5)).unwrap();
+    progressed.recv_timeout(Duration::from_secs(5)).unwrap();
 }
 
 #[test]
-fn a_stop_lets_a_slow_caller_read_its_whole_answer() {
-    let (fake, written) = streaming();
-    let setup = serving_on(LARGE_VM_MIB, patient_route(STREAM), &fake);
-    let mut caller = ask(&setup, "/a/300");
+fn a_stopping_gateway_lets_a_slow_caller_read_a_complete_stream() {
+    let (fake, written) = start_streaming();
+    let setup = start_on_vm(LARGE_VM_MIB, route_with_long_timeout(STREAM), &fake);
+    let mut caller = call_slowly(&setup, "/a/300");
     assert!(written.recv_timeout(Duration::from_secs(20)).unwrap());
     setup.stop();
-    wait_until("a closed listener", || {
+    wait_until("the listener to close", || {
         TcpStream::connect(setup.address()).is_err()
     });
     let answer = read_answer(&mut caller);
-    assert_eq!((answer.is_complete, events_of(&answer.body)), (true, 300));
+    assert_eq!(
+        (answer.is_complete, count_events(&answer.body)),
+        (true, 300)
+    );
 }
 
 #[test]
-fn a_stop_waits_for_a_slow_caller_of_an_answer_known_as_a_whole() {
-    let fake = answering();
+fn a_stopping_gateway_waits_for_a_slow_caller_of_a_large_answer() {
+    let fake = start_answering();
     let mut settings = settings();
     settings.memory_mib = LARGE_VM_MIB;
     settings.stop_grace_ms = 60_000;
-    let configuration = configuration(1, vec![patient_route(Execution::Once)]);
+    let configuration = configuration(1, vec![route_with_long_timeout(Execution::Once)]);
     let one = endpoint("e0", fake.address);
     let setup = Setup::serving_with(settings, configuration, vec![one]);
-    let mut caller = ask(&setup, "/a/3000000");
+    let mut caller = call_slowly(&setup, "/a/3000000");
     let mut byte = [0];
     caller.read_exact(&mut byte).unwrap();
     setup.stop();
-    wait_until("a closed listener", || {
+    wait_until("the listener to close", || {
         TcpStream::connect(setup.address()).is_err()
     });
-    // Longer than a gateway needs that finds nothing in flight.
+    // Takes longer than the stop of a gateway without requests in flight.
     let answer = read_slowly(&mut caller, 64 << 10, Duration::from_millis(5));
     let length = answer.body.len();
     assert_eq!(length, 3_000_000);
@@ -223,11 +233,15 @@
 }
 
 #[test]
-fn a_body_beyond_the_memory_is_refused_as_not_run_and_small_ones_are_served() {
+fn bodies_beyond_the_memory_budget_are_refused_as_not_run_and_small_ones_are_served() {
     let fake = FakeEndpoint::start(|_, exchange| exchange.answer(200, "x"));
-    let setup = serving_on(SMALL_VM_MIB, patient_route(Execution::Once), &fake);
+    let setup = start_on_vm(
+        SMALL_VM_MIB,
+        route_with_long_timeout(Execution::Once),
+        &fake,
+    );
     let hold = || post(&setup, 1_000_001, 1_000_000);
-    // Each waits for its last byte.
+    // The last byte of each body is not sent.
     let mut held: Vec<TcpStream> = (0..8).map(|_| hold()).collect();
     let refused = |caller: &mut TcpStream| {
         caller
@@ -245,9 +259,9 @@
 }
 
 #[test]
-fn a_head_that_trickles_ends_at_its_own_time_and_a_connection_at_rest_does_not() {
+fn a_connection_with_an_incomplete_head_is_closed_by_the_head_timeout_and_an_idle_one_is_not() {
     let fake = FakeEndpoint::start(|_, exchange| exchange.answer(200, "x"));
-    let mut configuration = configuration(1, vec![patient_route(Execution::Once)]);
+    let mut configuration = configuration(1, vec![route_with_long_timeout(Execution::Once)]);
     configuration.bounds = CallerBounds {
         head_time: Duration::from_millis(300),
         idle_time: Duration::from_secs(60),
@@ -255,29 +269,31 @@
     };
     let setup = Setup::serving(configuration, vec![endpoint("e0", fake.address)]);
     let kept = request_text("/a/", &[]).replace("connection: close\r\n", "");
-    let mut resting = open(setup.address(), &kept);
-    let mut trickling = open(setup.address(), "GET /a/ HTTP/1.1\r\nhost: h\r\n");
-    trickling
+    let mut idle = open(setup.address(), &kept);
+    let mut incomplete = open(setup.address(), "GET /a/ HTTP/1.1\r\nhost: h\r\n");
+    incomplete
         .set_read_timeout(Some(Duration::from_secs(5)))
         .unwrap();
     let mut byte = [0];
-    let end = trickling.read(&mut byte);
+    let end = incomplete.read(&mut byte);
     assert!(!matches!(end, Ok(1..)), "{end:?}");
-    assert!(end.is_ok(), "no end within 5 s: {end:?}");
-    resting
-        .write_all(request_text("/a/", &[]).as_bytes())
-        .unwrap();
-    let both = read_answer(&mut resting);
+    assert!(end.is_ok(), "not closed within 5 s: {end:?}");
+    idle.write_all(request_text("/a/", &[]).as_bytes()).unwrap();
+    let both = read_answer(&mut idle);
     assert_eq!(both.body.matches("HTTP/1.1 200").count(), 1, "{both:?}");
 }
 
 #[test]
-fn connections_stop_being_taken_before_memory_is_full() {
+fn a_gateway_short_of_memory_withdraws_readiness_until_connections_close() {
     let fake = FakeEndpoint::start(|_, exchange| exchange.answer(200, "x"));
-    let setup = serving_on(SMALL_VM_MIB, patient_route(Execution::Once), &fake);
+    let setup = start_on_vm(
+        SMALL_VM_MIB,
+        route_with_long_timeout(Execution::Once),
+        &fake,
+    );
     let bodies: Vec<TcpStream> = (0..5).map(|_| post(&setup, 1_000_001, 1_000_000)).collect();
     let mut resting = Vec::new();
-    wait_until("readiness withdrawn", || {
+    wait_until("readiness to be withdrawn", || {
         let connection = TcpStream::connect(setup.address()).unwrap();
         resting.push(connection);
         !setup.is_ready()
@@ -289,7 +305,7 @@
 }
 
 #[test]
-fn bodies_that_wait_for_slow_endpoints_do_not_keep_their_answers_out() {
+fn buffered_bodies_for_slow_endpoints_leave_memory_for_the_answers() {
     let fake = FakeEndpoint::start(|_, exchange| {
         assert_eq!(
             exchange.read_body_slowly(8 << 10, Duration::from_millis(1)),
@@ -297,8 +313,12 @@
         );
         exchange.answer_with_timeout(1_000_000, Duration::from_secs(20));
     });
-    let setup = serving_on(SMALL_VM_MIB, patient_route(Execution::Once), &fake);
-    // Bodies of 5 MB fill the common part; the answers need as much.
+    let setup = start_on_vm(
+        SMALL_VM_MIB,
+        route_with_long_timeout(Execution::Once),
+        &fake,
+    );
+    // Bodies of 5 MB in total fill the shared part of the budget, and the answers need as much again.
     let callers: Vec<TcpStream> = (0..5).map(|_| post(&setup, 1_000_000, 1_000_000)).collect();
     for mut caller in callers {
         let answer = read_answer(&mut caller);
@@ -307,14 +327,14 @@
 }
 
 #[test]
-fn slow_callers_of_slow_endpoints_get_whole_answers_while_the_gateway_stops() {
-    let (told, written) = flume::unbounded();
+fn slow_callers_of_slow_endpoints_get_complete_streams_while_the_gateway_stops() {
+    let (reports, written) = flume::unbounded();
     let fake = FakeEndpoint::start(move |_, exchange| {
         let read = exchange.read_body_slowly(4 << 10, Duration::from_millis(1));
-        let all = exchange.stream_with_timeout(300, EVENT, UNREAD);
-        let _ = told.send(all && read == 500_000);
+        let all = exchange.stream_with_timeout(300, EVENT_BYTES, WRITE_TIMEOUT);
+        let _ = reports.send(all && read == 500_000);
     });
-    let setup = serving_on(SMALL_VM_MIB, patient_route(STREAM), &fake);
+    let setup = start_on_vm(SMALL_VM_MIB, route_with_long_timeout(STREAM), &fake);
     let mut callers: Vec<TcpStream> = (0..6).map(|_| post(&setup, 500_000, 500_000)).collect();
     wait_until("all requests at the endpoint", || {
         fake.heads().len() == callers.len()
@@ -325,28 +345,34 @@
     }
     for caller in &mut callers {
         let answer = read_slowly(caller, 64 << 10, Duration::from_millis(1));
-        assert_eq!((answer.is_complete, events_of(&answer.body)), (true, 300));
+        assert_eq!(
+            (answer.is_complete, count_events(&answer.body)),
+            (true, 300)
+        );
     }
 }
 
 #[test]
-fn where_memory_has_no_bound_a_caller_that_reads_nothing_for_long_is_kept() {
+fn without_a_memory_limit_a_caller_that_reads_nothing_for_3500_ms_is_kept() {
     let fake = FakeEndpoint::start(|_, exchange| {
-        exchange.stream_with_timeout(500, LARGE_EVENT, Duration::from_secs(20));
+        exchange.stream_with_timeout(500, LARGE_EVENT_BYTES, Duration::from_secs(20));
     });
-    let setup = serving_on(
+    let setup = start_on_vm(
         0,
-        patient_route(Execution::Stream { resumable: true }),
+        route_with_long_timeout(Execution::Stream { resumable: true }),
         &fake,
     );
-    // Its body stays, since it may be sent again, and is more than what is read ahead.
+    // The gateway keeps the body for a retry. It is larger than the data read ahead.
     let mut caller = post(&setup, 500_000, 500_000);
     let began = Instant::now();
     wait_until(
-        "longer than a caller that reads nothing is kept in need",
+        "more than the time for which such a caller is kept while memory is short",
         || began.elapsed() > Duration::from_millis(3500),
     );
     let answer = read_answer(&mut caller);
-    assert_eq!((answer.is_complete, events_of(&answer.body)), (true, 500));
+    assert_eq!(
+        (answer.is_complete, count_events(&answer.body)),
+        (true, 500)
+    );
     assert_eq!(fake.heads().len(), 1);
 }
--- a/components/gateway/tests/store_restore.rs
+++ b/components/gateway/tests/store_restore.rs
@@ -102,9 +102,9 @@
             .sum()
     };
     let before: u64 = asks();
-    let began = Instant::now();
+    let started = Instant::now();
     wait_until("the end of the observation period", || {
-        began.elapsed() > CHANGE_DUE
+        started.elapsed() > CHANGE_DUE
     });
     // One list and a held call every 0.6 s for each of two topics.
     assert!(asks() - before < 20, "{} calls", asks() - before);
@@ -188,10 +188,10 @@
         setup.call("/a/1", &[]).status == 503
     });
     restore_and_wait(&store, &lines);
-    let began = Instant::now();
+    let started = Instant::now();
     wait_until("the end of the observation period", || {
         assert_eq!(setup.call("/a/1", &[]).status, 503);
-        began.elapsed() > CHANGE_DUE
+        started.elapsed() > CHANGE_DUE
     });
     // A new start at the same address counts as a new endpoint.
     store.put_endpoint(Endpoint {
@@ -240,10 +240,10 @@
         setup.call("/a/1", &[]).status == 503
     });
     restore_and_wait(&store, &lines);
-    let began = Instant::now();
+    let started = Instant::now();
     wait_until("the end of the observation period", || {
         assert_eq!(setup.call("/a/1", &[]).status, 503);
-        began.elapsed() > CHANGE_DUE
+        started.elapsed() > CHANGE_DUE
     });
     // The row would have expired by then if the endpoint were not running.
     wait_until("the endpoint", || setup.call("/a/1", &[]).status == 200);
@@ -353,7 +353,7 @@
     let seeds = vec![first.gateway.peer_address().to_string()];
     let second = Setup::start(reporting_settings("g2", seeds), store.for_other_gateway());
     wait_until("readiness", || second.is_ready());
-    let began = Instant::now();
+    let started = Instant::now();
     let call = |setup: &Setup| setup.call("/a/1", &["x-key: k"]).status;
     wait_until("reports of windows with requests", || {
         call(&first);
@@ -363,7 +363,7 @@
             let counts = reports.iter().map(|(_, report)| report.counts.len());
             counts.sum::<usize>() >= 2
         };
-        (has_counts(&first) || has_counts(&second)) && began.elapsed() > CHANGE_DUE
+        (has_counts(&first) || has_counts(&second)) && started.elapsed() > CHANGE_DUE
     });
     let (holder, next_holder) = match reported_windows(&first).is_empty() {
         true => (&second, &first),
--- a/components/gateway/tests/two_regions.rs
+++ b/components/gateway/tests/two_regions.rs
@@ -1,5 +1,5 @@
-//! Gateways of two regions that follow the store, which stands in region `a`: few of region `b` read it, the others
-//! take rows from them.
+//! Gateways of two regions that follow the store, which is in region `a`. In region `b` a few gateways read the store, and the
+//! others get the rows from them.
 
 mod common;
 
@@ -16,13 +16,13 @@
 
 const CHANGE_DUE: Duration = Duration::from_secs(4);
 const CREDENTIAL_AGE: Duration = Duration::from_secs(5);
-const IN_HALL: usize = 3;
+const GATEWAYS_PER_HALL: usize = 3;
 const HALLS: [&str; 4] = ["a1", "a2", "b1", "b2"];
 const READERS: usize = 2;
-/// Way to a store in another region and back.
-const FAR_TIME: Duration = Duration::from_millis(60);
-/// A store that is slow, behind a full link.
-const SLOW_TIME: Duration = Duration::from_millis(900);
+/// Round-trip time to a store in another region.
+const REMOTE_CALL_TIME: Duration = Duration::from_millis(60);
+/// Time of a call to a slow store, as behind a full link.
+const SLOW_CALL_TIME: Duration = Duration::from_millis(900);
 
 fn named(hall: &str, index: usize, seeds: Vec<String>) -> GatewaySettings {
     let region = |hall: &&str| (hall.to_string(), hall[..1].to_string());
@@ -38,67 +38,67 @@
     }
 }
 
-// Each world has up to twelve gateways, and its bounds are those of a fleet that has processors of its own.
-static ONE_WORLD: Mutex<()> = Mutex::new(());
+// A fixture has up to twelve gateways, and the time limits assume that no other fixture uses the processors.
+static ONE_AT_A_TIME: Mutex<()> = Mutex::new(());
 
-struct World {
+struct Fixture {
     store: FakeStore,
     gateways: Vec<(&'static str, Setup)>,
-    _alone: MutexGuard<'static, ()>,
+    _guard: MutexGuard<'static, ()>,
 }
 
-impl World {
-    /// All gateways of these halls, started at once.
+impl Fixture {
+    /// Starts all gateways of these halls at once.
     fn start(store: &FakeStore, halls: &[&'static str]) -> Self {
         Self::start_with(store, halls, |settings| settings, |_, _| {})
     }
 
-    /// The same with other settings; `prepare` sees the store of each before.
+    /// Starts gateways with changed settings. `prepare` gets the hall and the store of each gateway before its start.
     fn start_with(
         store: &FakeStore,
         halls: &[&'static str],
         changed: impl Fn(GatewaySettings) -> GatewaySettings,
         prepare: impl Fn(&str, &FakeStore),
     ) -> Self {
-        // A test that failed before says nothing of this one.
-        let alone = ONE_WORLD.lock().unwrap_or_else(PoisonError::into_inner);
+        // A test that failed while it held the lock does not affect this one.
+        let guard = ONE_AT_A_TIME.lock().unwrap_or_else(PoisonError::into_inner);
         let mut gateways: Vec<(&'static str, Setup)> = Vec::new();
         for hall in halls {
-            for index in 0..IN_HALL {
+            for index in 0..GATEWAYS_PER_HALL {
                 let first = gateways.first();
                 let seeds = first.map(|(_, setup)| setup.gateway.peer_address().to_string());
                 let own = store.for_other_gateway();
                 if hall.starts_with('b') {
-                    own.set_call_time(FAR_TIME);
+                    own.set_call_time(REMOTE_CALL_TIME);
                 }
                 prepare(hall, &own);
                 let settings = changed(named(hall, index, seeds.into_iter().collect()));
                 gateways.push((hall, Setup::start(settings, own)));
             }
         }
-        World {
+        Fixture {
             store: store.clone(),
             gateways,
-            _alone: alone,
+            _guard: guard,
         }
     }
 
-    fn of<'a>(&'a self, region: &'a str) -> impl Iterator<Item = &'a Setup> {
+    fn in_region<'a>(&'a self, region: &'a str) -> impl Iterator<Item = &'a Setup> {
         let own = self.gateways.iter();
         let own = own.filter(move |(hall, _)| hall.starts_with(region));
         own.map(|(_, setup)| setup)
     }
 
-    fn asking(&self, region: &str, topic: Topic) -> usize {
-        let asking = self
-            .of(region)
+    fn count_reading(&self, region: &str, topic: Topic) -> usize {
+        let reading = self
+            .in_region(region)
             .filter(|setup| setup.store.call_count(topic) > 0);
-        asking.count()
+        reading.count()
     }
 
-    fn all_answer(&self, region: &str, path: &str, status: u16) {
-        for setup in self.of(region) {
-            wait_until("the answer", || {
+    fn wait_for_status(&self, region: &str, path: &str, status: u16) {
+        for setup in self.in_region(region) {
+            wait_until("the status", || {
                 setup.call(path, &["x-key: k"]).status == status
             });
         }
@@ -121,164 +121,173 @@
 }
 
 #[test]
-fn when_all_start_at_once_two_gateways_of_a_region_read_the_store_and_all_serve() {
+fn after_a_simultaneous_start_at_most_two_gateways_of_a_remote_region_read_the_store_and_all_serve()
+{
     let fake = FakeEndpoint::start(|_, e| e.answer(200, "x"));
-    // Three pages between gateways.
+    // The list takes three pages when gateways forward it.
     let store = store_with_endpoints(&fake, 6_000);
-    let world = World::start(&store, &HALLS);
-    world.all_answer("a", "/old/1", 200);
-    world.all_answer("b", "/old/1", 200);
+    let fixture = Fixture::start(&store, &HALLS);
+    fixture.wait_for_status("a", "/old/1", 200);
+    fixture.wait_for_status("b", "/old/1", 200);
     for topic in [Topic::Configuration, Topic::Endpoints] {
-        let asking = world.asking("b", topic);
-        assert!(asking <= READERS, "{asking} read {topic:?}");
+        let reading = fixture.count_reading("b", topic);
+        assert!(reading <= READERS, "{reading} read {topic:?}");
     }
 }
 
 #[test]
-fn when_all_start_at_once_over_a_slow_link_no_more_gateways_read_the_store() {
+fn after_a_simultaneous_start_at_most_two_gateways_of_a_region_read_a_slow_store() {
     let fake = FakeEndpoint::start(|_, e| e.answer(200, "x"));
     let store = store_with_endpoints(&fake, 3);
-    let world = World::start_with(
+    let fixture = Fixture::start_with(
         &store,
         &["b1", "b2"],
         |settings| settings,
-        |_, own| own.set_call_time(SLOW_TIME),
+        |_, own| own.set_call_time(SLOW_CALL_TIME),
     );
-    world.all_answer("b", "/old/1", 200);
+    fixture.wait_for_status("b", "/old/1", 200);
     for topic in [Topic::Configuration, Topic::Endpoints] {
-        let asking = world.asking("b", topic);
-        assert!(asking <= READERS, "{asking} read {topic:?}");
+        let reading = fixture.count_reading("b", topic);
+        assert!(reading <= READERS, "{reading} read {topic:?}");
     }
 }
 
 #[test]
-fn near_the_store_a_large_change_comes_from_it_and_not_through_links_of_gateways() {
+fn in_the_region_of_the_store_all_gateways_read_a_large_change_from_it() {
     let fake = FakeEndpoint::start(|_, e| e.answer(200, "x"));
     let store = store_with_endpoints(&fake, 3);
-    let world = World::start(&store, &["a1", "a2"]);
-    world.all_answer("a", "/old/1", 200);
-    let asks: Vec<u64> = world
-        .of("a")
+    let fixture = Fixture::start(&store, &["a1", "a2"]);
+    fixture.wait_for_status("a", "/old/1", 200);
+    let calls: Vec<u64> = fixture
+        .in_region("a")
         .map(|setup| setup.store.call_count(Topic::Endpoints))
         .collect();
     for i in 0..6_000 {
         store.put_endpoint(endpoint(&format!("later{i}"), fake.address));
     }
-    for (setup, before) in world.of("a").zip(asks) {
-        wait_until("the store to be asked", || {
+    for (setup, before) in fixture.in_region("a").zip(calls) {
+        wait_until("a call to the store", || {
             setup.store.call_count(Topic::Endpoints) > before
         });
     }
 }
 
 #[test]
-fn a_change_reaches_all_gateways_of_both_regions_without_further_readers() {
+fn a_change_reaches_all_gateways_of_both_regions_with_at_most_two_readers_in_the_remote_one() {
     let fake = FakeEndpoint::start(|_, e| e.answer(200, "x"));
     let store = store_with_endpoints(&fake, 3);
-    let world = World::start(&store, &HALLS);
+    let fixture = Fixture::start(&store, &HALLS);
     for region in ["a", "b"] {
-        world.all_answer(region, "/old/1", 200);
+        fixture.wait_for_status(region, "/old/1", 200);
     }
     let changed_at = Instant::now();
     put_route(&store, 2, "/new/");
     for region in ["a", "b"] {
-        world.all_answer(region, "/new/1", 200);
-        world.all_answer(region, "/old/1", 404);
+        fixture.wait_for_status(region, "/new/1", 200);
+        fixture.wait_for_status(region, "/old/1", 404);
     }
     assert!(changed_at.elapsed() < CHANGE_DUE, "the change is late");
-    let asking = world.asking("b", Topic::Configuration);
-    assert!(asking <= READERS, "{asking}");
+    let reading = fixture.count_reading("b", Topic::Configuration);
+    assert!(reading <= READERS, "{reading}");
 }
 
 #[test]
-fn after_a_history_that_is_gone_the_readers_of_a_region_list_and_the_others_take() {
+fn after_history_compaction_at_most_two_gateways_of_a_remote_region_read_the_store() {
     let fake = FakeEndpoint::start(|_, e| e.answer(200, "x"));
     let store = store_with_endpoints(&fake, 3);
-    let world = World::start(&store, &HALLS);
-    world.all_answer("b", "/old/1", 200);
+    let fixture = Fixture::start(&store, &HALLS);
+    fixture.wait_for_status("b", "/old/1", 200);
     store.compact_history();
     put_route(&store, 2, "/new/");
-    world.all_answer("b", "/new/1", 200);
-    let asking = world.asking("b", Topic::Configuration);
-    assert!(asking <= READERS, "{asking}");
+    fixture.wait_for_status("b", "/new/1", 200);
+    let reading = fixture.count_reading("b", Topic::Configuration);
+    assert!(reading <= READERS, "{reading}");
 }
 
 #[test]
-fn a_region_that_the_store_does_not_reach_takes_changes_from_the_other_region() {
+fn a_region_refused_by_the_store_gets_changes_and_key_confirmations_from_the_other_region() {
     let fake = FakeEndpoint::start(|_, e| e.answer(200, "x"));
     let store = store_with_endpoints(&fake, 3);
-    let world = World::start(&store, &HALLS);
+    let fixture = Fixture::start(&store, &HALLS);
     for region in ["a", "b"] {
-        world.all_answer(region, "/old/1", 200);
+        fixture.wait_for_status(region, "/old/1", 200);
     }
-    world.of("b").for_each(|setup| setup.store.refuse(true));
-    put_route(&world.store, 2, "/new/");
-    world.all_answer("b", "/new/1", 200);
-    // Keys stay confirmed, by the other region.
-    let began = Instant::now();
-    while began.elapsed() < CREDENTIAL_AGE {
-        for setup in world.of("b") {
+    fixture
+        .in_region("b")
+        .for_each(|setup| setup.store.refuse(true));
+    put_route(&fixture.store, 2, "/new/");
+    fixture.wait_for_status("b", "/new/1", 200);
+    // The other region keeps confirming the keys.
+    let started = Instant::now();
+    while started.elapsed() < CREDENTIAL_AGE {
+        for setup in fixture.in_region("b") {
             assert_eq!(setup.call("/new/1", &["x-key: k"]).status, 200);
         }
     }
 }
 
 #[test]
-fn a_region_without_others_to_hear_is_refused_keys_once_they_are_too_old_and_not_before() {
+fn an_isolated_region_refuses_keys_only_after_their_confirmation_expires() {
     let fake = FakeEndpoint::start(|_, e| e.answer(200, "x"));
     let store = store_with_endpoints(&fake, 3);
-    let world = World::start(&store, &["b1", "b2"]);
-    world.all_answer("b", "/old/1", 200);
+    let fixture = Fixture::start(&store, &["b1", "b2"]);
+    fixture.wait_for_status("b", "/old/1", 200);
     let cut_at = Instant::now();
-    world.of("b").for_each(|setup| setup.store.refuse(true));
-    world.all_answer("b", "/old/1", 503);
+    fixture
+        .in_region("b")
+        .for_each(|setup| setup.store.refuse(true));
+    fixture.wait_for_status("b", "/old/1", 503);
     assert!(cut_at.elapsed() >= CREDENTIAL_AGE / 2);
-    world.of("b").for_each(|setup| setup.store.refuse(false));
-    world.all_answer("b", "/old/1", 200);
+    fixture
+        .in_region("b")
+        .for_each(|setup| setup.store.refuse(false));
+    fixture.wait_for_status("b", "/old/1", 200);
 }
 
 #[test]
-fn where_keys_have_no_bound_a_region_that_starts_without_the_store_serves_by_the_other_region() {
+fn without_key_expiry_a_region_that_starts_without_the_store_serves_by_rows_of_the_other_region() {
     let fake = FakeEndpoint::start(|_, e| e.answer(200, "x"));
     let store = store_with_endpoints(&fake, 3);
-    let unbounded = |settings| GatewaySettings {
+    let without_key_expiry = |settings| GatewaySettings {
         credential_age_ms: 0,
         ..settings
     };
-    let world = World::start_with(&store, &HALLS, unbounded, |hall, own| {
+    let fixture = Fixture::start_with(&store, &HALLS, without_key_expiry, |hall, own| {
         if hall.starts_with('b') {
             own.refuse(true);
         }
     });
-    world.all_answer("a", "/old/1", 200);
-    world.all_answer("b", "/old/1", 200);
+    fixture.wait_for_status("a", "/old/1", 200);
+    fixture.wait_for_status("b", "/old/1", 200);
 }
 
 #[test]
-fn a_region_whose_readers_stop_at_once_goes_on_in_time() {
+fn a_region_whose_readers_stop_together_gets_the_next_change_in_time() {
     let fake = FakeEndpoint::start(|_, e| e.answer(200, "x"));
     let store = store_with_endpoints(&fake, 3);
-    let mut world = World::start(&store, &["b1", "b2"]);
-    world.all_answer("b", "/old/1", 200);
-    // Who asks again reads; on a busy machine another one may have asked once at its start.
-    let asks = |setup: &Setup| setup.store.call_count(Topic::Configuration);
-    let before: Vec<u64> = world
+    let mut fixture = Fixture::start(&store, &["b1", "b2"]);
+    fixture.wait_for_status("b", "/old/1", 200);
+    // Readers are the gateways that call again. On a busy machine another gateway may have called once at its start.
+    let call_count = |setup: &Setup| setup.store.call_count(Topic::Configuration);
+    let before: Vec<u64> = fixture
         .gateways
         .iter()
-        .map(|(_, setup)| asks(setup))
+        .map(|(_, setup)| call_count(setup))
         .collect();
-    let ask_again = |world: &World| {
-        let now = world.gateways.iter().zip(&before);
-        now.filter(|((_, setup), before)| asks(setup) > **before)
+    let count_repeated = |fixture: &Fixture| {
+        let now = fixture.gateways.iter().zip(&before);
+        now.filter(|((_, setup), before)| call_count(setup) > **before)
             .count()
     };
-    wait_until("the readers to ask again", || ask_again(&world) >= READERS);
-    let (readers, others): (Vec<_>, Vec<_>) = world
+    wait_until("the readers to call again", || {
+        count_repeated(&fixture) >= READERS
+    });
+    let (readers, others): (Vec<_>, Vec<_>) = fixture
         .gateways
         .drain(..)
         .zip(before)
-        .partition(|((_, setup), before)| asks(setup) > *before);
-    world.gateways = others.into_iter().map(|(other, _)| other).collect();
+        .partition(|((_, setup), before)| call_count(setup) > *before);
+    fixture.gateways = others.into_iter().map(|(other, _)| other).collect();
     let readers: Vec<(&str, Setup)> = readers.into_iter().map(|(reader, _)| reader).collect();
     assert_eq!(readers.len(), READERS);
     readers
@@ -287,6 +296,6 @@
     drop(readers);
     put_route(&store, 2, "/new/");
     let changed_at = Instant::now();
-    world.all_answer("b", "/new/1", 200);
+    fixture.wait_for_status("b", "/new/1", 200);
     assert!(changed_at.elapsed() < CHANGE_DUE, "the change is late");
 }
