--- a/components/gateway/tests/cold_start.rs
+++ b/components/gateway/tests/cold_start.rs
@@ -1,8 +1,9 @@
 //! Start of all gateways at once: calls to the store, and answers to callers until the coordinators are ready.
 //!
-//! Guards against overload of the store: when hundreds of gateways started together, each of them wrote into one part of the
-//! store, read the list of all gateways, took itself for a coordinator, read the lease and kept long polls open. Gateways
-//! whose coordinators were still reading the endpoints read them too, or refused requests by their own small part of a limit.
+//! Guards against overload of the store: when hundreds of gateways started together, each of them wrote into one part of
+//! the store, read the list of all gateways, took itself for a coordinator, read the lease and kept long polls open.
+//! Gateways whose coordinators were still reading the endpoints read them too, or refused requests by their own small part
+//! of a limit.
 
 mod common;
 
@@ -21,7 +22,7 @@
 use schema::settings::GatewaySettings;
 
 const MAX_DATAGRAM: usize = 8192;
-/// Time in which a gateway checks several times whether the lease has a holder.
+/// Time in which a gateway checks several times whether the holder of the lease is missing.
 const LEASE_CHECKS_TIME: Duration = Duration::from_millis(400);
 
 /// A fake coordinator that answers as one that has just started until `knows_endpoints` is set.
--- a/components/gateway/tests/coordinators.rs
+++ b/components/gateway/tests/coordinators.rs
@@ -80,7 +80,7 @@
     let store = limited_store(&fake);
     let (_coordinators, asking) = start_four(&store);
     // Its own part of the limit is a quarter, two requests a second.
-    wait_until("the whole limit", || {
+    wait_until("most of the shared limit", || {
         served_in_a_second(&asking) as f64 >= LIMIT * 0.75
     });
 }
@@ -90,7 +90,7 @@
     let fake = FakeEndpoint::start(|_, e| e.answer(200, "x"));
     let store = limited_store(&fake);
     let (coordinators, asking) = start_four(&store);
-    wait_until("the whole limit", || {
+    wait_until("most of the shared limit", || {
         served_in_a_second(&asking) as f64 >= LIMIT * 0.75
     });
     for coordinator in coordinators {
@@ -106,7 +106,7 @@
     let fake = FakeEndpoint::start(|_, e| e.answer(200, "x"));
     let store = limited_store(&fake);
     let (_coordinators, asking) = start_four(&store);
-    wait_until("the whole limit", || {
+    wait_until("most of the shared limit", || {
         served_in_a_second(&asking) as f64 >= LIMIT * 0.75
     });
     // The first change ends a long poll at the store that was started before the coordinators were found.
@@ -121,7 +121,7 @@
     let fake = FakeEndpoint::start(|_, e| e.answer(200, "x"));
     let store = limited_store(&fake);
     let (coordinators, asking) = start_four(&store);
-    wait_until("the whole limit", || {
+    wait_until("most of the shared limit", || {
         served_in_a_second(&asking) as f64 >= LIMIT * 0.75
     });
     // Ends a long poll that was started before the coordinators were found. The gateway would poll next after 39 s.
--- a/components/gateway/tests/endpoint_limits.rs
+++ b/components/gateway/tests/endpoint_limits.rs
@@ -140,7 +140,7 @@
 fn announce_limit(gateways: &[Setup], limited: &LimitedEndpoint) {
     for gateway in gateways {
         let count_before = limited.count();
-        wait_until("the limit to be told", || {
+        wait_until("the endpoint to name its limit", || {
             gateway.call("/a/1", &[]);
             limited.count() > count_before
         });
--- a/components/gateway/tests/endpoint_signals.rs
+++ b/components/gateway/tests/endpoint_signals.rs
@@ -1,10 +1,10 @@
 //! Answers in which an endpoint says that it is leaving or asks for a pause.
 //!
-//! Guards against ignored answers: while the store did not respond, gateways sent requests to an endpoint for six seconds after
-//! they had passed on an answer that said that it was leaving. An endpoint that had declined a request and asked for a pause
-//! of 3 s got five more from the same gateway in that time, since it looked idle. The gateways did not read these parts of the
-//! answers. Each of the requests was new and placed by the gateway itself within milliseconds, so the record of the endpoint
-//! could not have told the gateway.
+//! Guards against ignored answers: while the store did not respond, gateways sent requests to an endpoint for six seconds
+//! after they had passed on an answer that said that it was leaving. An endpoint that had declined a request and asked for
+//! a pause of 3 s got five more from the same gateway in that time, since it looked idle. The gateways did not read these
+//! parts of the answers. Each of the requests was new and placed by the gateway itself within milliseconds, so the record
+//! of the endpoint could not have told the gateway.
 
 mod common;
 
@@ -236,7 +236,8 @@
 }
 
 #[test]
-fn a_request_whose_endpoints_are_all_paused_is_refused_with_the_time_until_a_pause_ends() {
+fn a_request_whose_endpoints_are_all_paused_is_refused_without_a_wait_with_the_time_until_a_pause_ends(
+) {
     let (first, second) = (busy(), busy());
     let mut long_route = route("/a/", Execution::Repeatable);
     // A request waits for an endpoint for a sixth of the target.
@@ -284,6 +285,7 @@
     assert_eq!(asking.call("/a/1", &[]).status, 200);
 }
 
+// The end of a leaving endpoint is no evidence against the requests that it ran.
 #[test]
 fn an_answer_cut_off_by_a_leaving_endpoint_is_not_logged_as_cut_off() {
     let leaving = FakeEndpoint::start(|_, exchange| {
--- a/components/gateway/tests/memory_use.rs
+++ b/components/gateway/tests/memory_use.rs
@@ -86,7 +86,7 @@
     Gauge::Connections,
 ];
 
-fn accounted(setup: &Setup) -> usize {
+fn accounted_bytes(setup: &Setup) -> usize {
     let metrics = setup.gateway.metrics();
     ACCOUNTED_GAUGES
         .iter()
@@ -100,7 +100,7 @@
     let mut stable_checks = 0;
     wait_until("stable memory use", || {
         std::thread::sleep(Duration::from_millis(50));
-        let now = (accounted(setup), ALLOCATED.load(Ordering::Relaxed));
+        let now = (accounted_bytes(setup), ALLOCATED.load(Ordering::Relaxed));
         let same = now.0 == before.0 && now.1.abs_diff(before.1) < 32 << 10;
         stable_checks = if same { stable_checks + 1 } else { 0 };
         before = now;
@@ -135,7 +135,7 @@
         .map(|_| open_with_small_buffers(setup.address(), request.as_bytes()))
         .collect();
     wait_until("much memory to be accounted for", || {
-        accounted(&setup) - before.0 > 8 << 20
+        accounted_bytes(&setup) - before.0 > 8 << 20
     });
     assert_agree("streams", growth(&setup, before));
     drop(callers);
@@ -179,7 +179,7 @@
         })
         .collect();
     wait_until("much memory to be accounted for", || {
-        accounted(&setup) - before.0 > 18 << 20
+        accounted_bytes(&setup) - before.0 > 18 << 20
     });
     assert_agree("answers and bodies", growth(&setup, before));
     drop((answers, bodies));
--- a/components/gateway/tests/request_quarantine.rs
+++ b/components/gateway/tests/request_quarantine.rs
@@ -1,9 +1,9 @@
 //! Quarantine of a poison request: a request that crashes every endpoint that runs it.
 //!
-//! Guards against repeated crashes: one caller retried a request at any gateway and crashed 37 endpoints within seconds, with
-//! all other requests on them. Each retry had a new id, so each gateway took it for a new request, and a stream whose endpoint
-//! had crashed was resumed at the next one. Log lines of attempts with a fingerprint of the request show the same fingerprint
-//! at each crash.
+//! Guards against repeated crashes: one caller retried a request at any gateway and crashed 37 endpoints within seconds,
+//! with all other requests on them. Each retry had a new id, so each gateway took it for a new request, and a stream whose
+//! endpoint had crashed was resumed at the next one. Log lines of attempts with a fingerprint of the request show the same
+//! fingerprint at each crash.
 
 mod common;
 
--- a/components/gateway/tests/requests.rs
+++ b/components/gateway/tests/requests.rs
@@ -1,4 +1,6 @@
 //! Guarantees of a gateway to callers. Each test provokes the failure that would break the guarantee.
+//!
+//! With 503 the gateway promises that the request was not run. After 502 the request may have run.
 
 mod common;
 
--- a/components/gateway/tests/slow_callers.rs
+++ b/components/gateway/tests/slow_callers.rs
@@ -62,7 +62,7 @@
     })
 }
 
-fn call_slowly(setup: &Setup, path: &str) -> TcpStream {
+fn start_slow_call(setup: &Setup, path: &str) -> TcpStream {
     open_with_small_buffers(setup.address(), request_text(path, &[]).as_bytes())
 }
 
@@ -74,7 +74,7 @@
 fn a_stream_is_read_ahead_in_full_while_its_caller_reads_nothing() {
     let (fake, written) = start_streaming_events(LARGE_EVENT_BYTES);
     let setup = start_on_vm(LARGE_VM_MIB, route_with_long_timeout(STREAM), &fake);
-    let mut caller = call_slowly(&setup, "/a/600");
+    let mut caller = start_slow_call(&setup, "/a/600");
     assert!(written.recv_timeout(Duration::from_secs(20)).unwrap());
     let answer = read_slowly(&mut caller, 256 << 10, Duration::from_millis(1));
     assert_eq!(count_events(&answer.body), 600);
@@ -86,12 +86,12 @@
     let (fake, written) = start_streaming_events(LARGE_EVENT_BYTES);
     let mut short_route = route_with_long_timeout(STREAM);
     short_route.timeout = Duration::from_millis(700);
-    let began = Instant::now();
+    let started = Instant::now();
     let setup = start_on_vm(LARGE_VM_MIB, short_route, &fake);
-    let mut caller = call_slowly(&setup, "/a/300");
+    let mut caller = start_slow_call(&setup, "/a/300");
     assert!(written.recv_timeout(Duration::from_secs(20)).unwrap());
     wait_until("the timeout of the route", || {
-        began.elapsed() > Duration::from_millis(1500)
+        started.elapsed() > Duration::from_millis(1500)
     });
     let answer = read_answer(&mut caller);
     assert_eq!(count_events(&answer.body), 300);
@@ -102,7 +102,7 @@
 fn fast_callers_are_served_beside_slow_ones_which_get_complete_streams() {
     let (fake, written) = start_streaming();
     let setup = start_on_vm(SMALL_VM_MIB, route_with_long_timeout(STREAM), &fake);
-    let mut slow: Vec<TcpStream> = (0..4).map(|_| call_slowly(&setup, "/a/1000")).collect();
+    let mut slow: Vec<TcpStream> = (0..4).map(|_| start_slow_call(&setup, "/a/1000")).collect();
     for _ in &slow {
         assert!(written.recv_timeout(Duration::from_secs(20)).unwrap());
     }
@@ -127,7 +127,9 @@
         route_with_long_timeout(Execution::Once),
         &fake,
     );
-    let silent: Vec<TcpStream> = (0..20).map(|_| call_slowly(&setup, "/a/1000000")).collect();
+    let silent: Vec<TcpStream> = (0..20)
+        .map(|_| start_slow_call(&setup, "/a/1000000"))
+        .collect();
     wait_until("all requests at the endpoint", || {
         fake.heads().len() == silent.len()
     });
@@ -141,12 +143,12 @@
 fn a_caller_that_reads_nothing_gets_an_incomplete_stream_once_others_need_its_memory() {
     let (fake, written) = start_streaming();
     let setup = start_on_vm(SMALL_VM_MIB, route_with_long_timeout(STREAM), &fake);
-    let mut silent: Vec<TcpStream> = (0..5).map(|_| call_slowly(&setup, "/a/1000")).collect();
+    let mut silent: Vec<TcpStream> = (0..5).map(|_| start_slow_call(&setup, "/a/1000")).collect();
     for _ in &silent {
         assert!(written.recv_timeout(Duration::from_secs(20)).unwrap());
     }
     // These callers need more memory than is left, and they keep reading.
-    let late: Vec<TcpStream> = (0..4).map(|_| call_slowly(&setup, "/a/1000")).collect();
+    let late: Vec<TcpStream> = (0..4).map(|_| start_slow_call(&setup, "/a/1000")).collect();
     let whole = late.into_iter().map(|mut caller| {
         std::thread::spawn(move || {
             // Takes longer than a caller that reads nothing is kept while memory is short.
@@ -178,7 +180,7 @@
         let _ = progress.send(());
     });
     let setup = start_on_vm(LARGE_VM_MIB, route_with_long_timeout(STREAM), &fake);
-    let caller = call_slowly(&setup, "/a/");
+    let caller = start_slow_call(&setup, "/a/");
     progressed.recv_timeout(Duration::from_secs(20)).unwrap();
     drop(caller);
     progressed.recv_timeout(Duration::from_secs(5)).unwrap();
@@ -188,7 +190,7 @@
 fn a_stopping_gateway_lets_a_slow_caller_read_a_complete_stream() {
     let (fake, written) = start_streaming();
     let setup = start_on_vm(LARGE_VM_MIB, route_with_long_timeout(STREAM), &fake);
-    let mut caller = call_slowly(&setup, "/a/300");
+    let mut caller = start_slow_call(&setup, "/a/300");
     assert!(written.recv_timeout(Duration::from_secs(20)).unwrap());
     setup.stop();
     wait_until("the listener to close", || {
@@ -210,7 +212,7 @@
     let configuration = configuration(1, vec![route_with_long_timeout(Execution::Once)]);
     let one = endpoint("e0", fake.address);
     let setup = Setup::serving_with(settings, configuration, vec![one]);
-    let mut caller = call_slowly(&setup, "/a/3000000");
+    let mut caller = start_slow_call(&setup, "/a/3000000");
     let mut byte = [0];
     caller.read_exact(&mut byte).unwrap();
     setup.stop();
@@ -364,10 +366,10 @@
     );
     // The gateway keeps the body for a retry. It is larger than the data read ahead.
     let mut caller = post(&setup, 500_000, 500_000);
-    let began = Instant::now();
+    let started = Instant::now();
     wait_until(
         "more than the time for which such a caller is kept while memory is short",
-        || began.elapsed() > Duration::from_millis(3500),
+        || started.elapsed() > Duration::from_millis(3500),
     );
     let answer = read_answer(&mut caller);
     assert_eq!(
--- a/components/gateway/tests/store_restore.rs
+++ b/components/gateway/tests/store_restore.rs
@@ -106,7 +106,7 @@
     wait_until("the end of the observation period", || {
         started.elapsed() > CHANGE_DUE
     });
-    // One list and a held call every 0.6 s for each of two topics.
+    // One list, and a long poll every 0.6 s, for each of two topics.
     assert!(asks() - before < 20, "{} calls", asks() - before);
 }
 
--- a/components/gateway/tests/two_regions.rs
+++ b/components/gateway/tests/two_regions.rs
@@ -1,5 +1,5 @@
-//! Gateways of two regions that follow the store, which is in region `a`. In region `b` a few gateways read the store, and the
-//! others get the rows from them.
+//! Gateways of two regions that follow the store, which is in region `a`. In region `b` a few gateways read the store, and
+//! the others get the rows from them.
 
 mod common;
 
