--- a/components/gateway/tests/echoes.rs
+++ b/components/gateway/tests/echoes.rs
@@ -52,6 +52,7 @@
     assert_eq!(round_trip(ms(500), "g1", &echo), None);
 }
 
+// A long round trip, as behind a full link, must not be dropped or taken for a short one.
 #[test]
 fn a_long_round_trip_counts_as_two_seconds() {
     let mut echoes = Echoes::default();
