--- a/components/gateway/tests/common/mortal.rs
+++ b/components/gateway/tests/common/crashing.rs
@@ -1,4 +1,4 @@
-//! An endpoint that one request ends, with all that runs there.
+//! A fake endpoint that one request crashes, with all other requests on it.
 
 use std::io::Write;
 use std::net::{Shutdown, SocketAddr, TcpListener, TcpStream};
@@ -8,70 +8,70 @@
 
 use super::endpoint::read_head;
 
-/// What ends an endpoint that begins it.
-pub const DEADLY: &str = "/a/deadly";
-/// What an endpoint begins and doesn't end.
-pub const LONG: &str = "/a/long";
+/// A request for this path crashes the endpoint that runs it.
+pub const POISON_PATH: &str = "/a/poison";
+/// A request for this path is never answered.
+pub const HANGING_PATH: &str = "/a/hanging";
 
 #[derive(Default)]
 struct State {
-    ended: AtomicBool,
-    open: Mutex<Vec<TcpStream>>,
+    stopped: AtomicBool,
+    connections: Mutex<Vec<TcpStream>>,
     paths: Mutex<Vec<String>>,
 }
 
-/// An endpoint that answers everything but [`DEADLY`] and [`LONG`].
+/// An endpoint that answers everything but [`POISON_PATH`] and [`HANGING_PATH`].
 #[derive(Clone)]
-pub struct Mortal {
+pub struct CrashingEndpoint {
     pub address: SocketAddr,
     state: Arc<State>,
 }
 
-impl Mortal {
+impl CrashingEndpoint {
     pub fn start() -> Self {
         let listener = TcpListener::bind("127.0.0.1:0").unwrap();
         let address = listener.local_addr().unwrap();
-        let mortal = Mortal {
+        let crashing = CrashingEndpoint {
             address,
             state: Arc::default(),
         };
-        let serving = mortal.clone();
-        thread::spawn(move || serving.listen(listener));
-        mortal
+        let server = crashing.clone();
+        thread::spawn(move || server.listen(listener));
+        crashing
     }
 
-    pub fn has_ended(&self) -> bool {
-        self.state.ended.load(Ordering::SeqCst)
+    pub fn has_stopped(&self) -> bool {
+        self.state.stopped.load(Ordering::SeqCst)
     }
 
-    /// Paths of the requests that arrived.
+    /// Paths of all requests received so far.
     pub fn paths(&self) -> Vec<String> {
         self.state.paths.lock().unwrap().clone()
     }
 
-    /// Ends it from outside.
-    pub fn end(&self) {
-        self.state.ended.store(true, Ordering::SeqCst);
-        // Wakes the listener, which ends with the thread that holds it.
+    /// Stops the endpoint: its listener and all connections close.
+    pub fn stop(&self) {
+        self.state.stopped.store(true, Ordering::SeqCst);
+        // Wakes the listening thread, which then closes the listener.
         drop(TcpStream::connect(self.address));
     }
 
-    // New connections are refused before the open ones close, as when a process ends.
+    // Closes the listener before the open connections, so that new connections are refused first, as when a process ends.
     fn listen(&self, listener: TcpListener) {
         for stream in listener.incoming().flatten() {
-            if self.has_ended() {
+            if self.has_stopped() {
                 break;
             }
             self.state
-                .open
+                .connections
                 .lock()
                 .unwrap()
                 .push(stream.try_clone().unwrap());
-            let serving = self.clone();
-            thread::spawn(move || serving.serve(stream));
+            let server = self.clone();
+            thread::spawn(move || server.serve(stream));
         }
         drop(listener);
-        for stream in self.state.open.lock().unwrap().drain(..) {
+        for stream in self.state.connections.lock().unwrap().drain(..) {
             let _ = stream.shutdown(Shutdown::Both);
         }
     }
@@ -81,8 +81,8 @@
             let path = head.split(' ').nth(1).unwrap_or_default().to_string();
             self.state.paths.lock().unwrap().push(path.clone());
             match path.as_str() {
-                DEADLY => self.end(),
-                LONG => {}
+                POISON_PATH => self.stop(),
+                HANGING_PATH => {}
                 _ => answer(&mut stream, &head),
             }
         }
--- a/components/gateway/tests/common/mod.rs
+++ b/components/gateway/tests/common/mod.rs
@@ -1,11 +1,11 @@
-//! A gateway between a caller, endpoints, a store and orders that the tests control.
+//! Starts a gateway with a fake store, fake orders and fake endpoints, and sends requests to it.
 
 #![allow(dead_code, unused_imports)]
 
+pub mod crashing;
 mod endpoint;
-mod lines;
-pub mod mortal;
-pub mod slow;
+mod log_lines;
+pub mod slow_io;
 mod store;
 
 use std::collections::BTreeMap;
@@ -25,26 +25,29 @@
 use schema::settings::GatewaySettings;
 use slog::Logger;
 
-pub use endpoint::EndpointStandin;
-pub use lines::Lines;
-pub use mortal::Mortal;
-pub use store::{OrdersStandin, StoreStandin};
+pub use crashing::CrashingEndpoint;
+pub use endpoint::FakeEndpoint;
+pub use log_lines::LogLines;
+pub use store::{FakeOrders, FakeStore};
 
-/// Longest wait for something that must come; it bounds a failing test, not a passing one.
-const PATIENCE: Duration = Duration::from_secs(20);
+/// Limit of every wait. Only a failing test reaches it.
+const MAX_WAIT: Duration = Duration::from_secs(20);
 
-/// Waits until something is so.
-pub fn wait_until(what: &str, mut is_so: impl FnMut() -> bool) {
+/// Waits until the condition holds, and panics after [`MAX_WAIT`].
+pub fn wait_until(what: &str, mut condition: impl FnMut() -> bool) {
     let started = Instant::now();
-    while !is_so() {
-        assert!(started.elapsed() < PATIENCE, "in vain for: {what}");
+    while !condition() {
+        assert!(
+            started.elapsed() < MAX_WAIT,
+            "timed out waiting for: {what}"
+        );
         std::thread::sleep(Duration::from_millis(5));
     }
 }
 
-/// Heads with short names.
+/// A dialect with short header names.
 #[derive(Clone, Copy, Debug)]
-pub struct PlainHeads;
+pub struct PlainDialect;
 
 fn text(fields: &HeaderMap, name: &str) -> Option<String> {
     Some(fields.get(name)?.to_str().ok()?.to_string())
@@ -54,12 +57,12 @@
     text(fields, name)?.parse().ok()
 }
 
-impl Dialect for PlainHeads {
+impl Dialect for PlainDialect {
     fn read_request(&self, head: &request::Parts) -> Result<CallerHead, HeadFault> {
         let fields = &head.headers;
         let tokens = number(fields, "x-tokens").map(|tokens| (tokens as u32, 0));
         Ok(CallerHead {
-            id: text(fields, "x-id").ok_or(HeadFault("no id"))?,
+            id: text(fields, "x-id").ok_or(HeadFault("x-id is missing"))?,
             deadline: number(fields, "x-deadline").map(Duration::from_millis),
             key: text(fields, "x-key"),
             tokens,
@@ -96,7 +99,7 @@
                 queued: 0,
                 slowdown: number(fields, "x-slowdown").map(|percent| {
                     let slowdown = Slowdown::from_percent(percent as u32);
-                    slowdown.ok_or(HeadFault("no slowdown"))
+                    slowdown.ok_or(HeadFault("x-slowdown is invalid"))
                 }),
             }),
             keep_alive: None,
@@ -107,7 +110,7 @@
                 Some(text) => {
                     let rate = text.parse().ok().and_then(SendRate::from_per_s);
                     rate.map_or(
-                        ReportedLimit::Fault(HeadFault("no rate")),
+                        ReportedLimit::Fault(HeadFault("x-limit is not a rate")),
                         ReportedLimit::Limit,
                     )
                 }
@@ -116,7 +119,7 @@
     }
 }
 
-/// Settings of a gateway on free ports.
+/// Settings of a gateway that listens on free ports.
 pub fn settings() -> GatewaySettings {
     let any = || "127.0.0.1:0".to_string();
     GatewaySettings {
@@ -153,7 +156,7 @@
     }
 }
 
-/// A route of host `h` to the service `s`.
+/// A route of the host `h` to the service `s`.
 pub fn route(prefix: &str, execution: Execution) -> Route {
     Route {
         name: prefix.into(),
@@ -173,7 +176,7 @@
     }
 }
 
-/// A tenant with one key.
+/// A tenant with one key and without a quota.
 pub fn tenant(name: &str, key: &str) -> Tenant {
     Tenant {
         name: name.into(),
@@ -198,7 +201,7 @@
     }
 }
 
-/// An endpoint of the service `s` as it records itself.
+/// The record of a ready endpoint of the service `s`.
 pub fn endpoint(id: &str, address: SocketAddr) -> Endpoint {
     Endpoint {
         born_ms: None,
@@ -214,48 +217,48 @@
     }
 }
 
-/// An endpoint of the service `s` with a version.
-pub fn endpoint_of(version: &str, id: &str, address: SocketAddr) -> Endpoint {
+/// The record of a ready endpoint of the service `s` that runs this version.
+pub fn endpoint_with_version(version: &str, id: &str, address: SocketAddr) -> Endpoint {
     Endpoint {
         version: version.into(),
         ..endpoint(id, address)
     }
 }
 
-/// A running gateway with its surroundings.
+/// A running gateway with its fake store and fake orders. Dropping it stops the gateway.
 pub struct Setup {
     pub gateway: Gateway,
-    pub store: StoreStandin,
-    pub orders: OrdersStandin,
+    pub store: FakeStore,
+    pub orders: FakeOrders,
 }
 
 impl Setup {
-    pub fn start(settings: GatewaySettings, store: StoreStandin) -> Self {
+    pub fn start(settings: GatewaySettings, store: FakeStore) -> Self {
         Self::start_with_log(settings, store, telemetry::discard())
     }
 
-    pub fn start_with_log(settings: GatewaySettings, store: StoreStandin, log: Logger) -> Self {
+    pub fn start_with_log(settings: GatewaySettings, store: FakeStore, log: Logger) -> Self {
         Self::start_with_clock(settings, store, log, Clock::start())
     }
 
     pub fn start_with_clock(
         settings: GatewaySettings,
-        store: StoreStandin,
+        store: FakeStore,
         log: Logger,
         clock: Clock,
     ) -> Self {
-        let orders = OrdersStandin::default();
+        let orders = FakeOrders::default();
         let (own_store, own_orders) = (store.clone(), orders.clone());
         let gateway = Gateway::start(Parts {
             settings,
             read_settings: Box::new(|| None),
-            dialect: PlainHeads,
+            dialect: PlainDialect,
             store: Box::new(move || own_store),
             orders: Box::new(move || own_orders),
             clock,
             log,
         });
-        let gateway = gateway.expect("the gateway starts");
+        let gateway = gateway.expect("gateway failed to start");
         Setup {
             gateway,
             store,
@@ -263,7 +266,7 @@
         }
     }
 
-    /// Starts a gateway with a configuration and endpoints, and waits until it is ready.
+    /// Starts a gateway with this configuration and these endpoints, and waits until it is ready.
     pub fn serving(configuration: Configuration, endpoints: Vec<Endpoint>) -> Self {
         Self::serving_with(settings(), configuration, endpoints)
     }
@@ -273,7 +276,7 @@
         configuration: Configuration,
         endpoints: Vec<Endpoint>,
     ) -> Self {
-        let store = StoreStandin::default();
+        let store = FakeStore::default();
         store.put_configuration(configuration);
         for endpoint in endpoints {
             store.put_endpoint(endpoint);
@@ -300,9 +303,9 @@
         self.gateway.signals().stop.store(true, Ordering::Relaxed);
     }
 
-    /// Sends a request with further header lines, and reads the whole answer.
-    pub fn call(&self, path: &str, lines: &[&str]) -> Answer {
-        send(self.address(), &request_text(path, lines))
+    /// Sends a request with additional header lines, and reads its answer.
+    pub fn call(&self, path: &str, headers: &[&str]) -> Answer {
+        send(self.address(), &request_text(path, headers))
     }
 }
 
@@ -312,30 +315,30 @@
     }
 }
 
-/// A request with an id, as it goes over the wire.
-pub fn request_text(path: &str, lines: &[&str]) -> String {
+/// Text of a request; its id is 1 unless the header lines contain one.
+pub fn request_text(path: &str, headers: &[&str]) -> String {
     let mut head = format!("GET {path} HTTP/1.1\r\nhost: h\r\nconnection: close\r\n");
-    if !lines.iter().any(|line| line.starts_with("x-id")) {
+    if !headers.iter().any(|line| line.starts_with("x-id")) {
         head += "x-id: 1\r\n";
     }
-    for line in lines {
+    for line in headers {
         head += &format!("{line}\r\n");
     }
     head + "\r\n"
 }
 
-/// An answer as a caller sees it.
+/// An answer as a caller receives it.
 #[derive(Clone, Debug)]
 pub struct Answer {
     pub status: u16,
     pub head: String,
     pub body: String,
-    /// Whether its end was marked, by its length or by the last chunk.
-    pub whole: bool,
+    /// Whether the body arrived in full, by `content-length` or the last chunk.
+    pub is_complete: bool,
 }
 
 impl Answer {
-    pub fn field(&self, name: &str) -> Option<&str> {
+    pub fn header(&self, name: &str) -> Option<&str> {
         let mut lines = self.head.lines();
         lines.find_map(|line| {
             let (key, value) = line.split_once(':')?;
@@ -344,10 +347,10 @@
     }
 }
 
-/// Opens a connection and sends bytes.
+/// Opens a connection and sends the request.
 pub fn open(address: SocketAddr, request: &str) -> TcpStream {
-    let mut stream = TcpStream::connect(address).expect("the gateway listens");
-    stream.set_read_timeout(Some(PATIENCE)).unwrap();
+    let mut stream = TcpStream::connect(address).expect("failed to connect to the gateway");
+    stream.set_read_timeout(Some(MAX_WAIT)).unwrap();
     stream.write_all(request.as_bytes()).unwrap();
     stream
 }
@@ -364,7 +367,7 @@
     parse_answer(&bytes)
 }
 
-/// An answer from all bytes that a connection brought.
+/// Parses all bytes received on a connection.
 pub fn parse_answer(bytes: &[u8]) -> Answer {
     let text = String::from_utf8_lossy(bytes).into_owned();
     let (head, rest) = text.split_once("\r\n\r\n").unwrap_or((&text, ""));
@@ -373,17 +376,17 @@
         status: status.unwrap_or(0),
         head: head.to_string(),
         body: rest.to_string(),
-        whole: false,
+        is_complete: false,
     };
-    if answer.field("transfer-encoding").is_some() {
-        (answer.body, answer.whole) = unchunked(rest);
-    } else if let Some(length) = answer.field("content-length") {
-        answer.whole = length.parse() == Ok(rest.len());
+    if answer.header("transfer-encoding").is_some() {
+        (answer.body, answer.is_complete) = decode_chunked(rest);
+    } else if let Some(length) = answer.header("content-length") {
+        answer.is_complete = length.parse() == Ok(rest.len());
     }
     answer
 }
 
-fn unchunked(mut rest: &str) -> (String, bool) {
+fn decode_chunked(mut rest: &str) -> (String, bool) {
     let mut body = String::new();
     while let Some((length, after)) = rest.split_once("\r\n") {
         let Ok(length) = usize::from_str_radix(length, 16) else {
@@ -392,10 +395,10 @@
         if length == 0 {
             return (body, true);
         }
-        let Some(piece) = after.get(..length) else {
+        let Some(chunk) = after.get(..length) else {
             break;
         };
-        body += piece;
+        body += chunk;
         rest = after.get(length + 2..).unwrap_or_default();
     }
     (body, false)
--- a/components/gateway/tests/alone.rs
+++ b/components/gateway/tests/coordinator_loss.rs
@@ -1,4 +1,4 @@
-//! For how long coordinators have left requests undecided.
+//! Detects the loss of all coordinators from requests that none of them decided.
 
 use std::time::Duration;
 
@@ -8,8 +8,9 @@
     Duration::from_secs(s)
 }
 
+// Coordinators that decide some of the requests are slow, not lost.
 #[test]
-fn coordinators_that_decide_now_and_then_are_slow_and_not_lost() {
+fn a_decision_of_a_coordinator_resets_the_undecided_time() {
     let alone = CoordinatorContact::default();
     alone.record_decision(s(1));
     alone.record_no_decision(s(2));
@@ -22,7 +23,7 @@
 }
 
 #[test]
-fn a_gateway_without_requests_has_lost_nobody() {
+fn a_gateway_without_requests_does_not_count_as_alone() {
     let alone = CoordinatorContact::default();
     assert_eq!(alone.time_without_decision(s(60)), Duration::ZERO);
     assert!(!alone.is_lost(s(60)));
--- a/components/gateway/tests/sights.rs
+++ b/components/gateway/tests/endpoint_load_sharing.rs
@@ -1,21 +1,21 @@
-//! What answers show of endpoints reaches whoever places requests.
+//! Load that endpoints report in their answers reaches the coordinators that place requests.
 //!
-//! Gateways that ask coordinators see nearly all answers, and coordinators nearly none: without word from the former an
-//! endpoint that is slow now gets as many requests as any other.
+//! Gateways that ask coordinators receive nearly all answers, and coordinators nearly none. Unless the former pass on what
+//! answers report, an endpoint that is slow at the moment gets as many requests as any other.
 
 mod common;
 
 use common::{
-    configuration, endpoint, route, settings, wait_until, EndpointStandin, Setup, StoreStandin,
+    configuration, endpoint, route, settings, wait_until, FakeEndpoint, FakeStore, Setup,
 };
 use directory::Execution;
 use schema::settings::GatewaySettings;
 
-/// Half of them would go to an endpoint that is as good as the other.
+/// Half of them go to the slow endpoint if its slowdown is not known.
 const REQUESTS: usize = 30;
 
-fn store(first: &EndpointStandin, second: &EndpointStandin) -> StoreStandin {
-    let store = StoreStandin::default();
+fn store(first: &FakeEndpoint, second: &FakeEndpoint) -> FakeStore {
+    let store = FakeStore::default();
     let routes = vec![route("/a/", Execution::Repeatable)];
     store.put_configuration(configuration(1, routes));
     store.put_endpoint(endpoint("e1", first.address));
@@ -33,20 +33,20 @@
 }
 
 #[test]
-fn requests_of_a_gateway_that_asks_go_past_an_endpoint_that_told_it_of_slow_work() {
-    let slow = EndpointStandin::start(|_, exchange| exchange.answer_at(250));
-    let well = EndpointStandin::start(|_, exchange| exchange.answer_at(100));
-    let store = store(&slow, &well);
+fn coordinators_avoid_an_endpoint_that_reported_a_slowdown_to_the_asking_gateway() {
+    let slow = FakeEndpoint::start(|_, exchange| exchange.answer_with_slowdown(250));
+    let normal = FakeEndpoint::start(|_, exchange| exchange.answer_with_slowdown(100));
+    let store = store(&slow, &normal);
     let first = Setup::start(named("g1", 500, &[]), store.clone());
     let seeds = [first.gateway.peer_address().to_string()];
-    let second = Setup::start(named("g2", 500, &seeds), store.for_another());
-    let third = Setup::start(named("g3", 500, &seeds), store.for_another());
+    let second = Setup::start(named("g2", 500, &seeds), store.for_other_gateway());
+    let third = Setup::start(named("g3", 500, &seeds), store.for_other_gateway());
     let coordinators = [first, second, third];
     for coordinator in &coordinators {
         wait_until("a coordinator's readiness", || coordinator.is_ready());
     }
-    let asking = Setup::start(named("g4", 120, &seeds), store.for_another());
-    wait_until("requests to reach the slow one", || {
+    let asking = Setup::start(named("g4", 120, &seeds), store.for_other_gateway());
+    wait_until("a request to reach the slow endpoint", || {
         asking.call("/a/1", &[]);
         !slow.heads().is_empty()
     });
@@ -54,6 +54,6 @@
     for _ in 0..REQUESTS {
         assert_eq!(asking.call("/a/1", &[]).status, 200);
     }
-    let went_there = slow.heads().len() - before;
-    assert!(went_there <= REQUESTS / 5, "{went_there} of {REQUESTS}");
+    let to_slow = slow.heads().len() - before;
+    assert!(to_slow <= REQUESTS / 5, "{to_slow} of {REQUESTS}");
 }
