--- a/bench/src/loopback.rs
+++ b/bench/src/loopback.rs
@@ -11,7 +11,7 @@
 use rand::SeedableRng;
 use rand_chacha::ChaCha8Rng;
 use state::Reply;
-use transport::{open_packet, seal_packet, Key, ReplayGuard, MAX_DATAGRAM};
+use transport::{open_packet, seal_packet, Key, ReplayGuard, MAX_DATAGRAM_BYTES};
 
 use crate::process::{resident_bytes, thread_time};
 
@@ -173,7 +173,7 @@
         let warm = Instant::now() + WARM_UP;
         let mut next = Instant::now();
         let mut at_warm = None;
-        let mut buffer = [0; MAX_DATAGRAM];
+        let mut buffer = [0; MAX_DATAGRAM_BYTES];
         while Instant::now() < until {
             if at_warm.is_none() && Instant::now() >= warm {
                 at_warm = Some((thread_time(), self.sent, self.sent_bytes, self.taken_bytes));
--- a/components/gateway/src/connection_pool.rs
+++ b/components/gateway/src/connection_pool.rs
@@ -83,7 +83,7 @@
     pub fn take_idle(&mut self, now: Duration, endpoint: &str) -> Option<Connection> {
         let idle = self.idle.get_mut(endpoint)?;
         while let Some(entry) = idle.pop() {
-            if now < entry.expires_at && entry.connection.is_open() && entry.connection.is_free() {
+            if now < entry.expires_at && entry.connection.is_open() && entry.connection.is_idle() {
                 return Some(entry.connection);
             }
             drop(entry);
--- a/components/node/src/attempt.rs
+++ b/components/node/src/attempt.rs
@@ -9,7 +9,9 @@
 use flume::Sender;
 use state::Reply;
 use telemetry::Hop;
-use transport::{call_service, AttemptEnd, Generate, Piece, ServiceCall, ServiceReply};
+use transport::{
+    call_service, AttemptEnd, GenerateRequest, GenerationEvent, ServiceCall, ServiceReply,
+};
 
 use crate::shared::Shared;
 
@@ -26,7 +28,7 @@
         /// Attempt it came from.
         attempt: u32,
         /// The piece.
-        piece: Piece,
+        piece: GenerationEvent,
     },
     /// A service answered whole.
     Answered {
@@ -102,7 +104,7 @@
         &self,
         shared: &Arc<Shared>,
         number: u32,
-        request: Generate,
+        request: GenerateRequest,
         events: Sender<RunEvent>,
     ) {
         let (shared, address) = (Arc::clone(shared), self.address.clone());
--- a/components/node/src/chat.rs
+++ b/components/node/src/chat.rs
@@ -112,8 +112,9 @@
     };
     let refuse = |message: String| Problem::not_run(Kind::BadResumeToken, message);
     let now = unix_millis() / 1000;
-    let token = transport::redeem(&shared.resume_key, text, &call.team.name, hash, now)
-        .map_err(|e| refuse(e.to_string()))?;
+    let token =
+        transport::verify_resume_token(&shared.resume_key, text, &call.team.name, hash, now)
+            .map_err(|e| refuse(e.to_string()))?;
     let received: ReceivedBody =
         serde_json::from_str(body).map_err(|e| refuse(format!("croftpond_received: {e}")))?;
     let received = received.croftpond_received;
--- a/components/node/src/chat_run.rs
+++ b/components/node/src/chat_run.rs
@@ -15,7 +15,7 @@
 use session::{Action, Cause, Event, Failure, Outcome, Session, Terms};
 use telemetry::{Counter, Hop};
 use tiny_http::Request;
-use transport::{AttemptEnd, ChatRequest, Piece};
+use transport::{AttemptEnd, ChatRequest, GenerationEvent};
 
 use crate::admission::record;
 use crate::attempt::{Attempt, RunEvent};
@@ -248,14 +248,14 @@
         }
     }
 
-    fn take_piece(&mut self, hop: &Hop, attempt: u32, piece: Piece) {
+    fn take_piece(&mut self, hop: &Hop, attempt: u32, piece: GenerationEvent) {
         let now = self.shared.now();
         let Some(known) = self.attempts.get_mut(&attempt) else {
             return;
         };
         known.heard = now;
         let event = match piece {
-            Piece::Stream(stream) => {
+            GenerationEvent::Stream(stream) => {
                 known.stream = Some(stream.clone());
                 let mut traffic = self.shared.traffic();
                 if let Some(live) = traffic.live.get_mut(&self.id) {
@@ -263,12 +263,12 @@
                 }
                 return;
             }
-            Piece::Token { offset, text } => Event::Part {
+            GenerationEvent::Token { offset, text } => Event::Part {
                 attempt,
                 offset,
                 part: text,
             },
-            Piece::End(total) => Event::End { attempt, total },
+            GenerationEvent::End(total) => Event::End { attempt, total },
         };
         self.step(hop, event);
     }
--- a/components/node/src/chat_run/answer.rs
+++ b/components/node/src/chat_run/answer.rs
@@ -52,7 +52,7 @@
             body_sha256: self.body_sha256.clone(),
             expires: unix_millis() / 1000 + RESUME_SECS,
         };
-        transport::issue(&self.shared.resume_key, &token)
+        transport::issue_resume_token(&self.shared.resume_key, &token)
     }
 
     pub(super) fn completion(&self) -> Completion {
--- a/components/node/src/chat_run/dispatch.rs
+++ b/components/node/src/chat_run/dispatch.rs
@@ -9,7 +9,7 @@
 use schema::settings::Priority;
 use session::{Cause, Event};
 use telemetry::{Counter, Hop, Timer};
-use transport::Generate;
+use transport::GenerateRequest;
 
 use super::{ChatRun, Pending, Planned, DEFAULT_TOKENS, HEDGE_TARGETS, LOOK_AGAIN};
 use crate::admission::record_choice;
@@ -152,10 +152,10 @@
         }
     }
 
-    pub(super) fn generate(&self, pending: &Pending, planned: Option<Planned>) -> Generate {
+    pub(super) fn generate(&self, pending: &Pending, planned: Option<Planned>) -> GenerateRequest {
         let (kv, resume) = planned.map_or((None, None), |p| (p.kv, p.resume));
         let (kv_address, kv_stream) = kv.unzip();
-        Generate {
+        GenerateRequest {
             request: self.call.id.clone(),
             attempt: pending.attempt,
             model: self.chat.model.clone(),
--- a/components/node/src/jobs.rs
+++ b/components/node/src/jobs.rs
@@ -10,7 +10,7 @@
 use provider::Vm;
 use state::{Reply, TableCall};
 use telemetry::Counter;
-use transport::{fetch_body, Key, LoadReport, OrderBody};
+use transport::{fetch_config_body, Key, LoadReport, OrderBody};
 
 use crate::attempt::spawn;
 use crate::control::ControlEvent;
@@ -215,7 +215,7 @@
 
 fn fetch(shared: &Shared, address: &str, hash: &str) -> Option<String> {
     let key = Key::new(&shared.settings.peer_key);
-    let body = fetch_body(address.parse().ok()?, &key, hash).ok()??;
+    let body = fetch_config_body(address.parse().ok()?, &key, hash).ok()??;
     (provider::body_hash(&body) == hash).then_some(body)
 }
 
--- a/components/node/src/node.rs
+++ b/components/node/src/node.rs
@@ -13,7 +13,7 @@
 use schema::settings::NodeSettings;
 use slog::{info, Logger};
 use telemetry::{Metrics, Traces};
-use transport::{bind_bodies, bind_http, Bounds, Engine, HttpEngine};
+use transport::{bind_config_listener, bind_http, Engine, HttpEngine, SocketTimeouts};
 
 use crate::caller::accept;
 use crate::control::{Control, ControlEvent};
@@ -230,7 +230,7 @@
     fn bind_at(address: SocketAddr) -> std::io::Result<Self> {
         let datagrams = UdpSocket::bind(address)?;
         datagrams.set_read_timeout(Some(RECEIVE_PAUSE))?;
-        let bodies = bind_bodies(datagrams.local_addr()?)?;
+        let bodies = bind_config_listener(datagrams.local_addr()?)?;
         Ok(PeerSockets { datagrams, bodies })
     }
 }
@@ -242,7 +242,7 @@
         .change_context(NodeError)
         .attach_with(|| format!("listen = {}", settings.listen))?;
     let timeout = Duration::from_millis(settings.read_timeout_ms as u64);
-    let bounds = Bounds {
+    let bounds = SocketTimeouts {
         read_timeout: timeout,
         write_timeout: timeout,
     };
--- a/components/node/src/peers.rs
+++ b/components/node/src/peers.rs
@@ -5,7 +5,9 @@
 
 use control::Event;
 use telemetry::Counter;
-use transport::{answer_body, open_packet, Key, PacketError, ReplayGuard, MAX_DATAGRAM};
+use transport::{
+    open_packet, serve_config_body, Key, PacketError, ReplayGuard, MAX_DATAGRAM_BYTES,
+};
 
 use crate::attempt::spawn;
 use crate::control::ControlEvent;
@@ -18,7 +20,7 @@
 pub fn receive(shared: &Shared, socket: &UdpSocket) {
     let key = Key::new(&shared.settings.peer_key);
     let mut guard = ReplayGuard::default();
-    let mut buffer = [0; MAX_DATAGRAM + 1];
+    let mut buffer = [0; MAX_DATAGRAM_BYTES + 1];
     while !shared.has_ended() {
         let Ok((length, _)) = socket.recv_from(&mut buffer) else {
             continue;
@@ -54,7 +56,7 @@
                 let snapshot = shared.snapshot.load();
                 (snapshot.version.hash == hash).then(|| snapshot.body.clone())
             };
-            let _ = answer_body(stream, &key, find);
+            let _ = serve_config_body(stream, &key, find);
         });
     }
 }
--- a/components/node/src/service.rs
+++ b/components/node/src/service.rs
@@ -74,7 +74,7 @@
         path: request.url().to_string(),
         headers,
         body,
-        max_answer: MAX_ANSWER,
+        max_answer_bytes: MAX_ANSWER,
         timeout_secs: left.as_secs() + 1,
     }
 }
--- a/components/provider/src/http.rs
+++ b/components/provider/src/http.rs
@@ -13,5 +13,5 @@
         .with_timeout(TIMEOUT_SECS)
         .with_follow_redirects(false);
     let answer = request.with_header("Connection", "close").send().ok();
-    answer.filter(|response| transport::is_answer(&response.reason_phrase))
+    answer.filter(|response| transport::has_status_line(&response.reason_phrase))
 }
--- a/components/transport/src/connection.rs
+++ b/components/transport/src/connection.rs
@@ -83,7 +83,7 @@
     }
 
     /// Whether the last answer is over and nothing stands in the way of a request.
-    pub fn is_free(&self) -> bool {
+    pub fn is_idle(&self) -> bool {
         self.sender.is_ready()
     }
 
--- a/components/transport/src/engine.rs
+++ b/components/transport/src/engine.rs
@@ -13,13 +13,13 @@
 const SHORT_CALL_SECS: u64 = 2;
 
 /// Request for a generation.
-pub type Generate = GenerateBody;
+pub type GenerateRequest = GenerateBody;
 /// An endpoint's load.
 pub type LoadReport = LoadBody;
 
 /// A piece of an engine's answer.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Piece {
+pub enum GenerationEvent {
     /// The engine started and names its stream.
     Stream(String),
     /// A token.
@@ -63,9 +63,9 @@
     fn generate(
         &self,
         address: &str,
-        request: &Generate,
+        request: &GenerateRequest,
         traceparent: Option<&str>,
-        receive: &mut dyn FnMut(Piece) -> bool,
+        receive: &mut dyn FnMut(GenerationEvent) -> bool,
     ) -> AttemptEnd;
 
     /// Cancels a stream; cancelling one that is over does nothing.
@@ -89,9 +89,9 @@
     fn generate(
         &self,
         address: &str,
-        request: &Generate,
+        request: &GenerateRequest,
         traceparent: Option<&str>,
-        receive: &mut dyn FnMut(Piece) -> bool,
+        receive: &mut dyn FnMut(GenerationEvent) -> bool,
     ) -> AttemptEnd {
         let body = match serde_json::to_string(request) {
             Ok(body) => body,
@@ -106,7 +106,7 @@
             post = post.with_header("traceparent", traceparent);
         }
         match post.send_lazy() {
-            Ok(response) if !is_answer(&response.reason_phrase) => AttemptEnd::Broken,
+            Ok(response) if !has_status_line(&response.reason_phrase) => AttemptEnd::Broken,
             Ok(response) if response.status_code == 200 => read_lines(response, receive),
             Ok(response) => end_of_refusal(response),
             Err(error) => end_of(&error),
@@ -156,7 +156,7 @@
 /// Whether a response with this reason phrase is an answer at all. A lost answer must never pass for
 /// a refusal: it would be said that the request was not run, and a call that must not be repeated
 /// would be.
-pub fn is_answer(reason_phrase: &str) -> bool {
+pub fn has_status_line(reason_phrase: &str) -> bool {
     reason_phrase != NO_STATUS_LINE
 }
 
@@ -186,7 +186,7 @@
 
 fn read_lines(
     response: minreq::ResponseLazy,
-    receive: &mut dyn FnMut(Piece) -> bool,
+    receive: &mut dyn FnMut(GenerationEvent) -> bool,
 ) -> AttemptEnd {
     let mut reader = BufReader::new(response);
     let mut line = String::new();
@@ -201,11 +201,11 @@
             return AttemptEnd::Broken;
         };
         let piece = match parsed {
-            ChunkLine::Stream(stream) => Piece::Stream(stream),
-            ChunkLine::Token { offset, text } => Piece::Token { offset, text },
-            ChunkLine::End(total) => Piece::End(total),
+            ChunkLine::Stream(stream) => GenerationEvent::Stream(stream),
+            ChunkLine::Token { offset, text } => GenerationEvent::Token { offset, text },
+            ChunkLine::End(total) => GenerationEvent::End(total),
         };
-        let last = matches!(piece, Piece::End(_));
+        let last = matches!(piece, GenerationEvent::End(_));
         if !receive(piece) || last {
             return AttemptEnd::Complete;
         }
--- a/components/transport/src/fetch.rs
+++ b/components/transport/src/fetch.rs
@@ -18,7 +18,7 @@
 const TIMEOUT: Duration = Duration::from_secs(2);
 
 /// Asks the node at `address` for the body of a hash; `None` if it has not got it.
-pub fn fetch_body(address: SocketAddr, key: &Key, hash: &str) -> io::Result<Option<String>> {
+pub fn fetch_config_body(address: SocketAddr, key: &Key, hash: &str) -> io::Result<Option<String>> {
     let mut stream = TcpStream::connect_timeout(&address, TIMEOUT)?;
     bound(&stream)?;
     let request = BodyRequest {
@@ -34,7 +34,7 @@
 }
 
 /// Answers one request on a connection; `find` gives the body of a hash.
-pub fn answer_body(
+pub fn serve_config_body(
     mut stream: TcpStream,
     key: &Key,
     find: impl FnOnce(&str) -> Option<String>,
@@ -54,7 +54,7 @@
 }
 
 /// A listener on the address that datagrams come to.
-pub fn bind_bodies(address: SocketAddr) -> io::Result<TcpListener> {
+pub fn bind_config_listener(address: SocketAddr) -> io::Result<TcpListener> {
     TcpListener::bind(address)
 }
 
@@ -86,12 +86,12 @@
     use super::*;
 
     fn serve(key: &'static str) -> SocketAddr {
-        let listener = bind_bodies(([127, 0, 0, 1], 0).into()).unwrap();
+        let listener = bind_config_listener(([127, 0, 0, 1], 0).into()).unwrap();
         let address = listener.local_addr().unwrap();
         std::thread::spawn(move || {
             let (stream, _) = listener.accept().unwrap();
             let find = |hash: &str| (hash == "h").then(|| "body".to_string());
-            let _ = answer_body(stream, &Key::new(key), find);
+            let _ = serve_config_body(stream, &Key::new(key), find);
         });
         address
     }
@@ -100,11 +100,11 @@
     fn can_fetch_a_body_that_is_there() {
         let key = Key::new("0123456789abcdef");
         assert_eq!(
-            fetch_body(serve("0123456789abcdef"), &key, "h").unwrap(),
+            fetch_config_body(serve("0123456789abcdef"), &key, "h").unwrap(),
             Some("body".into())
         );
         assert_eq!(
-            fetch_body(serve("0123456789abcdef"), &key, "i").unwrap(),
+            fetch_config_body(serve("0123456789abcdef"), &key, "i").unwrap(),
             None
         );
     }
@@ -112,6 +112,6 @@
     #[test]
     fn errors_on_a_foreign_key() {
         let key = Key::new("0123456789abcdef");
-        assert!(fetch_body(serve("another key 1234"), &key, "h").is_err());
+        assert!(fetch_config_body(serve("another key 1234"), &key, "h").is_err());
     }
 }
--- a/components/transport/src/lib.rs
+++ b/components/transport/src/lib.rs
@@ -13,12 +13,13 @@
 pub use auth::{sign, verify, Key, TAG_BYTES};
 pub use connection::{Connection, ConnectionError, FullBody};
 pub use engine::{
-    is_answer, AttemptEnd, Engine, EngineError, Generate, HttpEngine, LoadReport, Piece,
+    has_status_line, AttemptEnd, Engine, EngineError, GenerateRequest, GenerationEvent, HttpEngine,
+    LoadReport,
 };
-pub use fetch::{answer_body, bind_bodies, fetch_body};
-pub use listener::{bind_http, read_body, BodyError, Bounds};
-pub use peer::{open_packet, seal_packet, PacketError, ReplayGuard, MAX_DATAGRAM};
-pub use resume::{issue, redeem, ResumeError};
+pub use fetch::{bind_config_listener, fetch_config_body, serve_config_body};
+pub use listener::{bind_http, read_body, BodyError, SocketTimeouts};
+pub use peer::{open_packet, seal_packet, PacketError, ReplayGuard, MAX_DATAGRAM_BYTES};
+pub use resume::{issue_resume_token, verify_resume_token, ResumeError};
 pub use service::{call_service, ServiceCall, ServiceReply};
 pub use wire::{
     CacheEventBody, ChatMessage, ChatRequest, ChunkLine, GenerateBody, LoadBody, OrderBody, Refusal,
--- a/components/transport/src/listener.rs
+++ b/components/transport/src/listener.rs
@@ -16,7 +16,7 @@
 
 /// Bounds of a listener.
 #[derive(Clone, Copy, Debug)]
-pub struct Bounds {
+pub struct SocketTimeouts {
     /// Longest pause of a sender.
     pub read_timeout: Duration,
     /// Longest wait for a receiver that does not read.
@@ -24,7 +24,10 @@
 }
 
 /// Binds a listening socket; port 0 picks a free one.
-pub fn bind_http(address: SocketAddr, bounds: Bounds) -> io::Result<std::net::TcpListener> {
+pub fn bind_http(
+    address: SocketAddr,
+    timeouts: SocketTimeouts,
+) -> io::Result<std::net::TcpListener> {
     let socket = Socket::new(
         Domain::for_address(address),
         Type::STREAM,
@@ -32,8 +35,8 @@
     )?;
     socket.set_reuse_address(true)?;
     socket.set_tcp_nodelay(true)?;
-    socket.set_read_timeout(Some(bounds.read_timeout))?;
-    socket.set_write_timeout(Some(bounds.write_timeout))?;
+    socket.set_read_timeout(Some(timeouts.read_timeout))?;
+    socket.set_write_timeout(Some(timeouts.write_timeout))?;
     socket.bind(&address.into())?;
     socket.listen(BACKLOG)?;
     Ok(socket.into())
--- a/components/transport/src/peer.rs
+++ b/components/transport/src/peer.rs
@@ -9,7 +9,7 @@
 use crate::auth::{sign, verify, Key, TAG_BYTES};
 
 /// Largest datagram, so that none is fragmented on an ordinary network.
-pub const MAX_DATAGRAM: usize = 1400;
+pub const MAX_DATAGRAM_BYTES: usize = 1400;
 /// How far behind the newest sequence a datagram may come and still be reported from a replay.
 const WINDOW: i64 = 64;
 /// Senders whose sequences are remembered.
@@ -18,7 +18,7 @@
 /// Why a datagram was dropped.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum PacketError {
-    /// It is larger than [`MAX_DATAGRAM`] or too short.
+    /// It is larger than [`MAX_DATAGRAM_BYTES`] or too short.
     Size,
     /// Its tag is wrong.
     Foreign,
@@ -46,7 +46,7 @@
     let mut bytes = schema::encode(packet).map_err(|_| PacketError::Malformed)?;
     let tag = sign(key, &bytes);
     bytes.extend_from_slice(&tag);
-    match bytes.len() <= MAX_DATAGRAM {
+    match bytes.len() <= MAX_DATAGRAM_BYTES {
         true => Ok(bytes),
         false => Err(PacketError::Size),
     }
@@ -58,7 +58,7 @@
     guard: &mut ReplayGuard,
     bytes: &[u8],
 ) -> Result<Packet, PacketError> {
-    if bytes.len() > MAX_DATAGRAM || bytes.len() <= TAG_BYTES {
+    if bytes.len() > MAX_DATAGRAM_BYTES || bytes.len() <= TAG_BYTES {
         return Err(PacketError::Size);
     }
     let (value, tag) = bytes.split_at(bytes.len() - TAG_BYTES);
@@ -210,11 +210,11 @@
     fn errors_on_oversized_datagrams() {
         let key = Key::new("0123456789abcdef");
         let big = Packet {
-            subject: Some("x".repeat(MAX_DATAGRAM)),
+            subject: Some("x".repeat(MAX_DATAGRAM_BYTES)),
             ..packet(1, 1)
         };
         assert_eq!(seal_packet(&key, &big), Err(PacketError::Size));
-        let bytes = vec![0; MAX_DATAGRAM + 1];
+        let bytes = vec![0; MAX_DATAGRAM_BYTES + 1];
         let opened = open_packet(&key, &mut ReplayGuard::default(), &bytes);
         assert_eq!(opened, Err(PacketError::Size));
     }
--- a/components/transport/src/resume.rs
+++ b/components/transport/src/resume.rs
@@ -38,7 +38,7 @@
 impl std::error::Error for ResumeError {}
 
 /// Signs a token and makes it fit for a header.
-pub fn issue(key: &Key, token: &ResumeToken) -> String {
+pub fn issue_resume_token(key: &Key, token: &ResumeToken) -> String {
     let mut bytes = schema::encode(token).unwrap_or_default();
     let tag = sign(key, &bytes);
     bytes.extend_from_slice(&tag);
@@ -46,7 +46,7 @@
 }
 
 /// Checks a token against the team and body it came with; `now` is in seconds of Unix time.
-pub fn redeem(
+pub fn verify_resume_token(
     key: &Key,
     text: &str,
     team: &str,
@@ -99,20 +99,23 @@
     #[test]
     fn can_redeem_its_own_token() {
         let key = Key::new("0123456789abcdef");
-        let text = issue(&key, &token());
-        assert_eq!(redeem(&key, &text, "crews", "abc", 999), Ok(token()));
+        let text = issue_resume_token(&key, &token());
+        assert_eq!(
+            verify_resume_token(&key, &text, "crews", "abc", 999),
+            Ok(token())
+        );
     }
 
     #[test]
     fn errors_on_every_altered_character() {
         let key = Key::new("0123456789abcdef");
-        let text = issue(&key, &token());
+        let text = issue_resume_token(&key, &token());
         for at in 0..text.len() {
             let mut altered: Vec<char> = text.chars().collect();
             altered[at] = if altered[at] == 'A' { 'Q' } else { 'A' };
             let altered: String = altered.into_iter().collect();
             assert_eq!(
-                redeem(&key, &altered, "crews", "abc", 999),
+                verify_resume_token(&key, &altered, "crews", "abc", 999),
                 Err(ResumeError::Altered)
             );
         }
@@ -122,21 +125,21 @@
     fn errors_on_expired_and_foreign_tokens() {
         let key = Key::new("0123456789abcdef");
         let other = Key::new("fedcba9876543210");
-        let text = issue(&key, &token());
+        let text = issue_resume_token(&key, &token());
         assert_eq!(
-            redeem(&other, &text, "crews", "abc", 0),
+            verify_resume_token(&other, &text, "crews", "abc", 0),
             Err(ResumeError::Altered)
         );
         assert_eq!(
-            redeem(&key, &text, "crews", "abc", 1000),
+            verify_resume_token(&key, &text, "crews", "abc", 1000),
             Err(ResumeError::Expired)
         );
         assert_eq!(
-            redeem(&key, &text, "desks", "abc", 0),
+            verify_resume_token(&key, &text, "desks", "abc", 0),
             Err(ResumeError::OtherTeam)
         );
         assert_eq!(
-            redeem(&key, &text, "crews", "xyz", 0),
+            verify_resume_token(&key, &text, "crews", "xyz", 0),
             Err(ResumeError::OtherBody)
         );
     }
--- a/components/transport/src/service.rs
+++ b/components/transport/src/service.rs
@@ -2,7 +2,7 @@
 
 use std::io::Read;
 
-use crate::engine::{end_of, is_answer, AttemptEnd};
+use crate::engine::{end_of, has_status_line, AttemptEnd};
 
 /// Headers that belong to one connection and are not passed on.
 const HOP_BY_HOP: &[&str] = &[
@@ -33,7 +33,7 @@
     /// Body.
     pub body: Vec<u8>,
     /// Largest answer accepted, in bytes.
-    pub max_answer: usize,
+    pub max_answer_bytes: usize,
     /// Longest time of the call, in seconds.
     pub timeout_secs: u64,
 }
@@ -61,8 +61,8 @@
         request = request.with_header(name, value);
     }
     let response = request.send_lazy().map_err(|e| end_of(&e))?;
-    match is_answer(&response.reason_phrase) {
-        true => read_reply(response, call.max_answer),
+    match has_status_line(&response.reason_phrase) {
+        true => read_reply(response, call.max_answer_bytes),
         false => Err(AttemptEnd::Broken),
     }
 }
--- a/standins/src/server.rs
+++ b/standins/src/server.rs
@@ -7,7 +7,7 @@
 use std::time::Duration;
 
 use tiny_http::{Request, Response, Server};
-use transport::Bounds;
+use transport::SocketTimeouts;
 
 const TIMEOUT: Duration = Duration::from_secs(30);
 
@@ -21,7 +21,7 @@
     /// Serves `handle` on a free port of the loopback address.
     pub fn start(handle: impl Fn(Request) + Send + Sync + 'static) -> io::Result<Self> {
         let any = SocketAddr::from(([127, 0, 0, 1], 0));
-        let bounds = Bounds {
+        let bounds = SocketTimeouts {
             read_timeout: TIMEOUT,
             write_timeout: TIMEOUT,
         };
