--- a/components/transport/src/connection.rs
+++ b/components/transport/src/connection.rs
@@ -1,4 +1,4 @@
-//! One kept HTTP/1.1 connection to a server, on the runtime of the calling thread.
+//! A persistent HTTP/1.1 client connection, driven by the Tokio runtime of the calling thread.
 
 use std::fmt;
 use std::net::SocketAddr;
@@ -14,24 +14,24 @@
 use tokio::net::TcpStream;
 use tokio::task::JoinHandle;
 
-/// Body of a request that is known as a whole.
+/// A request body that is held in memory as a whole.
 pub type FullBody = Full<Bytes>;
 
-/// Largest head of an answer, in bytes; also the size up to which the read buffer grows.
-const MAX_BUFFER: usize = 64 << 10;
-/// Unacknowledged bytes end a connection after this time.
-const PEER_SILENCE: Duration = Duration::from_secs(4);
-/// Pause before, and between, the probes of a silent connection.
-const PROBE_PAUSE: Duration = Duration::from_secs(1);
+/// Maximum size of the read buffer, and so of the head of an answer.
+const MAX_BUFFER_BYTES: usize = 64 << 10;
+/// A connection is closed once sent bytes stay unacknowledged for this long.
+const UNACKNOWLEDGED_TIMEOUT: Duration = Duration::from_secs(4);
+/// Idle time before the first TCP keep-alive probe, and interval between probes.
+const KEEPALIVE_INTERVAL: Duration = Duration::from_secs(1);
 
 /// Why a call has no answer.
 #[derive(Debug)]
 pub enum ConnectionError {
     /// The server could not be reached; nothing was sent.
     Unreachable(std::io::Error),
-    /// The connection had ended before anything of the request was written.
+    /// The connection closed before any part of the request was written.
     NotSent,
-    /// The connection ended or broke after the request was sent.
+    /// The HTTP handshake failed, or the connection failed when the request may have been sent.
     Broken(hyper::Error),
 }
 
@@ -47,7 +47,7 @@
 
 impl std::error::Error for ConnectionError {}
 
-/// A connection. Dropping it closes the socket at once, whatever is under way.
+/// An open connection. Dropping it closes the socket at once, even while a request is in progress.
 #[derive(Debug)]
 pub struct Connection {
     sender: SendRequest<FullBody>,
@@ -55,7 +55,7 @@
 }
 
 impl Connection {
-    /// Connects within `timeout`. Must be called inside a `LocalSet`.
+    /// Connects to `address`; `timeout` limits the TCP connect. Must be called inside a `LocalSet`.
     pub async fn open(address: SocketAddr, timeout: Duration) -> Result<Self, ConnectionError> {
         let connecting = tokio::time::timeout(timeout, TcpStream::connect(address));
         let stream = match connecting.await {
@@ -65,9 +65,9 @@
                 return Err(ConnectionError::Unreachable(error));
             }
         };
-        watch_peer(&stream);
+        set_dead_peer_detection(&stream);
         let handshake = Builder::new()
-            .max_buf_size(MAX_BUFFER)
+            .max_buf_size(MAX_BUFFER_BYTES)
             .handshake(TokioIo::new(stream))
             .await;
         let (sender, connection) = handshake.map_err(ConnectionError::Broken)?;
@@ -77,23 +77,24 @@
         Ok(Connection { sender, driver })
     }
 
-    /// Whether the connection can take a request, as far as is known here.
+    /// Whether the connection is open, as far as this side has noticed.
     pub fn is_open(&self) -> bool {
         !self.sender.is_closed()
     }
 
-    /// Whether the last answer is over and nothing stands in the way of a request.
+    /// Whether the last answer has been read and the connection is ready for a request.
     pub fn is_idle(&self) -> bool {
         self.sender.is_ready()
     }
 
-    /// Waits until the connection takes a request.
+    /// Waits until the connection is ready for a request.
     pub async fn ready(&mut self) -> Result<(), ConnectionError> {
         let ready = self.sender.ready().await;
         ready.map_err(|_| ConnectionError::NotSent)
     }
 
-    /// Sends a request and returns the answer's head; keep the connection while its body is read.
+    /// Sends a request and returns the head of the answer. Dropping the connection before the body
+    /// is read cuts the body off.
     pub async fn send(
         &mut self,
         request: Request<FullBody>,
@@ -113,13 +114,14 @@
     }
 }
 
-// A machine without power says nothing: without these a connection to it would hang.
-fn watch_peer(stream: &TcpStream) {
+// A machine that loses power does not close its connections: without the timeout and the keep-alive
+// probes, a connection to it would hang.
+fn set_dead_peer_detection(stream: &TcpStream) {
     let _ = stream.set_nodelay(true);
     let socket = SockRef::from(stream);
-    let _ = socket.set_tcp_user_timeout(Some(PEER_SILENCE));
-    let probes = TcpKeepalive::new()
-        .with_time(PROBE_PAUSE)
-        .with_interval(PROBE_PAUSE);
-    let _ = socket.set_tcp_keepalive(&probes);
+    let _ = socket.set_tcp_user_timeout(Some(UNACKNOWLEDGED_TIMEOUT));
+    let keepalive = TcpKeepalive::new()
+        .with_time(KEEPALIVE_INTERVAL)
+        .with_interval(KEEPALIVE_INTERVAL);
+    let _ = socket.set_tcp_keepalive(&keepalive);
 }
--- a/components/transport/src/engine.rs
+++ b/components/transport/src/engine.rs
@@ -1,7 +1,7 @@
 //! Client of a model engine.
 //!
-//! The [`Engine`] trait is all that the rest of croftpond sees; another engine's protocol is
-//! another implementation of it.
+//! The rest of croftpond uses only the [`Engine`] trait; the protocol of another engine is supported
+//! by another implementation of it.
 
 use std::io::{BufRead, BufReader, ErrorKind, Read};
 
@@ -9,18 +9,18 @@
 
 /// Longest line of an engine's answer, in bytes.
 const MAX_LINE_BYTES: usize = 64 * 1024;
-/// Time for short calls, in seconds.
-const SHORT_CALL_SECS: u64 = 2;
+/// Timeout of all calls but generations, in seconds.
+const SHORT_CALL_TIMEOUT_SECS: u64 = 2;
 
-/// Request for a generation.
+/// Request to generate an answer.
 pub type GenerateRequest = GenerateBody;
 /// An endpoint's load.
 pub type LoadReport = LoadBody;
 
-/// A piece of an engine's answer.
+/// An event of the answer stream of an engine.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum GenerationEvent {
-    /// The engine started and names its stream.
+    /// The engine started; this is the id of its stream.
     Stream(String),
     /// A token.
     Token {
@@ -29,22 +29,23 @@
         /// Text.
         text: String,
     },
-    /// The whole answer has this many tokens.
+    /// The answer is complete and has this many tokens.
     End(u64),
 }
 
-/// How a generation ended.
+/// How an attempt at a generation or a service call ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum AttemptEnd {
-    /// The answer came to its end, or the receiver asked to stop.
+    /// The answer is complete, or the receiver asked to stop.
     Complete,
-    /// The engine proved that it did not start.
+    /// Nothing started: the connection was refused, the engine said so, or the request could not be
+    /// encoded.
     NotStarted,
-    /// The connection broke or the engine failed after it may have started.
+    /// The attempt failed and may have started.
     Broken,
 }
 
-/// A short call that failed.
+/// A failed call other than a generation, with the cause.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct EngineError(pub String);
 
@@ -56,10 +57,10 @@
 
 impl std::error::Error for EngineError {}
 
-/// What croftpond asks of a model engine.
+/// Operations of a model engine.
 pub trait Engine: Send + Sync {
-    /// Runs a generation and hands over its pieces until the receiver returns `false`.
-    /// `traceparent` goes along as a header.
+    /// Runs a generation and passes its events to `receive` until that returns `false` or the answer
+    /// ends. `traceparent` is sent as a header of that name.
     fn generate(
         &self,
         address: &str,
@@ -68,20 +69,20 @@
         receive: &mut dyn FnMut(GenerationEvent) -> bool,
     ) -> AttemptEnd;
 
-    /// Cancels a stream; cancelling one that is over does nothing.
+    /// Cancels a stream; cancelling a finished stream has no effect.
     fn cancel(&self, address: &str, stream: &str) -> Result<(), EngineError>;
 
-    /// Reads the load.
+    /// Returns the current load.
     fn load(&self, address: &str) -> Result<LoadReport, EngineError>;
 
-    /// Changes of the prefix cache after a sequence; there may be gaps.
+    /// Returns the changes of the prefix cache after sequence number `after`; some may be missing.
     fn cache_events(&self, address: &str, after: u64) -> Result<Vec<CacheEventBody>, EngineError>;
 
-    /// Orders the endpoint to serve a model. Repeating an order does nothing.
+    /// Orders the endpoint to serve a model. Repeating an order has no effect.
     fn order(&self, address: &str, order: &OrderBody) -> Result<(), EngineError>;
 }
 
-/// The engine protocol of docs/interfaces.md.
+/// The HTTP engine protocol described in docs/interfaces.md.
 #[derive(Clone, Debug, Default)]
 pub struct HttpEngine;
 
@@ -107,9 +108,9 @@
         }
         match post.send_lazy() {
             Ok(response) if !has_status_line(&response.reason_phrase) => AttemptEnd::Broken,
-            Ok(response) if response.status_code == 200 => read_lines(response, receive),
+            Ok(response) if response.status_code == 200 => read_events(response, receive),
             Ok(response) => end_of_refusal(response),
-            Err(error) => end_of(&error),
+            Err(error) => end_of_failed_call(&error),
         }
     }
 
@@ -120,7 +121,7 @@
 
     fn load(&self, address: &str) -> Result<LoadReport, EngineError> {
         let response = minreq::get(format!("http://{address}/load"))
-            .with_timeout(SHORT_CALL_SECS)
+            .with_timeout(SHORT_CALL_TIMEOUT_SECS)
             .send()
             .map_err(|e| EngineError(e.to_string()))?;
         serde_json::from_slice(response.as_bytes()).map_err(|e| EngineError(e.to_string()))
@@ -128,7 +129,7 @@
 
     fn cache_events(&self, address: &str, after: u64) -> Result<Vec<CacheEventBody>, EngineError> {
         let response = minreq::get(format!("http://{address}/cache-events?after={after}"))
-            .with_timeout(SHORT_CALL_SECS)
+            .with_timeout(SHORT_CALL_TIMEOUT_SECS)
             .send()
             .map_err(|e| EngineError(e.to_string()))?;
         serde_json::from_slice(response.as_bytes()).map_err(|e| EngineError(e.to_string()))
@@ -140,8 +141,9 @@
     }
 }
 
-/// How an attempt ended whose call failed: only a refused connection proves that nothing started.
-pub(crate) fn end_of(error: &minreq::Error) -> AttemptEnd {
+/// Returns how an attempt ended whose call failed: only a refused connection proves that nothing
+/// started.
+pub(crate) fn end_of_failed_call(error: &minreq::Error) -> AttemptEnd {
     match error {
         minreq::Error::IoError(e) if e.kind() == ErrorKind::ConnectionRefused => {
             AttemptEnd::NotStarted
@@ -150,17 +152,19 @@
     }
 }
 
-/// minreq gives a connection that closed without an answer this reason, with status 503.
-const NO_STATUS_LINE: &str = "Server did not provide a status line";
+/// Reason phrase that minreq reports, with status 503, if the connection closed without an answer.
+const NO_STATUS_LINE_REASON: &str = "Server did not provide a status line";
 
-/// Whether a response with this reason phrase is an answer at all. A lost answer must never pass for
-/// a refusal: it would be said that the request was not run, and a call that must not be repeated
-/// would be.
+/// Whether the server sent a status line, judged by the reason phrase that minreq reports.
+///
+/// A lost answer must not be taken for a refusal: the request would be reported as not run, and a
+/// call that must not be repeated would be repeated.
 pub fn has_status_line(reason_phrase: &str) -> bool {
-    reason_phrase != NO_STATUS_LINE
+    reason_phrase != NO_STATUS_LINE_REASON
 }
 
-// Only the engine's own word proves that nothing started; a status alone may be anybody's.
+// Only the engine's refusal body proves that nothing started: a status alone may come from another
+// server.
 fn end_of_refusal(response: minreq::ResponseLazy) -> AttemptEnd {
     let mut body = Vec::new();
     let read = response.take(MAX_LINE_BYTES as u64).read_to_end(&mut body);
@@ -174,7 +178,7 @@
 fn post(address: &str, path: &str, body: String) -> Result<(), EngineError> {
     let response = minreq::post(format!("http://{address}{path}"))
         .with_header("Content-Type", "application/json")
-        .with_timeout(SHORT_CALL_SECS)
+        .with_timeout(SHORT_CALL_TIMEOUT_SECS)
         .with_body(body)
         .send()
         .map_err(|e| EngineError(e.to_string()))?;
@@ -184,7 +188,7 @@
     }
 }
 
-fn read_lines(
+fn read_events(
     response: minreq::ResponseLazy,
     receive: &mut dyn FnMut(GenerationEvent) -> bool,
 ) -> AttemptEnd {
@@ -200,13 +204,13 @@
         let Ok(parsed) = serde_json::from_str::<ChunkLine>(&line) else {
             return AttemptEnd::Broken;
         };
-        let piece = match parsed {
+        let event = match parsed {
             ChunkLine::Stream(stream) => GenerationEvent::Stream(stream),
             ChunkLine::Token { offset, text } => GenerationEvent::Token { offset, text },
             ChunkLine::End(total) => GenerationEvent::End(total),
         };
-        let last = matches!(piece, GenerationEvent::End(_));
-        if !receive(piece) || last {
+        let is_last = matches!(event, GenerationEvent::End(_));
+        if !receive(event) || is_last {
             return AttemptEnd::Complete;
         }
     }
--- a/components/transport/src/lib.rs
+++ b/components/transport/src/lib.rs
@@ -1,4 +1,5 @@
-//! Sockets: callers and endpoints over HTTP, other nodes over UDP, and the signing of both.
+//! Network transport: HTTP to callers and endpoints, UDP datagrams and TCP frames between nodes, and
+//! the authentication of datagrams, node requests and resume tokens.
 
 mod auth;
 mod connection;
--- a/components/transport/src/listener.rs
+++ b/components/transport/src/listener.rs
@@ -1,7 +1,7 @@
-//! The HTTP listener and its bounds in time and memory.
+//! The HTTP listener, with socket timeouts and a limit on the size of request bodies.
 //!
-//! tiny_http sets no read timeout. The timeouts are put on the listening socket instead: sockets
-//! accepted from it inherit them, so a sender that pauses is cut off.
+//! tiny_http sets no read timeout. The timeouts are set on the listening socket instead: accepted
+//! sockets inherit them, so that reads from a stalled sender time out.
 
 use std::fmt;
 use std::io::{self, Read};
@@ -11,19 +11,19 @@
 use socket2::{Domain, Protocol, Socket, Type};
 use tiny_http::Request;
 
-/// Connections that may wait to be accepted.
+/// Maximum number of connections that wait to be accepted.
 const BACKLOG: i32 = 1024;
 
-/// Bounds of a listener.
+/// Read and write timeouts of the connections of a listener.
 #[derive(Clone, Copy, Debug)]
 pub struct SocketTimeouts {
-    /// Longest pause of a sender.
+    /// Longest wait for a sender that sends nothing.
     pub read_timeout: Duration,
     /// Longest wait for a receiver that does not read.
     pub write_timeout: Duration,
 }
 
-/// Binds a listening socket; port 0 picks a free one.
+/// Binds a listening socket whose connections inherit `timeouts`; port 0 picks a free port.
 pub fn bind_http(
     address: SocketAddr,
     timeouts: SocketTimeouts,
@@ -45,9 +45,9 @@
 /// Why a body was not read.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum BodyError {
-    /// It is larger than allowed.
+    /// It exceeds the size limit.
     TooLarge,
-    /// The sender paused too long or broke off.
+    /// The read timed out or failed, or the connection ended before the whole body arrived.
     Stalled,
 }
 
@@ -62,18 +62,21 @@
 
 impl std::error::Error for BodyError {}
 
-/// Reads a body of at most `most` bytes.
-pub fn read_body(request: &mut Request, most: usize) -> Result<Vec<u8>, BodyError> {
-    if request.body_length().is_some_and(|length| length > most) {
+/// Reads a request body of at most `max_bytes` bytes.
+pub fn read_body(request: &mut Request, max_bytes: usize) -> Result<Vec<u8>, BodyError> {
+    if request
+        .body_length()
+        .is_some_and(|length| length > max_bytes)
+    {
         return Err(BodyError::TooLarge);
     }
     let expected = request.body_length();
     let mut body = Vec::new();
-    let mut limited = request.as_reader().take(most as u64 + 1);
+    let mut limited = request.as_reader().take(max_bytes as u64 + 1);
     limited
         .read_to_end(&mut body)
         .map_err(|_| BodyError::Stalled)?;
-    if body.len() > most {
+    if body.len() > max_bytes {
         return Err(BodyError::TooLarge);
     }
     if expected.is_some_and(|length| body.len() < length) {
--- a/components/transport/src/peer.rs
+++ b/components/transport/src/peer.rs
@@ -1,4 +1,4 @@
-//! Datagrams between nodes: signed, bounded, and each taken once.
+//! Datagrams between nodes: authenticated, limited in size and protected against replay.
 
 use std::cmp::Ordering;
 use std::collections::hash_map::{Entry, HashMap};
@@ -8,11 +8,12 @@
 
 use crate::auth::{sign, verify, Key, TAG_BYTES};
 
-/// Largest datagram, so that none is fragmented on an ordinary network.
+/// Largest datagram: fits the 1500-byte MTU of Ethernet, so that datagrams are not fragmented.
 pub const MAX_DATAGRAM_BYTES: usize = 1400;
-/// How far behind the newest sequence a datagram may come and still be reported from a replay.
-const WINDOW: i64 = 64;
-/// Senders whose sequences are remembered.
+/// Size of the replay window: a datagram this far behind the newest sequence number, or further, is
+/// treated as replayed.
+const REPLAY_WINDOW: i64 = 64;
+/// Senders whose replay windows are kept; a new sender beyond this clears all of them.
 const MAX_SENDERS: usize = 4096;
 
 /// Why a datagram was dropped.
@@ -20,13 +21,14 @@
 pub enum PacketError {
     /// It is larger than [`MAX_DATAGRAM_BYTES`] or too short.
     Size,
-    /// Its tag is wrong.
+    /// Its authentication tag is wrong, for example made with another key.
     Foreign,
     /// It cannot be decoded.
     Malformed,
-    /// It was seen before or is too old.
+    /// It was received before or is behind the replay window.
     Replayed,
-    /// It is of an older incarnation of its sender: a node that started again with a slow clock.
+    /// It is from an older incarnation of its sender, such as a node that restarted with a slow
+    /// clock.
     OldIncarnation(Box<Packet>),
 }
 
@@ -41,7 +43,9 @@
 
 impl std::error::Error for PacketError {}
 
-/// Encodes and signs a packet.
+/// Encodes a packet and appends its authentication tag.
+///
+/// Fails with [`PacketError::Size`] if the datagram exceeds [`MAX_DATAGRAM_BYTES`].
 pub fn seal_packet(key: &Key, packet: &Packet) -> Result<Vec<u8>, PacketError> {
     let mut bytes = schema::encode(packet).map_err(|_| PacketError::Malformed)?;
     let tag = sign(key, &bytes);
@@ -52,7 +56,7 @@
     }
 }
 
-/// Checks and decodes a datagram.
+/// Authenticates and decodes a datagram and rejects replayed ones.
 pub fn open_packet(
     key: &Key,
     guard: &mut ReplayGuard,
@@ -67,79 +71,79 @@
     }
     let packet: Packet = schema::decode(value).map_err(|_| PacketError::Malformed)?;
     match guard.admit(&packet) {
-        Fresh::New => Ok(packet),
-        Fresh::Seen => Err(PacketError::Replayed),
-        Fresh::Old => Err(PacketError::OldIncarnation(Box::new(packet))),
+        Freshness::New => Ok(packet),
+        Freshness::Replayed => Err(PacketError::Replayed),
+        Freshness::OldIncarnation => Err(PacketError::OldIncarnation(Box::new(packet))),
     }
 }
 
-enum Fresh {
+enum Freshness {
     New,
-    Seen,
-    Old,
+    Replayed,
+    OldIncarnation,
 }
 
 #[derive(Debug)]
-struct Seen {
+struct ReplayWindow {
     incarnation: i64,
     newest: i64,
-    // Bit n says that `newest - n` was seen.
-    window: u64,
+    // Bit n is set if sequence `newest - n` was received.
+    received: u64,
 }
 
-/// Reports replayed datagrams by the sender's incarnation and sequence.
+/// Detects replayed datagrams by their sender's incarnation and sequence number.
 #[derive(Debug, Default)]
 pub struct ReplayGuard {
-    senders: HashMap<String, Seen>,
+    senders: HashMap<String, ReplayWindow>,
 }
 
 impl ReplayGuard {
-    fn admit(&mut self, packet: &Packet) -> Fresh {
-        let fresh = Seen {
+    fn admit(&mut self, packet: &Packet) -> Freshness {
+        let new_window = ReplayWindow {
             incarnation: packet.incarnation,
             newest: packet.sequence,
-            window: 1,
+            received: 1,
         };
         if self.senders.len() >= MAX_SENDERS && !self.senders.contains_key(&packet.sender) {
             self.senders.clear();
         }
-        let seen = self.senders.entry(packet.sender.clone());
-        let seen = match seen {
+        let entry = self.senders.entry(packet.sender.clone());
+        let window = match entry {
             Entry::Vacant(vacant) => {
-                vacant.insert(fresh);
-                return Fresh::New;
+                vacant.insert(new_window);
+                return Freshness::New;
             }
             Entry::Occupied(occupied) => occupied.into_mut(),
         };
-        match packet.incarnation.cmp(&seen.incarnation) {
-            Ordering::Less => Fresh::Old,
+        match packet.incarnation.cmp(&window.incarnation) {
+            Ordering::Less => Freshness::OldIncarnation,
             Ordering::Greater => {
-                *seen = fresh;
-                Fresh::New
+                *window = new_window;
+                Freshness::New
             }
-            Ordering::Equal if seen.admit(packet.sequence) => Fresh::New,
-            Ordering::Equal => Fresh::Seen,
+            Ordering::Equal if window.admit(packet.sequence) => Freshness::New,
+            Ordering::Equal => Freshness::Replayed,
         }
     }
 }
 
-impl Seen {
+impl ReplayWindow {
     fn admit(&mut self, sequence: i64) -> bool {
         let ahead = sequence - self.newest;
         if ahead > 0 {
-            self.window = self
-                .window
-                .checked_shl(ahead.min(WINDOW) as u32)
+            self.received = self
+                .received
+                .checked_shl(ahead.min(REPLAY_WINDOW) as u32)
                 .unwrap_or(0)
                 | 1;
             self.newest = sequence;
             return true;
         }
         let behind = -ahead;
-        if behind >= WINDOW || self.window & (1 << behind) != 0 {
+        if behind >= REPLAY_WINDOW || self.received & (1 << behind) != 0 {
             return false;
         }
-        self.window |= 1 << behind;
+        self.received |= 1 << behind;
         true
     }
 }
@@ -168,14 +172,14 @@
     }
 
     #[test]
-    fn can_take_each_datagram_once_in_any_order() {
+    fn can_accept_each_datagram_once_in_any_order() {
         let key = Key::new("0123456789abcdef");
         let mut guard = ReplayGuard::default();
-        for (sequence, taken) in [(5, true), (7, true), (6, true), (6, false), (5, false)] {
+        for (sequence, is_accepted) in [(5, true), (7, true), (6, true), (6, false), (5, false)] {
             let bytes = seal_packet(&key, &packet(1, sequence)).unwrap();
             assert_eq!(
                 open_packet(&key, &mut guard, &bytes).is_ok(),
-                taken,
+                is_accepted,
                 "{sequence}"
             );
         }
@@ -184,12 +188,15 @@
     #[test]
     fn errors_on_an_older_incarnation() {
         let mut guard = ReplayGuard::default();
-        assert!(matches!(guard.admit(&packet(2, 1)), Fresh::New));
-        assert!(matches!(guard.admit(&packet(1, 9)), Fresh::Old));
+        assert!(matches!(guard.admit(&packet(2, 1)), Freshness::New));
+        assert!(matches!(
+            guard.admit(&packet(1, 9)),
+            Freshness::OldIncarnation
+        ));
     }
 
     #[test]
-    fn errors_on_foreign_cut_and_altered_datagrams() {
+    fn errors_on_truncated_and_altered_datagrams_and_those_of_another_key() {
         let key = Key::new("0123456789abcdef");
         let bytes = seal_packet(&Key::new("another key 1234"), &packet(1, 1)).unwrap();
         let mut guard = ReplayGuard::default();
--- a/components/transport/src/resume.rs
+++ b/components/transport/src/resume.rs
@@ -1,4 +1,4 @@
-//! Resume tokens: any node that is given one goes on with the stream it came from.
+//! Resume tokens: signed, so that any node with the key can continue the stream of a token.
 
 use std::fmt;
 
@@ -8,15 +8,15 @@
 
 use crate::auth::{sign, verify, Key, TAG_BYTES};
 
-/// Longest token that is looked at, in characters.
-const MAX_TOKEN_CHARS: usize = 1024;
+/// Longest token that is decoded, in bytes of text.
+const MAX_TOKEN_BYTES: usize = 1024;
 
 /// Why a token was refused.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ResumeError {
-    /// It is no token of ours, or was altered.
+    /// It is malformed, or its authentication tag is wrong.
     Altered,
-    /// Its time is over.
+    /// It has expired.
     Expired,
     /// It belongs to another team.
     OtherTeam,
@@ -37,7 +37,7 @@
 
 impl std::error::Error for ResumeError {}
 
-/// Signs a token and makes it fit for a header.
+/// Signs a token and encodes it as URL-safe base64, fit for a header value.
 pub fn issue_resume_token(key: &Key, token: &ResumeToken) -> String {
     let mut bytes = schema::encode(token).unwrap_or_default();
     let tag = sign(key, &bytes);
@@ -45,7 +45,8 @@
     URL_SAFE_NO_PAD.encode(bytes)
 }
 
-/// Checks a token against the team and body it came with; `now` is in seconds of Unix time.
+/// Verifies a token and checks it against the team and body of the request that carries it; `now`
+/// is in seconds since the Unix epoch.
 pub fn verify_resume_token(
     key: &Key,
     text: &str,
@@ -53,7 +54,7 @@
     body_sha256: &str,
     now: i64,
 ) -> Result<ResumeToken, ResumeError> {
-    let token = open(key, text).ok_or(ResumeError::Altered)?;
+    let token = decode_token(key, text).ok_or(ResumeError::Altered)?;
     if token.expires <= now {
         return Err(ResumeError::Expired);
     }
@@ -66,8 +67,8 @@
     Ok(token)
 }
 
-fn open(key: &Key, text: &str) -> Option<ResumeToken> {
-    if text.len() > MAX_TOKEN_CHARS {
+fn decode_token(key: &Key, text: &str) -> Option<ResumeToken> {
+    if text.len() > MAX_TOKEN_BYTES {
         return None;
     }
     let bytes = URL_SAFE_NO_PAD.decode(text).ok()?;
@@ -97,7 +98,7 @@
     }
 
     #[test]
-    fn can_redeem_its_own_token() {
+    fn can_verify_its_own_token() {
         let key = Key::new("0123456789abcdef");
         let text = issue_resume_token(&key, &token());
         assert_eq!(
@@ -122,7 +123,7 @@
     }
 
     #[test]
-    fn errors_on_expired_and_foreign_tokens() {
+    fn errors_on_expired_tokens_and_on_another_key_team_or_body() {
         let key = Key::new("0123456789abcdef");
         let other = Key::new("fedcba9876543210");
         let text = issue_resume_token(&key, &token());
--- a/components/transport/src/service.rs
+++ b/components/transport/src/service.rs
@@ -1,11 +1,13 @@
-//! Calls of plain services: any method and path, headers and body passed through both ways.
+//! Calls of plain HTTP services: method, path, headers and body are forwarded, and the answer is
+//! returned.
 
 use std::io::Read;
 
-use crate::engine::{end_of, has_status_line, AttemptEnd};
+use crate::engine::{end_of_failed_call, has_status_line, AttemptEnd};
 
-/// Headers that belong to one connection and are not passed on.
-const HOP_BY_HOP: &[&str] = &[
+/// Headers that apply to one connection and are not forwarded: hop-by-hop headers, and
+/// `content-length`, `host` and `expect`.
+const CONNECTION_HEADERS: &[&str] = &[
     "connection",
     "keep-alive",
     "proxy-authenticate",
@@ -18,38 +20,41 @@
     "host",
     "expect",
 ];
-/// Headers between caller and croftpond that the service does not see.
-const OURS: &[&str] = &["authorization"];
+/// Headers meant for croftpond, which are not forwarded to the service.
+const CROFTPOND_HEADERS: &[&str] = &["authorization"];
 
-/// A call to pass on.
+/// A call to forward.
 #[derive(Clone, Debug)]
 pub struct ServiceCall {
     /// Method.
     pub method: String,
     /// Path and query.
     pub path: String,
-    /// Headers; those of one hop are dropped when the call is made.
+    /// Headers; those that apply to one connection, and `authorization`, are not forwarded.
     pub headers: Vec<(String, String)>,
     /// Body.
     pub body: Vec<u8>,
     /// Largest answer accepted, in bytes.
     pub max_answer_bytes: usize,
-    /// Longest time of the call, in seconds.
+    /// Timeout of the call, in seconds; 0 counts as 1.
     pub timeout_secs: u64,
 }
 
-/// An answer to pass back.
+/// The answer of a service.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ServiceReply {
     /// Status.
     pub status: u16,
-    /// Headers, without those of one hop.
+    /// Headers, without those that apply to one connection.
     pub headers: Vec<(String, String)>,
     /// Body.
     pub body: Vec<u8>,
 }
 
 /// Makes the call and reads the whole answer.
+///
+/// Fails with [`AttemptEnd::NotStarted`] if the connection was refused, otherwise with
+/// [`AttemptEnd::Broken`], also if the answer is larger than `max_answer_bytes`.
 pub fn call_service(address: &str, call: &ServiceCall) -> Result<ServiceReply, AttemptEnd> {
     let url = format!("http://{address}{}", call.path);
     let mut request = minreq::Request::new(minreq::Method::Custom(call.method.clone()), url)
@@ -57,25 +62,28 @@
         .with_timeout(call.timeout_secs.max(1))
         .with_header("Connection", "close")
         .with_body(call.body.clone());
-    for (name, value) in end_to_end(&call.headers, OURS) {
+    for (name, value) in end_to_end_headers(&call.headers, CROFTPOND_HEADERS) {
         request = request.with_header(name, value);
     }
-    let response = request.send_lazy().map_err(|e| end_of(&e))?;
+    let response = request.send_lazy().map_err(|e| end_of_failed_call(&e))?;
     match has_status_line(&response.reason_phrase) {
         true => read_reply(response, call.max_answer_bytes),
         false => Err(AttemptEnd::Broken),
     }
 }
 
-fn read_reply(response: minreq::ResponseLazy, most: usize) -> Result<ServiceReply, AttemptEnd> {
+fn read_reply(
+    response: minreq::ResponseLazy,
+    max_bytes: usize,
+) -> Result<ServiceReply, AttemptEnd> {
     let status = response.status_code;
-    let headers: Vec<(String, String)> = end_to_end(&response.headers, &[]).collect();
+    let headers: Vec<(String, String)> = end_to_end_headers(&response.headers, &[]).collect();
     let mut body = Vec::new();
     response
-        .take(most as u64 + 1)
+        .take(max_bytes as u64 + 1)
         .read_to_end(&mut body)
         .map_err(|_| AttemptEnd::Broken)?;
-    if body.len() > most {
+    if body.len() > max_bytes {
         return Err(AttemptEnd::Broken);
     }
     Ok(ServiceReply {
@@ -85,21 +93,25 @@
     })
 }
 
-// Headers that `Connection` names are of this hop too.
-fn end_to_end<'a>(
+// Headers that `Connection` lists apply to one connection too.
+fn end_to_end_headers<'a>(
     headers: &'a [(String, String)],
-    ours: &'a [&str],
+    also_dropped: &'a [&str],
 ) -> impl Iterator<Item = (String, String)> + 'a {
-    let named: Vec<String> = headers
+    let listed: Vec<String> = headers
         .iter()
         .filter(|(name, _)| name.eq_ignore_ascii_case("connection"))
         .flat_map(|(_, value)| value.split(','))
         .map(|name| name.trim().to_ascii_lowercase())
         .collect();
-    let pass = move |name: &str| {
+    let is_forwarded = move |name: &str| {
         let name = name.to_ascii_lowercase();
-        let drop = HOP_BY_HOP.contains(&name.as_str()) || ours.contains(&name.as_str());
-        !drop && !named.contains(&name)
+        let drop =
+            CONNECTION_HEADERS.contains(&name.as_str()) || also_dropped.contains(&name.as_str());
+        !drop && !listed.contains(&name)
     };
-    headers.iter().filter(move |(name, _)| pass(name)).cloned()
+    headers
+        .iter()
+        .filter(move |(name, _)| is_forwarded(name))
+        .cloned()
 }
--- a/components/transport/src/wire.rs
+++ b/components/transport/src/wire.rs
@@ -1,22 +1,22 @@
-//! JSON bodies of callers and endpoints; docs/interfaces.md describes them.
+//! JSON bodies of the caller and endpoint protocols, described in docs/interfaces.md.
 
 use serde::{Deserialize, Serialize};
 
 /// One message of a conversation.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ChatMessage {
-    /// Who speaks.
+    /// Role of the author.
     pub role: String,
-    /// What is said.
+    /// Text of the message.
     pub content: String,
 }
 
-/// A chat completion request, as language-model clients send it; unknown keys are ignored.
+/// A chat completion request of a language-model client; unknown keys are ignored.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ChatRequest {
     /// Model to use.
     pub model: String,
-    /// The conversation, the oldest message first.
+    /// Messages of the conversation, oldest first.
     pub messages: Vec<ChatMessage>,
     /// Whether to stream the answer.
     #[serde(default)]
@@ -39,19 +39,19 @@
     pub prompt: Vec<String>,
     /// Most tokens to generate.
     pub max_tokens: u32,
-    /// 0 for the most urgent class.
+    /// Priority class; 0 is the most urgent.
     pub priority: i32,
-    /// Tokens the caller has already; generation continues after them.
+    /// Tokens that the caller already has; generation continues after them.
     pub received: Vec<String>,
     /// Offset of the first token to send.
     pub from: u64,
-    /// Stream of this engine to continue, if it is still kept.
+    /// Stream of this engine to resume, if the engine still retains it.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub resume: Option<String>,
-    /// Where to import the KV cache from.
+    /// Address to import the KV cache from.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub kv_address: Option<String>,
-    /// Stream whose KV cache is imported.
+    /// Stream whose KV cache to import.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub kv_stream: Option<String>,
 }
@@ -60,7 +60,7 @@
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum ChunkLine {
-    /// The request started as this stream.
+    /// The request started; this is the id of its stream.
     Stream(String),
     /// One token.
     Token {
@@ -69,14 +69,14 @@
         /// Its text.
         text: String,
     },
-    /// The answer has this many tokens.
+    /// The answer is complete and has this many tokens.
     End(u64),
 }
 
 /// Body of a refusal of `POST /generate`.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Refusal {
-    /// `false` proves that nothing was started.
+    /// `false` guarantees that nothing was started.
     pub started: bool,
 }
 
@@ -85,11 +85,11 @@
 pub struct LoadBody {
     /// Requests running.
     pub running: u32,
-    /// Requests waiting.
+    /// Requests in the queue.
     pub queued: u32,
-    /// Counts the VMs that have borne the endpoint's name.
+    /// Number of VMs that have had the endpoint's name.
     pub incarnation: i64,
-    /// Set once the VM has a reclaim notice: milliseconds left.
+    /// Milliseconds until the VM is reclaimed; set once it has a reclaim notice.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub leaving_in_ms: Option<u64>,
 }
@@ -98,21 +98,21 @@
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(default)]
 pub struct CacheEventBody {
-    /// Counter of the engine, without holes at the source.
+    /// Sequence number; the engine numbers its events without gaps.
     pub sequence: u64,
     /// Hashes of blocks that were stored.
     pub stored: Vec<u64>,
     /// Hashes of blocks that were evicted.
     pub evicted: Vec<u64>,
-    /// Whether everything was dropped.
+    /// Whether the whole cache was cleared.
     pub cleared: bool,
 }
 
 /// Body of `POST /orders` of an endpoint.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct OrderBody {
-    /// Fence: endpoints that check it refuse a lower one than the highest seen.
+    /// Fencing token: endpoints that check it refuse an epoch below the highest they have seen.
     pub epoch: i64,
-    /// Model that the endpoint should serve.
+    /// Model to serve.
     pub model: String,
 }
