--- a/src/cmd/gateway.rs
+++ b/src/cmd/gateway.rs
@@ -5,7 +5,7 @@
 
 use error_stack::{Report, ResultExt};
 use gateway::{Clock, Parts};
-use platform::{CloudApi, Heads, MetadataStore};
+use platform::{CloudApi, PlatformDialect, MetadataStore};
 use schema::settings::GatewaySettings;
 
 use super::{read_file, CommandError, Outcome, EXIT_FAULTS};
@@ -28,7 +28,7 @@
     let parts = Parts {
         settings,
         read_settings: Box::new(move || read_again(&path)),
-        dialect: Heads,
+        dialect: PlatformDialect,
         store: Box::new(move || MetadataStore::new(store)),
         orders: Box::new(move || CloudApi::new(orders)),
         clock: Clock::start(),
