--- a/src/cmd/gateway.rs
+++ b/src/cmd/gateway.rs
@@ -5,7 +5,7 @@
 
 use error_stack::{Report, ResultExt};
 use gateway::{Clock, Parts};
-use platform::{CloudApi, PlatformDialect, MetadataStore};
+use platform::{CloudApi, MetadataStore, PlatformDialect};
 use schema::settings::GatewaySettings;
 
 use super::{read_file, CommandError, Outcome, EXIT_FAULTS};
