--- a/components/settings/src/configuration.rs
+++ b/components/settings/src/configuration.rs
@@ -7,8 +7,8 @@
 use schema::settings::{Configuration, Endpoint, Hall, Pool, PoolKind, PriceClass, Priority, Team};
 use sha2::{Digest, Sha256};
 
-use crate::fault::Faults;
 use crate::reader::{Reader, Unit};
+use crate::validation_error::Faults;
 
 const MILLIS: Unit = Unit::of("ms", 1, 1, 3_600_000);
 const RATE: Unit = Unit::of("/s", 1, 1, 1_000_000);
--- a/components/settings/src/gateway.rs
+++ b/components/settings/src/gateway.rs
@@ -5,8 +5,8 @@
 
 use schema::settings::GatewaySettings;
 
-use crate::fault::Faults;
 use crate::reader::{Reader, Unit};
+use crate::validation_error::Faults;
 
 const MILLIS: Unit = Unit::of("ms", 1, 0, 3_600_000);
 /// Without a least time the store would be asked without a pause.
--- a/components/settings/src/lib.rs
+++ b/components/settings/src/lib.rs
@@ -3,12 +3,13 @@
 //! Every fault of a file is reported at once, each with its line and its remedy.
 
 mod configuration;
-mod fault;
+
 mod gateway;
 mod node;
 mod reader;
+mod validation_error;
 
 pub use configuration::{credential_hash, read_configuration};
-pub use fault::{Fault, Faults};
 pub use gateway::read_gateway;
 pub use node::read_node;
+pub use validation_error::{Fault, Faults};
--- a/components/settings/src/node.rs
+++ b/components/settings/src/node.rs
@@ -2,8 +2,8 @@
 
 use schema::settings::NodeSettings;
 
-use crate::fault::Faults;
 use crate::reader::{Reader, Unit};
+use crate::validation_error::Faults;
 
 const LEAST_SECRET: usize = 16;
 const BYTES: Unit = Unit::count(1024, 64 << 20);
--- a/components/settings/src/reader.rs
+++ b/components/settings/src/reader.rs
@@ -5,7 +5,7 @@
 
 use ini::Ini;
 
-use crate::fault::{Fault, Faults};
+use crate::validation_error::{Fault, Faults};
 
 /// A parsed file, the faults found so far and the keys already asked for.
 pub(crate) struct Reader<'a> {
