--- a/components/errors/src/problem.rs
+++ b/components/errors/src/problem.rs
@@ -52,7 +52,7 @@
     }
 
     /// The same error with a time to come back.
-    pub fn retry_after_ms(self, ms: u64) -> Self {
+    pub fn with_retry_after_ms(self, ms: u64) -> Self {
         Problem {
             retry_after_ms: Some(ms),
             ..self
@@ -60,7 +60,7 @@
     }
 
     /// The same error with the id of its request.
-    pub fn with_request(self, id: &str) -> Self {
+    pub fn with_request_id(self, id: &str) -> Self {
         Problem {
             request_id: Some(id.to_string()),
             ..self
@@ -95,7 +95,7 @@
 
     #[test]
     fn can_read_its_own_json() {
-        let problem = Problem::not_run(Kind::TeamLimit, "rate").retry_after_ms(20);
+        let problem = Problem::not_run(Kind::TeamLimit, "rate").with_retry_after_ms(20);
         assert_eq!(Problem::from_json(&problem.to_json()), Some(problem));
     }
 }
--- a/components/gateway/src/answer.rs
+++ b/components/gateway/src/answer.rs
@@ -184,7 +184,7 @@
     /// Converts the refusal to the answer of the request `id`.
     pub fn into_answer(self, id: &str) -> Answer {
         let status = self.status();
-        let body = self.problem.with_request(id).to_json();
+        let body = self.problem.with_request_id(id).to_json();
         let mut answer = Response::new(AnswerBody::whole(HeldBytes::uncounted(body.into())));
         *answer.status_mut() =
             StatusCode::from_u16(status).unwrap_or(StatusCode::INTERNAL_SERVER_ERROR);
--- a/components/node/src/admission.rs
+++ b/components/node/src/admission.rs
@@ -61,7 +61,7 @@
         record(shared, call, "admit", "refused", format!("team {limit}"));
         let message = format!("team {} is at its limit of {limit}", call.team.name);
         return Err(Problem::not_run(Kind::TeamLimit, message)
-            .retry_after_ms(refused.retry_after().as_millis() as u64));
+            .with_retry_after_ms(refused.retry_after().as_millis() as u64));
     }
     let id = shared.next_id();
     let admission = Admission {
@@ -125,7 +125,7 @@
         "higher classes need the endpoints".into(),
     );
     Problem::not_run(Kind::Overloaded, "the pool is overloaded for this class")
-        .retry_after_ms(after.as_millis() as u64)
+        .with_retry_after_ms(after.as_millis() as u64)
 }
 
 /// Keeps a record of a decision.
--- a/components/node/src/caller.rs
+++ b/components/node/src/caller.rs
@@ -61,7 +61,7 @@
     if !shared.traffic().take_place(most) {
         let message = "the node holds as many requests as it may";
         let problem = Problem::not_run(Kind::TooManyRequests, message);
-        return send_problem(request, &problem.retry_after_ms(FULL_RETRY_MS));
+        return send_problem(request, &problem.with_retry_after_ms(FULL_RETRY_MS));
     }
     let shared = Arc::clone(shared);
     spawn(move || {
@@ -123,11 +123,11 @@
         (Method::Post, Ok(body)) => serve_chat(shared, request, &body, call, hop),
         (Method::Post, Err(_)) => {
             let problem = Problem::not_run(Kind::MalformedBody, "the body is not UTF-8");
-            send_problem(request, &problem.with_request(&call.id));
+            send_problem(request, &problem.with_request_id(&call.id));
         }
         _ => {
             let problem = Problem::not_run(Kind::NotFound, "chat completions take POST");
-            send_problem(request, &problem.with_request(&call.id));
+            send_problem(request, &problem.with_request_id(&call.id));
         }
     }
 }
--- a/components/node/src/chat.rs
+++ b/components/node/src/chat.rs
@@ -23,7 +23,7 @@
 pub fn serve_chat(shared: &Arc<Shared>, request: Request, body: &str, call: Call, hop: Hop) {
     let chat = match parse(body) {
         Ok(chat) => chat,
-        Err(problem) => return send_problem(request, &problem.with_request(&call.id)),
+        Err(problem) => return send_problem(request, &problem.with_request_id(&call.id)),
     };
     let snapshot = shared.snapshot.load_full();
     let Some(pool) = snapshot.model_pool(&call.team, &chat.model).cloned() else {
@@ -32,12 +32,12 @@
             call.team.name, chat.model
         );
         let problem = Problem::not_run(Kind::UnknownRoute, message);
-        return send_problem(request, &problem.with_request(&call.id));
+        return send_problem(request, &problem.with_request_id(&call.id));
     };
     let hash = original_hash(body);
     let resumed = match take_resume(shared, &call, body, &hash) {
         Ok(resumed) => resumed,
-        Err(problem) => return send_problem(request, &problem.with_request(&call.id)),
+        Err(problem) => return send_problem(request, &problem.with_request_id(&call.id)),
     };
     let (sender, receiver) = flume::unbounded();
     let most = u64::from(chat.max_tokens.unwrap_or(DEFAULT_TOKENS));
@@ -62,7 +62,7 @@
         }
         Err(problem) => {
             shared.metrics.count(Counter::Refused);
-            send_problem(request, &problem.with_request(&call.id));
+            send_problem(request, &problem.with_request_id(&call.id));
         }
     }
 }
--- a/components/node/src/outcome.rs
+++ b/components/node/src/outcome.rs
@@ -10,7 +10,7 @@
 pub fn refusal(reason: Reason) -> Problem {
     let problem = Problem::not_run(kind_of(reason), message_of(reason));
     match reason {
-        Reason::NoEndpoint | Reason::Attempts => problem.retry_after_ms(NO_ENDPOINT_RETRY_MS),
+        Reason::NoEndpoint | Reason::Attempts => problem.with_retry_after_ms(NO_ENDPOINT_RETRY_MS),
         Reason::Deadline | Reason::NotRepeatable => problem,
     }
 }
--- a/components/node/src/output.rs
+++ b/components/node/src/output.rs
@@ -57,7 +57,7 @@
 
     /// Ends with an error.
     pub fn fail(self, id: &str, problem: Problem) {
-        let problem = problem.with_request(id);
+        let problem = problem.with_request_id(id);
         match self {
             Output::Waiting(request) | Output::Collecting(request, _) => {
                 send_problem(request, &problem);
--- a/components/node/src/service.rs
+++ b/components/node/src/service.rs
@@ -37,7 +37,7 @@
     let Some(pool) = snapshot.service_pool(&call.team, &path).cloned() else {
         let message = format!("no pool of team {} serves this path", call.team.name);
         let problem = Problem::not_run(Kind::UnknownRoute, message);
-        return send_problem(request, &problem.with_request(&call.id));
+        return send_problem(request, &problem.with_request_id(&call.id));
     };
     let (sender, receiver) = flume::unbounded();
     match admit(
@@ -54,7 +54,7 @@
         }
         Err(problem) => {
             shared.metrics.count(Counter::Refused);
-            send_problem(request, &problem.with_request(&call.id));
+            send_problem(request, &problem.with_request_id(&call.id));
         }
     }
 }
@@ -151,7 +151,7 @@
         match self.answer.take() {
             Some(Answer::Reply(reply)) => send_reply(request, &self.call.id, reply),
             Some(Answer::Problem(problem)) => {
-                send_problem(request, &problem.with_request(&self.call.id));
+                send_problem(request, &problem.with_request_id(&self.call.id));
             }
             None => {}
         }
@@ -428,7 +428,7 @@
                     Kind::ClaimUnconfirmed,
                     "the claim could not be confirmed in time",
                 )
-                .retry_after_ms(CLAIM_RETRY_MS),
+                .with_retry_after_ms(CLAIM_RETRY_MS),
             ),
         };
         self.answer.get_or_insert(answer);
--- a/components/settings/src/configuration.rs
+++ b/components/settings/src/configuration.rs
@@ -8,7 +8,7 @@
 use sha2::{Digest, Sha256};
 
 use crate::reader::{Reader, Unit};
-use crate::validation_error::Faults;
+use crate::validation_error::ValidationErrors;
 
 const MILLIS: Unit = Unit::of("ms", 1, 1, 3_600_000);
 const RATE: Unit = Unit::of("/s", 1, 1, 1_000_000);
@@ -45,7 +45,7 @@
 }
 
 /// Reads and checks a fleet configuration. `file` names the text in faults.
-pub fn read_configuration(file: &str, text: &str) -> Result<Configuration, Faults> {
+pub fn read_configuration(file: &str, text: &str) -> Result<Configuration, ValidationErrors> {
     let mut r = Reader::new(file, text)?;
     let pools: Vec<Pool> = r
         .names("pool")
@@ -278,8 +278,14 @@
             .replace("pool = chat\n", "pool = cat\n")
             .replace("520ms", "520s");
         let faults = read_configuration("c.ini", &text).unwrap_err();
-        assert_eq!(faults.list.iter().map(|f| f.line).collect::<Vec<_>>()[0], 7);
-        assert!(faults.list.iter().any(|f| f.place == "template t: target"));
+        assert_eq!(
+            faults.errors.iter().map(|f| f.line).collect::<Vec<_>>()[0],
+            7
+        );
+        assert!(faults
+            .errors
+            .iter()
+            .any(|f| f.location == "template t: target"));
     }
 
     #[test]
--- a/components/settings/src/gateway.rs
+++ b/components/settings/src/gateway.rs
@@ -6,7 +6,7 @@
 use schema::settings::GatewaySettings;
 
 use crate::reader::{Reader, Unit};
-use crate::validation_error::Faults;
+use crate::validation_error::ValidationErrors;
 
 const MILLIS: Unit = Unit::of("ms", 1, 0, 3_600_000);
 /// Without a least time the store would be asked without a pause.
@@ -29,7 +29,7 @@
 const SCALING_DUTY: &str = "autoscaling";
 
 /// Reads and checks the settings of a gateway. `file` names the text in faults.
-pub fn read_gateway(file: &str, text: &str) -> Result<GatewaySettings, Faults> {
+pub fn read_gateway(file: &str, text: &str) -> Result<GatewaySettings, ValidationErrors> {
     let mut r = Reader::new(file, text)?;
     let address = r.text("gateway", "address", None);
     let ports = r.list("gateway", "peer_ports", None);
--- a/components/settings/src/lib.rs
+++ b/components/settings/src/lib.rs
@@ -3,7 +3,6 @@
 //! Every fault of a file is reported at once, each with its line and its remedy.
 
 mod configuration;
-
 mod gateway;
 mod node;
 mod reader;
@@ -12,4 +11,4 @@
 pub use configuration::{credential_hash, read_configuration};
 pub use gateway::read_gateway;
 pub use node::read_node;
-pub use validation_error::{Fault, Faults};
+pub use validation_error::{ValidationError, ValidationErrors};
--- a/components/settings/src/node.rs
+++ b/components/settings/src/node.rs
@@ -3,7 +3,7 @@
 use schema::settings::NodeSettings;
 
 use crate::reader::{Reader, Unit};
-use crate::validation_error::Faults;
+use crate::validation_error::ValidationErrors;
 
 const LEAST_SECRET: usize = 16;
 const BYTES: Unit = Unit::count(1024, 64 << 20);
@@ -12,7 +12,7 @@
 const RATE: Unit = Unit::of("/s", 1, 1, 1000);
 
 /// Reads and checks the settings of a node. `file` names the text in faults.
-pub fn read_node(file: &str, text: &str) -> Result<NodeSettings, Faults> {
+pub fn read_node(file: &str, text: &str) -> Result<NodeSettings, ValidationErrors> {
     let mut r = Reader::new(file, text)?;
     let settings = NodeSettings {
         name: r.text("node", "name", None),
@@ -99,9 +99,9 @@
             GOOD.replace("127.0.0.1:1\n", "nowhere\n") + "[bounds]\nspeed = 3\nread_timeout = 5s\n";
         let faults = read_node("n.ini", &text).unwrap_err();
         let places: Vec<_> = faults
-            .list
+            .errors
             .iter()
-            .map(|f| (f.line, f.place.as_str()))
+            .map(|f| (f.line, f.location.as_str()))
             .collect();
         assert_eq!(
             places,
--- a/components/settings/src/reader.rs
+++ b/components/settings/src/reader.rs
@@ -5,25 +5,25 @@
 
 use ini::Ini;
 
-use crate::validation_error::{Fault, Faults};
+use crate::validation_error::{ValidationError, ValidationErrors};
 
 /// A parsed file, the faults found so far and the keys already asked for.
 pub(crate) struct Reader<'a> {
     file: &'a str,
     text: &'a str,
     ini: Ini,
-    faults: Vec<Fault>,
+    faults: Vec<ValidationError>,
     asked: BTreeSet<(String, String)>,
 }
 
 impl<'a> Reader<'a> {
     /// Parses `text`; `file` names it in faults.
-    pub fn new(file: &'a str, text: &'a str) -> Result<Self, Faults> {
-        let ini = Ini::load_from_str(text).map_err(|error| Faults {
+    pub fn new(file: &'a str, text: &'a str) -> Result<Self, ValidationErrors> {
+        let ini = Ini::load_from_str(text).map_err(|error| ValidationErrors {
             file: file.to_string(),
-            list: vec![Fault {
+            errors: vec![ValidationError {
                 line: error.line + 1,
-                place: "file".into(),
+                location: "file".into(),
                 message: error.msg.to_string(),
                 remedy: "write `[section]` and `key = value` lines".into(),
             }],
@@ -152,28 +152,28 @@
 
     /// Records a fault at a key, or at the section when `key` is empty.
     pub fn fault(&mut self, section: &str, key: &str, message: &str, remedy: &str) {
-        let place = match key {
+        let location = match key {
             "" => section.to_string(),
             key => format!("{section}: {key}"),
         };
-        self.faults.push(Fault {
+        self.faults.push(ValidationError {
             line: self.line_of(section, key),
-            place,
+            location,
             message: message.to_string(),
             remedy: remedy.to_string(),
         });
     }
 
     /// Ends the reading: `value` if there is no fault. Keys never asked for are faults too.
-    pub fn finish<T>(mut self, value: T) -> Result<T, Faults> {
+    pub fn finish<T>(mut self, value: T) -> Result<T, ValidationErrors> {
         self.fault_unknown_keys();
         if self.faults.is_empty() {
             return Ok(value);
         }
         self.faults.sort_by_key(|fault| fault.line);
-        Err(Faults {
+        Err(ValidationErrors {
             file: self.file.to_string(),
-            list: self.faults,
+            errors: self.faults,
         })
     }
 
--- a/components/settings/src/validation_error.rs
+++ b/components/settings/src/validation_error.rs
@@ -1,40 +1,41 @@
-//! Faults of a settings file.
+//! Validation errors of a settings file.
 
 use std::fmt;
 
-/// One fault, with the line it stands on and what to do about it.
+/// One error in a settings file, with its location and how to correct it.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Fault {
-    /// Line in the file, from 1; 0 when the fault is an absence.
+pub struct ValidationError {
+    /// Line number, counted from 1. A missing key has the line of its section, or 0 if the section
+    /// is missing too.
     pub line: usize,
-    /// Section and key, such as `team crews: rate`.
-    pub place: String,
+    /// Section and key, such as `team crews: rate`; only the section if no key is concerned.
+    pub location: String,
     /// What is wrong.
     pub message: String,
-    /// What to do about it.
+    /// How to correct it.
     pub remedy: String,
 }
 
-/// All faults of one file.
+/// All validation errors of one file; `Display` writes one line for each.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Faults {
+pub struct ValidationErrors {
     /// Name of the file.
     pub file: String,
-    /// The faults, by line.
-    pub list: Vec<Fault>,
+    /// The errors, sorted by line.
+    pub errors: Vec<ValidationError>,
 }
 
-impl fmt::Display for Faults {
+impl fmt::Display for ValidationErrors {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        for fault in &self.list {
+        for error in &self.errors {
             writeln!(
                 f,
                 "{}:{}: [{}] {}; remedy: {}",
-                self.file, fault.line, fault.place, fault.message, fault.remedy
+                self.file, error.line, error.location, error.message, error.remedy
             )?;
         }
         Ok(())
     }
 }
 
-impl std::error::Error for Faults {}
+impl std::error::Error for ValidationErrors {}
--- a/src/cmd/check.rs
+++ b/src/cmd/check.rs
@@ -3,7 +3,7 @@
 use std::process::ExitCode;
 
 use schema::settings::GatewaySettings;
-use settings::Faults;
+use settings::ValidationErrors;
 use topology::Topology;
 
 use super::{read_file, Outcome, EXIT_FAULTS};
@@ -57,7 +57,7 @@
     text
 }
 
-fn shown<T>(path: &str, read: Result<T, Faults>) -> bool {
+fn shown<T>(path: &str, read: Result<T, ValidationErrors>) -> bool {
     match read {
         Ok(_) => println!("{path}: no faults"),
         Err(ref faults) => eprint!("{faults}"),
