--- a/components/errors/src/kind.rs
+++ b/components/errors/src/kind.rs
@@ -1,4 +1,4 @@
-//! The kinds of error a caller can meet, with their HTTP status and remedy.
+//! The kinds of error that a caller can receive, with their HTTP status and remedy.
 
 use serde::{Deserialize, Serialize};
 
@@ -6,13 +6,13 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum MaybeRun {
-    /// Nothing was dispatched, or the endpoint proved that it did not start.
+    /// The request was not dispatched, or the endpoint proved that it did not start it.
     NotRun,
-    /// It was dispatched and its outcome is unknown.
+    /// The request was dispatched and its outcome is unknown.
     Unknown,
 }
 
-/// Kind of an error; the string in JSON is the variant in snake case.
+/// Kind of an error; in JSON the name of the variant in snake case.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Kind {
@@ -20,11 +20,11 @@
     BodyTooLarge,
     /// The headers are larger than allowed.
     HeadersTooLarge,
-    /// The body is not the JSON that the interface asks for.
+    /// The body is not valid JSON for this path.
     MalformedBody,
     /// The sender paused for longer than `read_timeout_ms`.
     SlowSender,
-    /// A header of ours has a value that cannot be read.
+    /// A request header that the node interprets has an invalid value.
     BadHeader,
     /// The credential belongs to no team.
     UnknownTeam,
@@ -32,37 +32,37 @@
     NotOperator,
     /// No pool of the team serves this model or path.
     UnknownRoute,
-    /// The node holds as many requests as its settings allow.
+    /// The node has reached its configured maximum of requests in flight.
     TooManyRequests,
     /// The team's rate, concurrency or budget is used up.
     TeamLimit,
-    /// Higher classes need the endpoints.
+    /// All endpoints are needed for requests of higher priority classes.
     Overloaded,
     /// No endpoint of the pool can be used now.
     NoEndpoint,
-    /// The endpoints that ran this request ended, so it is sent to none for a time.
+    /// Endpoints crashed while they ran this request, so it is sent to no endpoint for a time.
     Quarantined,
     /// The node is stopping.
     Stopping,
     /// The deadline passed.
     DeadlinePassed,
-    /// The platform's table could not confirm the claim in time.
+    /// The platform's table did not confirm the claim of the idempotency key in time.
     ClaimUnconfirmed,
     /// The idempotency key was used with another request.
     KeyReused,
-    /// A request with this idempotency key runs or ended with an unknown outcome.
+    /// A request with this idempotency key is running, or its outcome is unknown.
     OutcomeUnknown,
     /// The endpoint failed and the request may have run.
     EndpointFailed,
-    /// The resume token is expired, altered, or of another team or request.
+    /// The resume token has expired, was altered, or belongs to another team or request.
     BadResumeToken,
-    /// Another operator changed the configuration first.
+    /// The configuration was changed after the version that this change is based on.
     Conflict,
-    /// The configuration has faults.
+    /// The configuration has validation errors.
     BadConfiguration,
     /// The platform's service did not answer in time.
     PlatformUnavailable,
-    /// The interface has no such path.
+    /// No such path exists.
     NotFound,
 }
 
@@ -91,7 +91,7 @@
         }
     }
 
-    /// What the reader of the error can do about it.
+    /// What the caller or operator can do about it.
     pub fn remedy(self) -> &'static str {
         match self {
             Kind::BodyTooLarge => "send a smaller body or raise max_body_bytes",
--- a/components/errors/src/lib.rs
+++ b/components/errors/src/lib.rs
@@ -1,4 +1,4 @@
-//! Typed errors shown to callers and operators; each names its remedy.
+//! Typed errors that are returned to callers and operators, each with a remedy.
 
 mod kind;
 mod problem;
--- a/components/errors/src/problem.rs
+++ b/components/errors/src/problem.rs
@@ -1,4 +1,4 @@
-//! One error as it is shown to a caller, in the documented JSON shape.
+//! An error as it is returned to a caller, with its JSON format.
 
 use std::fmt;
 
@@ -11,16 +11,15 @@
 pub struct Problem {
     /// Kind of the error.
     pub kind: Kind,
-    /// What happened, with the offending value where it is no secret.
+    /// What happened, with the offending value unless it is secret.
     pub message: String,
-    /// What the reader can do.
+    /// What the caller or operator can do about it.
     pub remedy: String,
     /// Whether the request may have run.
     pub run: MaybeRun,
-    /// When to come back, in milliseconds.
+    /// Delay before a retry, in milliseconds.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub retry_after_ms: Option<u64>,
-    /// Id of the request.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub request_id: Option<String>,
 }
@@ -31,7 +30,7 @@
 }
 
 impl Problem {
-    /// An error of a request that was not run.
+    /// An error of a request that was not run, with the remedy of its kind.
     pub fn not_run(kind: Kind, message: impl Into<String>) -> Self {
         Problem {
             kind,
@@ -43,7 +42,7 @@
         }
     }
 
-    /// An error of a request that may have run.
+    /// An error of a request that may have run, with the remedy of its kind.
     pub fn maybe_run(kind: Kind, message: impl Into<String>) -> Self {
         Problem {
             run: MaybeRun::Unknown,
@@ -51,7 +50,7 @@
         }
     }
 
-    /// The same error with a time to come back.
+    /// Sets the delay before a retry.
     pub fn with_retry_after_ms(self, ms: u64) -> Self {
         Problem {
             retry_after_ms: Some(ms),
@@ -59,7 +58,7 @@
         }
     }
 
-    /// The same error with the id of its request.
+    /// Sets the id of the request.
     pub fn with_request_id(self, id: &str) -> Self {
         Problem {
             request_id: Some(id.to_string()),
@@ -67,7 +66,7 @@
         }
     }
 
-    /// The JSON shown to callers.
+    /// Serializes to the JSON that callers receive.
     pub fn to_json(&self) -> String {
         let envelope = Envelope {
             error: self.clone(),
@@ -75,7 +74,7 @@
         serde_json::to_string(&envelope).unwrap_or_default()
     }
 
-    /// Reads the JSON shown to callers.
+    /// Parses the JSON that callers receive; `None` if it is malformed.
     pub fn from_json(text: &str) -> Option<Self> {
         serde_json::from_str::<Envelope>(text).ok().map(|e| e.error)
     }
@@ -94,7 +93,7 @@
     use super::*;
 
     #[test]
-    fn can_read_its_own_json() {
+    fn json_round_trips() {
         let problem = Problem::not_run(Kind::TeamLimit, "rate").with_retry_after_ms(20);
         assert_eq!(Problem::from_json(&problem.to_json()), Some(problem));
     }
--- a/components/schema/src/codec.rs
+++ b/components/schema/src/codec.rs
@@ -1,4 +1,4 @@
-//! Encoding of generated structs in thrift's compact protocol.
+//! Codec of the generated structs: Thrift's compact protocol.
 
 use std::fmt;
 use std::io::Cursor;
@@ -10,7 +10,7 @@
 /// Largest encoded value that [`decode`] accepts, in bytes.
 pub const MAX_ENCODED_BYTES: usize = 1 << 20;
 
-/// A value that could not be encoded or decoded.
+/// A value could not be encoded or decoded; holds the cause.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct CodecError(pub String);
 
@@ -28,7 +28,7 @@
     }
 }
 
-/// Encodes `value` in the compact protocol.
+/// Encodes a value.
 pub fn encode<T: TSerializable>(value: &T) -> Result<Vec<u8>, CodecError> {
     let mut bytes = Vec::new();
     let mut protocol = TCompactOutputProtocol::new(&mut bytes);
@@ -38,22 +38,24 @@
     Ok(bytes)
 }
 
-/// Decodes a value; errors on malformed, truncated or oversized input.
+/// Decodes a value. Malformed or truncated input and input over [`MAX_ENCODED_BYTES`] is an error.
 pub fn decode<T: TSerializable>(bytes: &[u8]) -> Result<T, CodecError> {
     if bytes.len() > MAX_ENCODED_BYTES {
         return Err(CodecError(format!("{} bytes are too many", bytes.len())));
     }
-    let mut protocol = TCompactInputProtocol::with_config(Cursor::new(bytes), bounds(bytes.len())?);
+    let mut protocol =
+        TCompactInputProtocol::with_config(Cursor::new(bytes), decoder_limits(bytes.len())?);
     Ok(T::read_from_in_protocol(&mut protocol)?)
 }
 
-// A hostile length field must not make the decoder reserve more than the input could hold.
-fn bounds(len: usize) -> Result<TConfiguration, CodecError> {
+// Limits strings and containers to the input's length, so that a forged length field cannot make
+// the decoder allocate more than the input could contain.
+fn decoder_limits(input_bytes: usize) -> Result<TConfiguration, CodecError> {
     TConfigurationBuilder::default()
         .max_message_size(Some(MAX_ENCODED_BYTES))
         .max_frame_size(Some(MAX_ENCODED_BYTES))
-        .max_string_size(Some(len))
-        .max_container_size(Some(len))
+        .max_string_size(Some(input_bytes))
+        .max_container_size(Some(input_bytes))
         .build()
         .map_err(CodecError::from)
 }
@@ -64,7 +66,7 @@
     use crate::messages::LeaseRow;
 
     #[test]
-    fn can_round_trip_a_row() {
+    fn a_row_round_trips() {
         let row = LeaseRow {
             holder: "n1".into(),
             epoch: 7,
@@ -74,7 +76,7 @@
     }
 
     #[test]
-    fn errors_on_truncated_input() {
+    fn truncated_input_is_an_error() {
         let row = LeaseRow {
             holder: "n1".into(),
             epoch: 7,
--- a/components/schema/src/lib.rs
+++ b/components/schema/src/lib.rs
@@ -1,6 +1,8 @@
-//! Messages, rows and settings, generated from the files under `thrift/`.
+//! Wire messages, table rows and settings types, generated from the Thrift files under `thrift/`,
+//! with their codec.
 //!
-//! `.ci/generate` regenerates the code; `schema.sha256` holds the checksums that CI compares.
+//! `.ci/generate` regenerates the code. `schema.sha256` has the checksums of the Thrift files and of
+//! the generated code, which CI compares.
 
 #[allow(clippy::all, unused_imports, missing_docs)]
 #[rustfmt::skip]
--- a/components/schema/src/version.rs
+++ b/components/schema/src/version.rs
@@ -1,5 +1,5 @@
-//! The version of the messages between nodes.
+//! Schema version of the messages between nodes.
 
-/// Version written into each packet. Nodes of two versions work side by side: fields are only
-/// ever added, as optional ones, and a receiver skips what it does not know.
+/// Schema version in every packet. Nodes of different versions can run side by side: the schema
+/// changes only by new optional fields, and a receiver skips unknown fields.
 pub const SCHEMA_VERSION: i32 = 1;
--- a/components/schema/tests/backward_compatibility.rs
+++ b/components/schema/tests/backward_compatibility.rs
@@ -1,6 +1,8 @@
-//! What released builds wrote is read by today's, field by field, and no field's number, type or name is used again.
+//! Backward compatibility of the schema: messages of released builds are decoded with every field,
+//! and no field changes its number, type or name.
 //!
-//! `golden/COMMIT/` holds one message of each kind with every field set, as the code of that commit wrote it; nobody edits it.
+//! `golden/COMMIT/` has one message of each kind with every field set, as encoded by the code of
+//! that commit. These golden files must not be edited.
 
 use std::fs;
 use std::path::{Path, PathBuf};
@@ -12,72 +14,76 @@
 use schema::{decode, encode};
 use thrift::protocol::TSerializable;
 
-/// Released builds that may run beside today's.
+/// Commits of released builds that may run side by side with the current one.
 const RELEASES: [&str; 7] = [
     "bd65777", "07b763e", "34be26a", "c0f3eb4", "52ca913", "703a9ca", "ca39d27",
 ];
-/// Fields of the newest of them, a line each: struct, number, whether it is required, type, name.
-const FIELDS: &str = include_str!("golden/ca39d27/fields.txt");
-const SCHEMA: &str = include_str!("../thrift/messages.thrift");
+/// Fields of the newest release, one per line: struct, number, requiredness, type, name.
+const RELEASED_FIELDS: &str = include_str!("golden/ca39d27/fields.txt");
+const CURRENT_SCHEMA: &str = include_str!("../thrift/messages.thrift");
 
-fn folder(release: &str) -> PathBuf {
+fn golden_dir(release: &str) -> PathBuf {
     let tests = Path::new(env!("CARGO_MANIFEST_DIR")).join("tests");
     tests.join("golden").join(release)
 }
 
-// Reads bytes and writes them again. Nothing is lost only if every field was known.
-fn again<T: TSerializable>(bytes: &[u8]) -> Vec<u8> {
-    let read: T = decode(bytes).unwrap();
-    encode(&read).unwrap()
+// Decodes and encodes again. The bytes are equal only if the schema knows every field, as unknown
+// fields are skipped.
+fn reencode<T: TSerializable>(bytes: &[u8]) -> Vec<u8> {
+    let decoded: T = decode(bytes).unwrap();
+    encode(&decoded).unwrap()
 }
 
-fn again_as(kind: &str, bytes: &[u8]) -> Vec<u8> {
+fn reencode_as(kind: &str, bytes: &[u8]) -> Vec<u8> {
     match kind {
-        "gossip" => again::<Gossip>(bytes),
+        "gossip" => reencode::<Gossip>(bytes),
         "decision-query"
         | "decision-reply"
         | "decision-give-back"
         | "decision-send-query"
-        | "decision-send-reply" => again::<Decision>(bytes),
-        "rows-query" => again::<RowsQuery>(bytes),
-        "rows-reply" => again::<RowsReply>(bytes),
-        "gateway-row" => again::<GatewayRow>(bytes),
-        "usage-row" => again::<UsageRow>(bytes),
-        "lease-row" => again::<LeaseRow>(bytes),
-        "rollout-row" => again::<RolloutRow>(bytes),
-        "quarantine-row" => again::<QuarantineRow>(bytes),
-        kind => panic!("no message is called {kind}"),
+        | "decision-send-reply" => reencode::<Decision>(bytes),
+        "rows-query" => reencode::<RowsQuery>(bytes),
+        "rows-reply" => reencode::<RowsReply>(bytes),
+        "gateway-row" => reencode::<GatewayRow>(bytes),
+        "usage-row" => reencode::<UsageRow>(bytes),
+        "lease-row" => reencode::<LeaseRow>(bytes),
+        "rollout-row" => reencode::<RolloutRow>(bytes),
+        "quarantine-row" => reencode::<QuarantineRow>(bytes),
+        kind => panic!("unknown kind of message in the golden files: {kind}"),
     }
 }
 
 #[test]
-fn every_field_that_a_release_wrote_is_read() {
+fn every_field_encoded_by_a_release_is_decoded() {
     for release in RELEASES {
-        let files = fs::read_dir(folder(release)).unwrap();
+        let files = fs::read_dir(golden_dir(release)).unwrap();
         let files = files.map(|file| file.unwrap().path());
         let messages: Vec<PathBuf> = files.filter(|path| path.extension().is_none()).collect();
         assert!(messages.len() >= 10, "{release}");
         for path in messages {
             let kind = path.file_name().unwrap().to_str().unwrap();
             let bytes = fs::read(&path).unwrap();
-            assert_eq!(again_as(kind, &bytes), bytes, "{release} {kind}");
+            assert_eq!(reencode_as(kind, &bytes), bytes, "{release} {kind}");
         }
     }
 }
 
-// Struct, number, whether it is required, type, name.
-fn fields_of(schema: &str) -> Vec<String> {
+// Parses the fields of all structs into the format of `RELEASED_FIELDS`.
+fn parse_fields(schema: &str) -> Vec<String> {
     let mut fields = Vec::new();
-    let mut within = "";
+    let mut struct_name = "";
     for line in schema.lines().map(str::trim) {
         if let Some(rest) = line.strip_prefix("struct ") {
-            within = rest.trim_end_matches(" {");
+            struct_name = rest.trim_end_matches(" {");
         }
         let Some((number, rest)) = line.split_once(": ") else {
             continue;
         };
         if number.parse::<u16>().is_ok() {
-            fields.push(format!("{within} {number} {}", rest.trim_end_matches(',')));
+            fields.push(format!(
+                "{struct_name} {number} {}",
+                rest.trim_end_matches(',')
+            ));
         }
     }
     fields
@@ -85,25 +91,25 @@
 
 #[test]
 fn no_field_of_the_newest_release_changed_its_number_type_or_name() {
-    let today = fields_of(SCHEMA);
-    assert!(FIELDS.lines().count() > 100);
-    for field in FIELDS.lines() {
-        assert!(today.iter().any(|known| known == field), "{field}");
+    let current = parse_fields(CURRENT_SCHEMA);
+    assert!(RELEASED_FIELDS.lines().count() > 100);
+    for field in RELEASED_FIELDS.lines() {
+        assert!(current.iter().any(|known| known == field), "{field}");
     }
 }
 
 #[test]
-fn fields_that_came_since_the_newest_release_are_optional() {
-    let released: Vec<&str> = FIELDS.lines().collect();
-    let is_of_released = |field: &str| {
+fn fields_added_to_a_released_struct_since_the_newest_release_are_optional() {
+    let released: Vec<&str> = RELEASED_FIELDS.lines().collect();
+    let is_in_released_struct = |field: &str| {
         let name = field.split(' ').next().unwrap();
         released
             .iter()
             .any(|known| known.split(' ').next() == Some(name))
     };
-    for field in fields_of(SCHEMA) {
+    for field in parse_fields(CURRENT_SCHEMA) {
         let is_new = !released.contains(&field.as_str());
-        if is_new && is_of_released(&field) {
+        if is_new && is_in_released_struct(&field) {
             assert!(field.split(' ').nth(2) == Some("optional"), "{field}");
         }
     }
--- a/components/schema/tests/decoding.rs
+++ b/components/schema/tests/decoding.rs
@@ -1,4 +1,5 @@
-//! Messages of other schema versions, and bytes that are no message at all.
+//! Forward compatibility: messages of later schema versions are decoded. Malformed input never
+//! panics.
 
 use quickcheck::{Gen, QuickCheck};
 use schema::messages::{ClaimRow, Kind, Packet, ResumeToken};
@@ -6,10 +7,11 @@
 
 const SEED: u64 = 20261202;
 const CASES: u64 = 20_000;
-/// Header of a field whose number is one higher than the last, of type i32.
+/// Compact protocol: header of an i32 field whose number is one above the previous field's.
 const NEXT_FIELD_I32: u8 = 0x15;
-/// Two, in the compact protocol's zigzag coding.
-const TWO: u8 = 0x04;
+/// Compact protocol: the integer 2 in zigzag encoding.
+const ZIGZAG_TWO: u8 = 0x04;
+/// Compact protocol: end of a struct.
 const STOP: u8 = 0;
 
 fn packet() -> Packet {
@@ -31,15 +33,15 @@
 }
 
 #[test]
-fn can_read_a_packet_with_a_field_of_a_later_version() {
+fn an_unknown_field_of_a_later_version_is_skipped() {
     let mut bytes = encode(&packet()).unwrap();
     assert_eq!(bytes.pop(), Some(STOP));
-    bytes.extend([NEXT_FIELD_I32, TWO, STOP]);
+    bytes.extend([NEXT_FIELD_I32, ZIGZAG_TWO, STOP]);
     assert_eq!(decode::<Packet>(&bytes), Ok(packet()));
 }
 
 #[test]
-fn can_read_a_kind_of_a_later_version() {
+fn an_unknown_kind_of_a_later_version_is_kept() {
     let later = Packet {
         kind: Kind::from(99),
         ..packet()
@@ -48,8 +50,8 @@
 }
 
 #[test]
-fn errors_on_bytes_that_are_no_message_without_a_panic() {
-    fn property(bytes: Vec<u8>) -> bool {
+fn decoding_random_bytes_does_not_panic() {
+    fn decodes_without_panic(bytes: Vec<u8>) -> bool {
         let _ = decode::<Packet>(&bytes);
         let _ = decode::<ResumeToken>(&bytes);
         let _ = decode::<ClaimRow>(&bytes);
@@ -58,16 +60,16 @@
     QuickCheck::new()
         .rng(Gen::from_size_and_seed(200, SEED))
         .tests(CASES)
-        .quickcheck(property as fn(Vec<u8>) -> bool);
+        .quickcheck(decodes_without_panic as fn(Vec<u8>) -> bool);
 }
 
 #[test]
-fn errors_on_every_altered_byte_or_reads_it_without_a_panic() {
+fn decoding_a_packet_with_any_flipped_bit_does_not_panic() {
     let bytes = encode(&packet()).unwrap();
-    for at in 0..bytes.len() {
+    for index in 0..bytes.len() {
         for bit in 0..8 {
             let mut altered = bytes.clone();
-            altered[at] ^= 1 << bit;
+            altered[index] ^= 1 << bit;
             let _ = decode::<Packet>(&altered);
         }
     }
--- a/components/settings/src/lib.rs
+++ b/components/settings/src/lib.rs
@@ -1,6 +1,6 @@
-//! Reads INI settings into the checked types of the schema.
+//! Parses INI settings and validates them into the settings types of the schema.
 //!
-//! Every fault of a file is reported at once, each with its line and its remedy.
+//! All validation errors of a file are reported at once, each with its line and its remedy.
 
 mod configuration;
 mod gateway;
--- a/components/settings/src/reader.rs
+++ b/components/settings/src/reader.rs
@@ -1,4 +1,5 @@
-//! Typed access to the keys of an INI file that collects faults instead of stopping at one.
+//! Typed access to the keys of an INI file. Validation errors are collected, so that one run
+//! reports all of them.
 
 use std::collections::BTreeSet;
 use std::net::SocketAddr;
@@ -7,17 +8,17 @@
 
 use crate::validation_error::{ValidationError, ValidationErrors};
 
-/// A parsed file, the faults found so far and the keys already asked for.
-pub(crate) struct Reader<'a> {
+/// A parsed INI file, the validation errors found so far and the keys already read.
+pub(crate) struct IniReader<'a> {
     file: &'a str,
     text: &'a str,
     ini: Ini,
-    faults: Vec<ValidationError>,
-    asked: BTreeSet<(String, String)>,
+    errors: Vec<ValidationError>,
+    read_keys: BTreeSet<(String, String)>,
 }
 
-impl<'a> Reader<'a> {
-    /// Parses `text`; `file` names it in faults.
+impl<'a> IniReader<'a> {
+    /// Parses `text`; `file` is the file name that errors show.
     pub fn new(file: &'a str, text: &'a str) -> Result<Self, ValidationErrors> {
         let ini = Ini::load_from_str(text).map_err(|error| ValidationErrors {
             file: file.to_string(),
@@ -28,17 +29,18 @@
                 remedy: "write `[section]` and `key = value` lines".into(),
             }],
         })?;
-        Ok(Reader {
+        Ok(IniReader {
             file,
             text,
             ini,
-            faults: Vec::new(),
-            asked: BTreeSet::new(),
+            errors: Vec::new(),
+            read_keys: BTreeSet::new(),
         })
     }
 
-    /// Names of the sections `[kind NAME]`, in the order of the file.
-    pub fn names(&mut self, kind: &str) -> Vec<String> {
+    /// Names of the sections `[kind NAME]`, sorted and without duplicates; a duplicate section is an
+    /// error.
+    pub fn section_names(&mut self, kind: &str) -> Vec<String> {
         let prefix = format!("{kind} ");
         let names: Vec<String> = self
             .ini
@@ -51,77 +53,84 @@
         for name in &names {
             if !seen.insert(name.clone()) {
                 let section = format!("{kind} {name}");
-                self.fault(&section, "", "stands twice", "keep one of the sections");
+                self.add_error(&section, "", "stands twice", "keep one of the sections");
             }
         }
         seen.into_iter().collect()
     }
 
-    /// Whether the key is present.
-    pub fn has(&self, section: &str, key: &str) -> bool {
+    pub fn has_key(&self, section: &str, key: &str) -> bool {
         self.ini.get_from(Some(section), key).is_some()
     }
 
-    /// The raw value of a key; a missing one is a fault unless there is a default.
+    /// The trimmed value of a key. A missing key is an error unless there is a default.
     pub fn text(&mut self, section: &str, key: &str, default: Option<&str>) -> String {
-        self.asked.insert((section.to_string(), key.to_string()));
+        self.read_keys
+            .insert((section.to_string(), key.to_string()));
         let value = self.ini.get_from(Some(section), key).or(default);
         match value {
             Some(value) => value.trim().to_string(),
             None => {
-                self.fault(section, key, "is missing", "add the key to its section");
+                self.add_error(section, key, "is missing", "add the key to its section");
                 String::new()
             }
         }
     }
 
-    /// A whole number within `range`, after one of the `units` if any is given.
-    pub fn number(&mut self, at: (&str, &str), default: Option<&str>, unit: Unit) -> i64 {
-        let (section, key) = at;
+    /// A number in the given format, multiplied by the scale. An empty value is the minimum; after
+    /// an error the minimum is returned as well.
+    pub fn number(
+        &mut self,
+        location: (&str, &str),
+        default: Option<&str>,
+        format: NumberFormat,
+    ) -> i64 {
+        let (section, key) = location;
         let text = self.text(section, key, default);
         if text.is_empty() {
-            return unit.least;
+            return format.min;
         }
         let number = text
-            .strip_suffix(unit.suffix)
+            .strip_suffix(format.suffix)
             .map(str::trim)
-            .and_then(|digits| parse_scaled(digits, unit.scale));
+            .and_then(|digits| parse_scaled(digits, format.scale));
         match number {
-            Some(n) if (unit.least..=unit.most).contains(&n) => n,
+            Some(n) if (format.min..=format.max).contains(&n) => n,
             _ => {
                 let message = format!("`{text}` cannot be used");
-                self.fault(section, key, &message, &unit.remedy());
-                unit.least
+                self.add_error(section, key, &message, &format.remedy());
+                format.min
             }
         }
     }
 
-    /// One of the named values.
+    /// The value whose name is given; any other text is an error. The first value is returned after
+    /// an error.
     pub fn choice<T: Copy>(
         &mut self,
-        at: (&str, &str),
+        location: (&str, &str),
         default: Option<&str>,
-        among: &[(&str, T)],
+        choices: &[(&str, T)],
     ) -> T {
-        let (section, key) = at;
+        let (section, key) = location;
         let text = self.text(section, key, default);
-        if let Some((_, value)) = among.iter().find(|(name, _)| *name == text) {
+        if let Some((_, value)) = choices.iter().find(|(name, _)| *name == text) {
             return *value;
         }
-        let names: Vec<&str> = among.iter().map(|(name, _)| *name).collect();
+        let names: Vec<&str> = choices.iter().map(|(name, _)| *name).collect();
         let remedy = format!("use one of {}", names.join(", "));
         if !text.is_empty() {
-            self.fault(section, key, &format!("`{text}` is unknown"), &remedy);
+            self.add_error(section, key, &format!("`{text}` is unknown"), &remedy);
         }
-        among[0].1
+        choices[0].1
     }
 
-    /// An address by IP number and port.
-    pub fn address(&mut self, section: &str, key: &str, default: Option<&str>) -> String {
+    /// An IP address with a port. Host names are rejected; an empty value passes.
+    pub fn socket_address(&mut self, section: &str, key: &str, default: Option<&str>) -> String {
         let text = self.text(section, key, default);
         if !text.is_empty() && text.parse::<SocketAddr>().is_err() {
             let message = format!("`{text}` is no address");
-            self.fault(
+            self.add_error(
                 section,
                 key,
                 &message,
@@ -131,17 +140,17 @@
         text
     }
 
-    /// A secret of at least `least` characters; its value appears in no fault.
-    pub fn secret(&mut self, section: &str, key: &str, least: usize) -> String {
+    /// A secret of at least `min_bytes` bytes. Error messages never contain its value.
+    pub fn secret(&mut self, section: &str, key: &str, min_bytes: usize) -> String {
         let text = self.text(section, key, None);
-        if !text.is_empty() && text.len() < least {
-            let remedy = format!("use at least {least} random characters");
-            self.fault(section, key, "is too short", &remedy);
+        if !text.is_empty() && text.len() < min_bytes {
+            let remedy = format!("use at least {min_bytes} random characters");
+            self.add_error(section, key, "is too short", &remedy);
         }
         text
     }
 
-    /// A list parted by commas.
+    /// A comma-separated list; empty items are skipped.
     pub fn list(&mut self, section: &str, key: &str, default: Option<&str>) -> Vec<String> {
         self.text(section, key, default)
             .split(',')
@@ -150,34 +159,35 @@
             .collect()
     }
 
-    /// Records a fault at a key, or at the section when `key` is empty.
-    pub fn fault(&mut self, section: &str, key: &str, message: &str, remedy: &str) {
+    /// Adds a validation error at a key, or at the section if `key` is empty.
+    pub fn add_error(&mut self, section: &str, key: &str, message: &str, remedy: &str) {
         let location = match key {
             "" => section.to_string(),
             key => format!("{section}: {key}"),
         };
-        self.faults.push(ValidationError {
-            line: self.line_of(section, key),
+        self.errors.push(ValidationError {
+            line: self.find_line(section, key),
             location,
             message: message.to_string(),
             remedy: remedy.to_string(),
         });
     }
 
-    /// Ends the reading: `value` if there is no fault. Keys never asked for are faults too.
+    /// Returns `value` if there is no validation error. Each key in the file that was never read is
+    /// an error, which finds misspelt keys.
     pub fn finish<T>(mut self, value: T) -> Result<T, ValidationErrors> {
-        self.fault_unknown_keys();
-        if self.faults.is_empty() {
+        self.add_unknown_key_errors();
+        if self.errors.is_empty() {
             return Ok(value);
         }
-        self.faults.sort_by_key(|fault| fault.line);
+        self.errors.sort_by_key(|error| error.line);
         Err(ValidationErrors {
             file: self.file.to_string(),
-            errors: self.faults,
+            errors: self.errors,
         })
     }
 
-    fn fault_unknown_keys(&mut self) {
+    fn add_unknown_key_errors(&mut self) {
         let unknown: Vec<(String, String)> = self
             .ini
             .iter()
@@ -186,10 +196,10 @@
                 keys.iter()
                     .map(move |(key, _)| (section.clone(), key.to_string()))
             })
-            .filter(|place| !self.asked.contains(place))
+            .filter(|key| !self.read_keys.contains(key))
             .collect();
         for (section, key) in unknown {
-            self.fault(
+            self.add_error(
                 &section,
                 &key,
                 "is unknown here",
@@ -198,17 +208,18 @@
         }
     }
 
-    fn line_of(&self, section: &str, key: &str) -> usize {
-        let mut inside = section.is_empty();
+    // Line of the key, of its section if the key is missing, or 0 if both are.
+    fn find_line(&self, section: &str, key: &str) -> usize {
+        let mut is_in_section = section.is_empty();
         let mut section_line = 0;
         for (index, line) in self.text.lines().enumerate() {
             let line = line.trim();
             if let Some(name) = line.strip_prefix('[').and_then(|l| l.strip_suffix(']')) {
-                inside = name.trim() == section;
-                if inside && section_line == 0 {
+                is_in_section = name.trim() == section;
+                if is_in_section && section_line == 0 {
                     section_line = index + 1;
                 }
-            } else if inside && !key.is_empty() {
+            } else if is_in_section && !key.is_empty() {
                 let name = line.split('=').next().unwrap_or_default().trim();
                 if name == key {
                     return index + 1;
@@ -219,58 +230,60 @@
     }
 }
 
-/// Unit and bounds of a number.
+/// Format of a number in a settings file: unit, scale and bounds.
 #[derive(Clone, Copy)]
-pub(crate) struct Unit {
-    /// Text after the number, such as `ms`.
+pub(crate) struct NumberFormat {
+    /// Unit that follows the number, such as `ms`; empty for none.
     pub suffix: &'static str,
-    /// What one unit is worth in the stored number.
+    /// Factor from the written to the stored number: a power of ten, so that decimals keep their
+    /// value.
     pub scale: i64,
-    /// Least stored number.
-    pub least: i64,
-    /// Greatest stored number.
-    pub most: i64,
+    /// Minimum of the stored number.
+    pub min: i64,
+    /// Maximum of the stored number.
+    pub max: i64,
 }
 
-impl Unit {
-    /// A number without a unit.
-    pub const fn count(least: i64, most: i64) -> Self {
-        Unit {
+impl NumberFormat {
+    /// A number without a unit, stored as it is written.
+    pub const fn unscaled(min: i64, max: i64) -> Self {
+        NumberFormat {
             suffix: "",
             scale: 1,
-            least,
-            most,
+            min,
+            max,
         }
     }
 
-    /// A number with a unit.
-    pub const fn of(suffix: &'static str, scale: i64, least: i64, most: i64) -> Self {
-        Unit {
+    /// A number with a unit, or without one if `suffix` is empty, that is stored times `scale`.
+    pub const fn scaled(suffix: &'static str, scale: i64, min: i64, max: i64) -> Self {
+        NumberFormat {
             suffix,
             scale,
-            least,
-            most,
+            min,
+            max,
         }
     }
 
     fn remedy(&self) -> String {
-        let (least, most) = (self.least / self.scale, self.most / self.scale);
+        let (min, max) = (self.min / self.scale, self.max / self.scale);
         format!(
-            "write a number from {least} to {most} followed by `{}`",
+            "write a number from {min} to {max} followed by `{}`",
             self.suffix
         )
         .replace(" followed by ``", "")
     }
 }
 
-// Decimal digits times a scale, without floating point: "1.5" at scale 1000 is 1500.
+// Multiplies a decimal number by `scale` in integer arithmetic: "1.5" at scale 1000 is 1500.
+// Decimal places beyond those of `scale` are dropped.
 fn parse_scaled(digits: &str, scale: i64) -> Option<i64> {
     let (whole, fraction) = digits.split_once('.').unwrap_or((digits, ""));
     let mut value = whole.parse::<i64>().ok()?.checked_mul(scale)?;
-    let mut place = scale;
+    let mut place_value = scale;
     for digit in fraction.chars() {
-        place /= 10;
-        value = value.checked_add(i64::from(digit.to_digit(10)?) * place)?;
+        place_value /= 10;
+        value = value.checked_add(i64::from(digit.to_digit(10)?) * place_value)?;
     }
     Some(value)
 }
--- a/components/settings/tests/gateway.rs
+++ b/components/settings/tests/gateway.rs
@@ -1,16 +1,16 @@
-//! Settings of a gateway.
+//! Parsing and validation of gateway settings, and of the deployed template of the settings file.
 
 use settings::read_gateway;
 
-const GOOD: &str = "[gateway]\nname = g1\nzone = z\nregion = r\naddress = 10.1.0.14\n\
+const VALID: &str = "[gateway]\nname = g1\nzone = z\nregion = r\naddress = 10.1.0.14\n\
     callers = 10.1.0.14:8221\nreadiness = 10.1.0.14:8224\npeer_ports = 7600,7615\n\
     metrics_port = 7610\nseeds = 10.2.0.4:8229,10.3.0.34:8229\n[store]\naddress = 10.200.1.7:8225\n\
     [orders]\naddress = 10.200.0.35:8225\nduties = usage_reporting,autoscaling,\n\
     [bounds]\ncredential_age = 5000ms\nrepeats = 0.2\nrepeats_extra = 56\n";
 
 #[test]
-fn a_gateway_is_read_with_its_derived_addresses() {
-    let read = read_gateway("g.ini", GOOD).unwrap();
+fn addresses_are_derived_from_the_address_and_the_peer_ports() {
+    let read = read_gateway("g.ini", VALID).unwrap();
     assert_eq!(read.peers, "10.1.0.14:7600");
     assert_eq!(read.decisions, "10.1.0.14:7601");
     assert_eq!(read.cores_milli, 1000);
@@ -21,8 +21,8 @@
 }
 
 #[test]
-fn decisions_take_any_free_port_where_there_is_only_one_for_gateways() {
-    let text = GOOD
+fn decisions_use_any_free_port_if_there_is_only_one_peer_port() {
+    let text = VALID
         .replace("7600,7615", "7600,7600")
         .replace("zone = z", "zone = z\ncores = 0.12");
     let read = read_gateway("g.ini", &text).unwrap();
@@ -31,8 +31,8 @@
 }
 
 #[test]
-fn every_fault_is_named_with_its_remedy() {
-    let text = GOOD
+fn all_errors_are_shown_with_their_location_and_remedy() {
+    let text = VALID
         .replace("zone = z\n", "")
         .replace("10.200.1.7:8225", "store.example:8225")
         .replace("5000ms", "5s");
@@ -46,19 +46,22 @@
 }
 
 #[test]
-fn halls_are_read_with_their_regions_and_the_own_one_must_be_right() {
-    let with = |halls: &str| GOOD.replace("zone = z\n", &format!("zone = z\nhalls = {halls}\n"));
-    let read = read_gateway("g.ini", &with("z:r,y:q,")).unwrap();
+fn halls_have_regions_and_the_own_hall_must_be_listed_with_its_region() {
+    let with_halls =
+        |halls: &str| VALID.replace("zone = z\n", &format!("zone = z\nhalls = {halls}\n"));
+    let read = read_gateway("g.ini", &with_halls("z:r,y:q,")).unwrap();
     assert_eq!(read.halls["y"], "q");
-    for wrong in ["y:q", "z:q", "z", "z:r,:q"] {
-        let shown = read_gateway("g.ini", &with(wrong)).unwrap_err().to_string();
-        assert!(shown.contains("gateway: halls"), "{wrong}: {shown}");
+    for invalid in ["y:q", "z:q", "z", "z:r,:q"] {
+        let shown = read_gateway("g.ini", &with_halls(invalid))
+            .unwrap_err()
+            .to_string();
+        assert!(shown.contains("gateway: halls"), "{invalid}: {shown}");
     }
 }
 
-/// Fills the gaps of a template's line with a value that fits its key.
-fn filled(section: &str, line: &str) -> String {
-    // A list that a loop of the template makes.
+/// Replaces the placeholders in a line of the template by a valid value for its key.
+fn fill_placeholders(section: &str, line: &str) -> String {
+    // The template renders this list with a loop over the zones.
     if line.starts_with("halls = {{#zones}}") {
         return "halls = x:x,".to_string();
     }
@@ -82,7 +85,7 @@
 }
 
 #[test]
-fn the_deployed_template_names_only_keys_that_are_known() {
+fn the_deployed_template_has_only_known_keys() {
     let template = include_str!("../../../deploy/gateway.ini");
     let mut section = "";
     let mut text = String::new();
@@ -91,7 +94,7 @@
             section = name;
             text += &format!("[{name}]\n");
         } else {
-            text += &format!("{}\n", filled(section, line));
+            text += &format!("{}\n", fill_placeholders(section, line));
         }
     }
     assert!(text.contains("credential_age = 100ms") && text.contains("usage_due = 100s"));
@@ -99,13 +102,18 @@
 }
 
 #[test]
-fn keys_have_a_longest_age_only_where_the_deployment_fails_closed() {
+fn credentials_have_a_max_age_only_if_the_deployment_fails_closed() {
     let template = include_str!("../../../deploy/gateway.ini");
     let line = template
         .lines()
         .find(|line| line.contains("credential_age"));
     let line = line.expect("the template sets it");
     assert!(line.starts_with("{{#bounds.revokeFailClosed}}"), "{line}");
-    let open = GOOD.replace("credential_age = 5000ms\n", "");
-    assert_eq!(read_gateway("g.ini", &open).unwrap().credential_age_ms, 0);
+    let without_age = VALID.replace("credential_age = 5000ms\n", "");
+    assert_eq!(
+        read_gateway("g.ini", &without_age)
+            .unwrap()
+            .credential_age_ms,
+        0
+    );
 }
