--- a/components/errors/src/kind.rs
+++ b/components/errors/src/kind.rs
@@ -20,7 +20,7 @@
     BodyTooLarge,
     /// The headers are larger than allowed.
     HeadersTooLarge,
-    /// The body is not valid JSON for this path.
+    /// The body is incomplete, or its format or values are not those that the path expects.
     MalformedBody,
     /// The sender paused for longer than `read_timeout_ms`.
     SlowSender,
@@ -32,15 +32,15 @@
     NotOperator,
     /// No pool of the team serves this model or path.
     UnknownRoute,
-    /// The node has reached its configured maximum of requests in flight.
+    /// The node is at its limit of requests in flight, or the gateway has no memory for the body.
     TooManyRequests,
     /// The team's rate, concurrency or budget is used up.
     TeamLimit,
-    /// All endpoints are needed for requests of higher priority classes.
+    /// The endpoints have no room for this request, or only for higher priority classes.
     Overloaded,
     /// No endpoint of the pool can be used now.
     NoEndpoint,
-    /// Endpoints crashed while they ran this request, so it is sent to no endpoint for a time.
+    /// Endpoints terminated while they ran this request, so it is sent to no endpoint for a time.
     Quarantined,
     /// The node is stopping.
     Stopping,
@@ -56,7 +56,7 @@
     EndpointFailed,
     /// The resume token has expired, was altered, or belongs to another team or request.
     BadResumeToken,
-    /// The configuration was changed after the version that this change is based on.
+    /// Another operator published a configuration after the version that this change is based on.
     Conflict,
     /// The configuration has validation errors.
     BadConfiguration,
--- a/components/schema/src/codec.rs
+++ b/components/schema/src/codec.rs
@@ -10,7 +10,7 @@
 /// Largest encoded value that [`decode`] accepts, in bytes.
 pub const MAX_ENCODED_BYTES: usize = 1 << 20;
 
-/// A value could not be encoded or decoded; holds the cause.
+/// Error of encoding or decoding a value; holds the cause.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct CodecError(pub String);
 
@@ -28,7 +28,7 @@
     }
 }
 
-/// Encodes a value.
+/// Encodes a value in the compact protocol.
 pub fn encode<T: TSerializable>(value: &T) -> Result<Vec<u8>, CodecError> {
     let mut bytes = Vec::new();
     let mut protocol = TCompactOutputProtocol::new(&mut bytes);
--- a/components/schema/tests/backward_compatibility.rs
+++ b/components/schema/tests/backward_compatibility.rs
@@ -1,5 +1,5 @@
 //! Backward compatibility of the schema: messages of released builds are decoded with every field,
-//! and no field changes its number, type or name.
+//! and no number, type or name of a field is changed or reused.
 //!
 //! `golden/COMMIT/` has one message of each kind with every field set, as encoded by the code of
 //! that commit. These golden files must not be edited.
--- a/components/settings/src/reader.rs
+++ b/components/settings/src/reader.rs
@@ -77,8 +77,8 @@
         }
     }
 
-    /// A number in the given format, multiplied by the scale. An empty value is the minimum; after
-    /// an error the minimum is returned as well.
+    /// A number in the given format, multiplied by its scale. An empty value or an error yields the
+    /// minimum.
     pub fn number(
         &mut self,
         location: (&str, &str),
@@ -104,8 +104,8 @@
         }
     }
 
-    /// The value whose name is given; any other text is an error. The first value is returned after
-    /// an error.
+    /// The choice with the given name; an unknown name is an error. An empty value or an error
+    /// yields the first choice.
     pub fn choice<T: Copy>(
         &mut self,
         location: (&str, &str),
@@ -140,7 +140,8 @@
         text
     }
 
-    /// A secret of at least `min_bytes` bytes. Error messages never contain its value.
+    /// A secret of at least `min_bytes` bytes; an empty value passes. Error messages never contain
+    /// the secret.
     pub fn secret(&mut self, section: &str, key: &str, min_bytes: usize) -> String {
         let text = self.text(section, key, None);
         if !text.is_empty() && text.len() < min_bytes {
