--- a/components/client/src/call_once.rs
+++ b/components/client/src/call_once.rs
@@ -1,50 +1,60 @@
-//! Calls that must run at most once.
+//! Calls that must run at most once, retried under an idempotency key.
 
 use errors::{Kind, MaybeRun, Problem};
 
-use crate::client::{Client, MAX_TRIES};
+use crate::client::{Client, MAX_ATTEMPTS};
 use crate::error::ClientError;
 
-/// How a call ended.
+/// Answer of the service to a call.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Outcome {
-    /// Status of the service.
+pub struct ServiceAnswer {
+    /// HTTP status code.
     pub status: u16,
-    /// Body of the service.
+    /// Body of the answer.
     pub body: String,
 }
 
 impl Client {
-    /// Makes a call of a plain service that must run at most once. The same idempotency key goes
-    /// with every try, so that a try whose answer was lost is answered from the first outcome.
-    pub fn call_once(&self, path: &str, key: &str, body: &str) -> Result<Outcome, ClientError> {
-        let mut last = None;
-        for tries in 1..=MAX_TRIES {
-            match self.try_once(path, key, body) {
+    /// Calls a service with `POST`; the call runs at most once. Every attempt carries the same
+    /// idempotency key, so an attempt after a lost answer gets the stored outcome of the first one.
+    pub fn call_once(
+        &self,
+        path: &str,
+        key: &str,
+        body: &str,
+    ) -> Result<ServiceAnswer, ClientError> {
+        let mut last_problem = None;
+        for attempts in 1..=MAX_ATTEMPTS {
+            match self.attempt_call(path, key, body) {
                 Ok(outcome) => return Ok(outcome),
-                Err(Some(problem)) if !may_retry(&problem) => {
+                Err(Some(problem)) if !can_retry(&problem) => {
                     return Err(ClientError::Refused(problem));
                 }
                 Err(problem) => {
-                    self.turn();
-                    self.pause(tries, problem.as_ref());
-                    last = problem;
+                    self.switch_address();
+                    self.pause(attempts, problem.as_ref());
+                    last_problem = problem;
                 }
             }
         }
-        Err(last.map_or(ClientError::Unreachable, ClientError::Refused))
+        Err(last_problem.map_or(ClientError::Unreachable, ClientError::Refused))
     }
 
-    fn try_once(&self, path: &str, key: &str, body: &str) -> Result<Outcome, Option<Problem>> {
+    fn attempt_call(
+        &self,
+        path: &str,
+        key: &str,
+        body: &str,
+    ) -> Result<ServiceAnswer, Option<Problem>> {
         let request = minreq::post(self.url(path)).with_header("Idempotency-Key", key);
         let request = self.with_credential(request).with_body(body);
         let response = request.send().map_err(|_| None)?;
         let body = response.as_str().unwrap_or_default().to_string();
         match Problem::from_json(&body) {
             Some(problem) => Err(Some(problem)),
-            // minreq's stand-in for a connection that closed without an answer.
+            // minreq reports a connection that closed without an answer as an empty 503.
             None if response.status_code == 503 && body.is_empty() => Err(None),
-            None => Ok(Outcome {
+            None => Ok(ServiceAnswer {
                 status: response.status_code,
                 body,
             }),
@@ -52,9 +62,10 @@
     }
 }
 
-// With the key a second try is always safe; it helps where the first did not run.
-fn may_retry(problem: &Problem) -> bool {
-    let passes = !matches!(
+// The idempotency key makes a retry always safe; it is useful only if the first attempt did not run and
+// the refusal is transient.
+fn can_retry(problem: &Problem) -> bool {
+    let is_transient = !matches!(
         problem.kind,
         Kind::KeyReused
             | Kind::UnknownTeam
@@ -63,5 +74,5 @@
             | Kind::BodyTooLarge
             | Kind::NotFound
     );
-    problem.run == MaybeRun::NotRun && passes
+    problem.run == MaybeRun::NotRun && is_transient
 }
--- a/components/client/src/chat.rs
+++ b/components/client/src/chat.rs
@@ -1,62 +1,63 @@
-//! Streamed chat completions that go on elsewhere when a node dies.
+//! Streamed chat completions, resumed at another node when a node fails.
 
 use std::io::{BufRead, BufReader};
 
 use errors::{Kind, MaybeRun, Problem};
 use serde_json::Value;
 
-use crate::client::{Client, MAX_TRIES};
+use crate::client::{Client, MAX_ATTEMPTS};
 use crate::error::ClientError;
 
 const PATH: &str = "/v1/chat/completions";
 
-/// A part of an answer.
+/// One event of a streamed answer.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Answer {
-    /// Its place in the answer, from 0.
+pub struct AnswerPart {
+    /// Index of the part in the answer, from 0.
     pub offset: u64,
-    /// Its text.
+    /// Text of the part.
     pub text: String,
 }
 
-/// A streamed completion; iterate to read it.
-pub struct Chat<'a> {
+/// A streamed completion: an iterator over the parts of the answer.
+pub struct ChatStream<'a> {
     client: &'a Client,
     body: Value,
     id: String,
     received: Vec<String>,
     resume: Option<String>,
     lines: Option<BufReader<minreq::ResponseLazy>>,
-    tries: u32,
-    over: bool,
+    attempts: u32,
+    is_finished: bool,
 }
 
 impl Client {
-    /// Starts a completion. `body` is a chat completion request; it is always streamed.
-    pub fn chat(&self, mut body: Value) -> Chat<'_> {
+    /// Prepares a completion; the first call of `next` sends it. `body` is a chat completion request, whose
+    /// `stream` is set to true.
+    pub fn chat(&self, mut body: Value) -> ChatStream<'_> {
         body["stream"] = Value::Bool(true);
-        Chat {
+        ChatStream {
             client: self,
             body,
             id: format!("{:032x}", rand::random::<u128>()),
             received: Vec::new(),
             resume: None,
             lines: None,
-            tries: 0,
-            over: false,
+            attempts: 0,
+            is_finished: false,
         }
     }
 }
 
-enum Read {
-    Part(Answer),
+enum ReadResult {
+    Part(AnswerPart),
     End,
     Refused(Problem),
     Broken,
 }
 
-impl Chat<'_> {
-    /// Id of the request, for `croftpond explain`.
+impl ChatStream<'_> {
+    /// Id of the request, as `croftpond explain` takes it.
     pub fn id(&self) -> &str {
         &self.id
     }
@@ -84,33 +85,33 @@
         Err(Problem::from_json(&text))
     }
 
-    fn read(&mut self) -> Read {
+    fn read(&mut self) -> ReadResult {
         let Some(lines) = &mut self.lines else {
-            return Read::Broken;
+            return ReadResult::Broken;
         };
         let mut line = String::new();
         loop {
             line.clear();
             if !matches!(lines.read_line(&mut line), Ok(n) if n > 0) {
-                return Read::Broken;
+                return ReadResult::Broken;
             }
             let Some(data) = line.trim_end().strip_prefix("data: ") else {
                 continue;
             };
             if data == "[DONE]" {
-                return Read::End;
+                return ReadResult::End;
             }
             if let Some(problem) = Problem::from_json(data) {
-                return Read::Refused(problem);
+                return ReadResult::Refused(problem);
             }
-            if let Some(part) = self.take(data) {
-                return Read::Part(part);
+            if let Some(part) = self.parse_event(data) {
+                return ReadResult::Part(part);
             }
             return self.read();
         }
     }
 
-    fn take(&mut self, data: &str) -> Option<Answer> {
+    fn parse_event(&mut self, data: &str) -> Option<AnswerPart> {
         let event: Value = serde_json::from_str(data).ok()?;
         let text = event["choices"][0]["delta"]["content"]
             .as_str()?
@@ -121,14 +122,14 @@
         }
         self.resume = event["croftpond"]["resume"].as_str().map(str::to_string);
         self.received.push(text.clone());
-        self.tries = 0;
-        Some(Answer { offset, text })
+        self.attempts = 0;
+        Some(AnswerPart { offset, text })
     }
 
-    // Whether another try can bring the answer.
-    fn may_go_on(&self, problem: Option<&Problem>) -> bool {
-        let lasting = problem.is_some_and(|p| {
-            let passes = matches!(
+    // Whether another attempt can complete the answer.
+    fn can_retry(&self, problem: Option<&Problem>) -> bool {
+        let is_permanent = problem.is_some_and(|p| {
+            let is_transient = matches!(
                 p.kind,
                 Kind::Stopping
                     | Kind::TooManyRequests
@@ -137,45 +138,45 @@
                     | Kind::TeamLimit
                     | Kind::EndpointFailed
             );
-            !passes || (p.run == MaybeRun::Unknown && p.kind == Kind::DeadlinePassed)
+            !is_transient || (p.run == MaybeRun::Unknown && p.kind == Kind::DeadlinePassed)
         });
-        self.tries < MAX_TRIES && !lasting
+        self.attempts < MAX_ATTEMPTS && !is_permanent
     }
 
-    fn fail(&mut self, problem: Option<Problem>) -> Option<ClientError> {
+    fn record_failure(&mut self, problem: Option<Problem>) -> Option<ClientError> {
         self.lines = None;
-        self.tries += 1;
-        if self.may_go_on(problem.as_ref()) {
-            self.client.turn();
-            self.client.pause(self.tries, problem.as_ref());
+        self.attempts += 1;
+        if self.can_retry(problem.as_ref()) {
+            self.client.switch_address();
+            self.client.pause(self.attempts, problem.as_ref());
             return None;
         }
-        self.over = true;
+        self.is_finished = true;
         Some(problem.map_or(ClientError::Unreachable, ClientError::Refused))
     }
 }
 
-impl Iterator for Chat<'_> {
-    type Item = Result<Answer, ClientError>;
+impl Iterator for ChatStream<'_> {
+    type Item = Result<AnswerPart, ClientError>;
 
     fn next(&mut self) -> Option<Self::Item> {
-        while !self.over {
+        while !self.is_finished {
             if self.lines.is_none() {
                 if let Err(problem) = self.connect() {
-                    if let Some(error) = self.fail(problem) {
+                    if let Some(error) = self.record_failure(problem) {
                         return Some(Err(error));
                     }
                     continue;
                 }
             }
             let failed = match self.read() {
-                Read::Part(part) => return Some(Ok(part)),
-                Read::End => {
-                    self.over = true;
+                ReadResult::Part(part) => return Some(Ok(part)),
+                ReadResult::End => {
+                    self.is_finished = true;
                     return None;
                 }
-                Read::Refused(problem) => self.fail(Some(problem)),
-                Read::Broken => self.fail(None),
+                ReadResult::Refused(problem) => self.record_failure(Some(problem)),
+                ReadResult::Broken => self.record_failure(None),
             };
             if let Some(error) = failed {
                 return Some(Err(error));
--- a/components/client/src/client.rs
+++ b/components/client/src/client.rs
@@ -1,4 +1,4 @@
-//! The client and what its calls share.
+//! The client: node addresses, credential and retry pauses.
 
 use std::sync::atomic::{AtomicUsize, Ordering};
 use std::thread;
@@ -6,13 +6,13 @@
 
 use errors::Problem;
 
-/// Tries of one call without any progress before it is given up.
-pub(crate) const MAX_TRIES: u32 = 8;
-/// Pause after a node that did not answer; it doubles with each one.
-const FIRST_PAUSE: Duration = Duration::from_millis(50);
+/// Maximum number of consecutive attempts of a call without progress.
+pub(crate) const MAX_ATTEMPTS: u32 = 8;
+/// Base of the exponential retry pause; it doubles with each failed attempt.
+const BASE_PAUSE: Duration = Duration::from_millis(50);
 const MAX_PAUSE: Duration = Duration::from_secs(2);
 
-/// A client of some nodes, or of the balancer before them.
+/// A client of several nodes, or of a load balancer in front of them.
 #[derive(Debug)]
 pub struct Client {
     addresses: Vec<String>,
@@ -21,7 +21,8 @@
 }
 
 impl Client {
-    /// A client that presents a team's credential at these addresses, IP:PORT, in turn.
+    /// Creates a client that sends a team's credential. `addresses` are `IP:PORT`; after a failed
+    /// attempt the client switches to the next one, in a ring.
     pub fn new(addresses: Vec<String>, credential: &str) -> Self {
         Client {
             addresses,
@@ -30,31 +31,32 @@
         }
     }
 
-    /// The URL of a path at the address whose turn it is.
+    /// URL of a path at the current address.
     pub(crate) fn url(&self, path: &str) -> String {
-        let turn = self.next.load(Ordering::Relaxed);
-        let address = self.addresses.get(turn % self.addresses.len().max(1));
+        let index = self.next.load(Ordering::Relaxed);
+        let address = self.addresses.get(index % self.addresses.len().max(1));
         format!("http://{}{path}", address.map_or("", String::as_str))
     }
 
-    /// Goes on to the next address.
-    pub(crate) fn turn(&self) {
+    /// Switches to the next address.
+    pub(crate) fn switch_address(&self) {
         self.next.fetch_add(1, Ordering::Relaxed);
     }
 
-    /// A request with the credential.
+    /// Adds the credential to a request.
     pub(crate) fn with_credential(&self, request: minreq::Request) -> minreq::Request {
         request.with_header("Authorization", format!("Bearer {}", self.credential))
     }
 
-    /// Waits before try number `tries`, as long as the answer asked for or a growing pause.
-    pub(crate) fn pause(&self, tries: u32, answer: Option<&Problem>) {
-        let asked = answer
+    /// Blocks before the next attempt, after `attempts` failed ones: for `retry_after_ms` of the answer if it
+    /// has one, otherwise for an exponentially growing pause; plus jitter.
+    pub(crate) fn pause(&self, attempts: u32, answer: Option<&Problem>) {
+        let requested = answer
             .and_then(|p| p.retry_after_ms)
             .map(Duration::from_millis);
-        let own = (FIRST_PAUSE * (1 << tries.min(6))).min(MAX_PAUSE);
-        let pause = asked.unwrap_or(own);
-        // Jitter of half a pause keeps callers of a lost node from coming back at once.
+        let backoff = (BASE_PAUSE * (1 << attempts.min(6))).min(MAX_PAUSE);
+        let pause = requested.unwrap_or(backoff);
+        // Jitter of up to half a pause keeps callers of a failed node from retrying at the same time.
         thread::sleep(pause + pause * rand::random_range(0..500) / 1000);
     }
 }
--- a/components/client/src/error.rs
+++ b/components/client/src/error.rs
@@ -1,17 +1,17 @@
-//! Why a call ended without its answer.
+//! Errors of client calls.
 
 use std::fmt;
 
 use errors::Problem;
 
-/// A call that ended without its answer.
+/// Error of a call that ended without a complete answer.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum ClientError {
-    /// croftpond refused or failed it, and says why.
+    /// croftpond refused the request or failed to complete it; the problem holds the cause.
     Refused(Problem),
-    /// No node answered in the tries allowed.
+    /// No node answered within the allowed attempts.
     Unreachable,
-    /// The answer is not what the interface describes.
+    /// The answer does not follow the interface.
     Malformed,
 }
 
