--- a/components/gateway/src/answer_notices.rs
+++ b/components/gateway/src/answer_notices.rs
@@ -109,7 +109,7 @@
     }
 
     fn apply_leaving(&self, job: &Job, placement: &Placement) {
-        self.metrics.count(Counter::LeavingSaid);
+        self.metrics.count(Counter::LeavingAnnounced);
         let mut state = self.state.borrow_mut();
         state.pool.drop_idle(&placement.endpoint);
         let notices = state.balancer.notices_mut();
@@ -131,7 +131,7 @@
             ReportedLimit::OtherProcess => return,
             ReportedLimit::NoLimit => None,
             ReportedLimit::Limit(rate) => {
-                self.metrics.count(Counter::LimitNamed);
+                self.metrics.count(Counter::LimitReported);
                 info!(self.log, "endpoint names a limit"; "id" => id, "endpoint" => endpoint,
                     "per_s" => rate.per_s());
                 Some(rate)
@@ -158,7 +158,7 @@
     }
 
     fn apply_pause(&self, job: &Job, placement: &Placement, pause: Duration) {
-        self.metrics.count(Counter::PauseAsked);
+        self.metrics.count(Counter::PauseRequested);
         info!(self.log, "endpoint asks for a pause"; "id" => &job.head.id,
             "endpoint" => &placement.endpoint, "pause_ms" => pause.as_millis() as u64);
         let now = self.clock.now();
--- a/components/gateway/src/control.rs
+++ b/components/gateway/src/control.rs
@@ -255,7 +255,7 @@
         let look = self.state.borrow_mut().day.observe_reading(now, reading_us);
         self.clock.set_wall_offset(look.estimated_us);
         if let Some(jumped_us) = look.jumped_us {
-            self.metrics.count(Counter::DayJumps);
+            self.metrics.count(Counter::WallClockJumps);
             let believed_ms = (reading_us - look.estimated_us) / 1000;
             warn!(self.log, "the clock of the day jumped"; "ms" => jumped_us / 1000,
                 "away_from_belief_ms" => believed_ms);
--- a/components/gateway/src/control/exchange.rs
+++ b/components/gateway/src/control/exchange.rs
@@ -233,7 +233,7 @@
         if gossip.gateway == self.source.gateway {
             return;
         }
-        self.metrics.count(Counter::PacketsTaken);
+        self.metrics.count(Counter::PacketsReceived);
         let now = self.clock.now();
         let mut state = self.state.borrow_mut();
         let was_alive = state.peers.is_alive(now, &gossip.gateway);
--- a/components/gateway/src/control/rows.rs
+++ b/components/gateway/src/control/rows.rs
@@ -153,7 +153,7 @@
             Err(fault) => {
                 // Another writer may have written the row. It describes no endpoint, so the one that it
                 // described before is dropped too.
-                self.metrics.count(Counter::EntriesPassedOver);
+                self.metrics.count(Counter::EntriesSkipped);
                 warn!(self.log, "entry passed over"; "endpoint" => &change.key,
                     "revision" => change.revision.number, "cause" => fault.0);
                 self.drop_endpoint(&change.key, era);
--- a/components/gateway/src/control/scaling.rs
+++ b/components/gateway/src/control/scaling.rs
@@ -139,7 +139,7 @@
             match region_load.load.endpoints_needed() {
                 Some(needed) => scaler.observe_as_of(now, as_of, &region_load.held, needed),
                 None => {
-                    self.metrics.count(Counter::PlansUnknown);
+                    self.metrics.count(Counter::PlansUnknownCapacity);
                     scaler.observe_unknown_load(as_of, &region_load.held);
                 }
             }
--- a/components/gateway/src/control/store_metrics.rs
+++ b/components/gateway/src/control/store_metrics.rs
@@ -13,7 +13,7 @@
     /// Logs and counts the read of a whole topic, or of its part for one data hall.
     pub fn record_list(&self, topic: Topic, sent: Duration, list: &ReadList) {
         let took = self.clock.now().saturating_sub(sent);
-        self.metrics.add(Counter::StoreRepeats, list.retries.into());
+        self.metrics.add(Counter::StoreRetries, list.retries.into());
         info!(self.log, "topic read from the store"; "topic" => ?topic,
             "rows" => list.rows.rows.len(), "bytes" => list.rows.bytes,
             "revision" => list.rows.revision.number, "era" => self.store.era().newest,
--- a/components/gateway/src/handler.rs
+++ b/components/gateway/src/handler.rs
@@ -171,7 +171,7 @@
 
     fn log_answer(&self, job: &Job, answer: &Answer) {
         let elapsed = self.clock.now().saturating_sub(job.arrived);
-        self.metrics.time(Timer::FirstToken, elapsed);
+        self.metrics.record_duration(Timer::FirstToken, elapsed);
         self.metrics.count(Counter::Done);
         info!(self.log, "answered"; "id" => &job.head.id, "route" => &job.route.name,
             "status" => answer.status().as_u16(), "ms" => elapsed.as_millis() as u64,
--- a/components/gateway/src/interrupted.rs
+++ b/components/gateway/src/interrupted.rs
@@ -69,7 +69,7 @@
 impl<D> Traffic<D> {
     /// Records that an endpoint's process with this incarnation has ended, as its record shows.
     pub fn record_restart(&self, now: Duration, incarnation: u64) {
-        self.metrics.count(Counter::Restarts);
+        self.metrics.count(Counter::EndpointRestarts);
         self.endpoint_restarted.notify_waiters();
         let contents = self.state.borrow_mut().cuts.remove(now, incarnation);
         for content in contents {
--- a/components/gateway/src/memory_manager.rs
+++ b/components/gateway/src/memory_manager.rs
@@ -236,7 +236,7 @@
             return;
         };
         let delivery = caller.delivery(now);
-        self.metrics.count(Counter::MemoryCut);
+        self.metrics.count(Counter::MemoryInterruptions);
         warn!(self.log, "answer cut off"; "id" => caller.request_id(),
             "cause" => "the caller reads too slowly and others need its memory",
             "held" => delivery.held, "stalled_ms" => delivery.stalled.as_millis() as u64,
--- a/components/gateway/src/server.rs
+++ b/components/gateway/src/server.rs
@@ -187,7 +187,7 @@
     }
     if caller.is_stalled_past_deadline(now, idle_timeout) {
         let delivery = caller.delivery(now);
-        traffic.metrics.count(Counter::UntakenAnswers);
+        traffic.metrics.count(Counter::UnreadAnswers);
         info!(traffic.log, "answer cut off"; "id" => caller.request_id(),
             "cause" => "the caller takes nothing and its time is over", "held" => delivery.held,
             "stalled_ms" => delivery.stalled.as_millis() as u64);
@@ -264,7 +264,7 @@
 /// Serves the metrics as text.
 pub(crate) async fn serve_metrics(metrics: Arc<Metrics>, listener: TcpListener) {
     simple_http::serve(listener, move |_| {
-        let text = metrics.text();
+        let text = metrics.to_text();
         std::future::ready(simple_http::answer(StatusCode::OK, text.into()))
     })
     .await;
--- a/components/gateway/src/traffic.rs
+++ b/components/gateway/src/traffic.rs
@@ -98,7 +98,7 @@
         match update {
             Update::Configuration(configuration) => {
                 info!(self.log, "configuration in force"; "version" => configuration.version);
-                self.metrics.count(Counter::Applied);
+                self.metrics.count(Counter::ConfigurationsApplied);
                 state.configure(now, configuration);
             }
             Update::Confirmed(at) => self.freshness.confirm(at),
@@ -244,7 +244,7 @@
         let allowed = budget.try_spend(now, gateways);
         self.metrics.count(match allowed {
             true => Counter::Retries,
-            false => Counter::RetryBudget,
+            false => Counter::RetryBudgetExhausted,
         });
         allowed
     }
--- a/components/node/src/attempt.rs
+++ b/components/node/src/attempt.rs
@@ -8,7 +8,7 @@
 use fleet::Move;
 use flume::Sender;
 use state::Reply;
-use telemetry::Hop;
+use telemetry::RequestSpan;
 use transport::{call_service, AttemptEnd, Generate, Piece, ServiceCall, ServiceReply};
 
 use crate::shared::Shared;
@@ -78,14 +78,14 @@
     pub heard: Duration,
     cancelled: Arc<AtomicBool>,
     // Ends with the attempt.
-    span: Hop,
+    span: RequestSpan,
 }
 
 impl Attempt {
     /// An attempt that is about to be sent, as a hop of its request.
-    pub fn new(endpoint: String, address: String, now: Duration, hop: &Hop) -> Self {
+    pub fn new(endpoint: String, address: String, now: Duration, hop: &RequestSpan) -> Self {
         let span = hop.child("attempt");
-        span.set("endpoint", endpoint.clone());
+        span.set_attribute("endpoint", endpoint.clone());
         Attempt {
             endpoint,
             address,
--- a/components/node/src/caller.rs
+++ b/components/node/src/caller.rs
@@ -113,9 +113,9 @@
     };
     let hop = shared
         .traces
-        .enter("request", traceparent(&request).as_deref());
-    hop.set("request", call.id.clone());
-    hop.set("team", call.team.name.clone());
+        .start_request("request", traceparent(&request).as_deref());
+    hop.set_attribute("request", call.id.clone());
+    hop.set_attribute("team", call.team.name.clone());
     if request.url() != CHAT_PATH {
         return serve_service(shared, request, body, call, hop);
     }
--- a/components/node/src/chat.rs
+++ b/components/node/src/chat.rs
@@ -6,7 +6,7 @@
 use provider::body_hash;
 use schema::messages::ResumeToken;
 use schema::settings::Team;
-use telemetry::{Counter, Hop};
+use telemetry::{Counter, RequestSpan};
 use tiny_http::Request;
 use transport::ChatRequest;
 
@@ -20,7 +20,13 @@
 const MAX_TOKENS: u32 = 16_384;
 
 /// Serves one chat completion to its end.
-pub fn serve_chat(shared: &Arc<Shared>, request: Request, body: &str, call: Call, hop: Hop) {
+pub fn serve_chat(
+    shared: &Arc<Shared>,
+    request: Request,
+    body: &str,
+    call: Call,
+    hop: RequestSpan,
+) {
     let chat = match parse(body) {
         Ok(chat) => chat,
         Err(problem) => return send_problem(request, &problem.with_request(&call.id)),
--- a/components/node/src/chat_run.rs
+++ b/components/node/src/chat_run.rs
@@ -13,7 +13,7 @@
 use routing::Prompt;
 use schema::settings::{Pool, Priority};
 use session::{Action, Cause, Event, Failure, Outcome, Session, Terms};
-use telemetry::{Counter, Hop};
+use telemetry::{Counter, RequestSpan};
 use tiny_http::Request;
 use transport::{AttemptEnd, ChatRequest, Piece};
 
@@ -171,7 +171,7 @@
     }
 
     /// Runs to the end and answers the caller.
-    pub fn serve(&mut self, request: Request, hop: &Hop) {
+    pub fn serve(&mut self, request: Request, hop: &RequestSpan) {
         self.output = Output::Waiting(request);
         self.step(hop, Event::Start);
         while self.outcome.is_none() {
@@ -181,7 +181,7 @@
     }
 
     // Waits for the next event or timer and handles it.
-    fn turn(&mut self, hop: &Hop) {
+    fn turn(&mut self, hop: &RequestSpan) {
         let now = self.shared.now();
         let wait = self.next_timer().saturating_sub(now);
         match self.receiver.recv_timeout(wait) {
@@ -202,7 +202,7 @@
         times.min().unwrap_or(heartbeat).min(self.call.deadline)
     }
 
-    fn take_timers(&mut self, hop: &Hop) {
+    fn take_timers(&mut self, hop: &RequestSpan) {
         let now = self.shared.now();
         self.send_due(hop, now);
         if self.hedge_at.is_some_and(|at| now >= at) {
@@ -227,7 +227,7 @@
         self.step(hop, Event::Tick);
     }
 
-    fn heartbeat(&mut self, hop: &Hop, now: Duration) {
+    fn heartbeat(&mut self, hop: &RequestSpan, now: Duration) {
         self.last_output = now;
         for attempt in self.attempts.values_mut().filter(|a| a.stream.is_none()) {
             attempt.heard = now;
@@ -237,7 +237,7 @@
         }
     }
 
-    fn take(&mut self, hop: &Hop, event: RunEvent) {
+    fn take(&mut self, hop: &RequestSpan, event: RunEvent) {
         match event {
             RunEvent::Piece { attempt, piece } => self.take_piece(hop, attempt, piece),
             RunEvent::Ended { attempt, end } => self.fail(hop, attempt, end),
@@ -248,7 +248,7 @@
         }
     }
 
-    fn take_piece(&mut self, hop: &Hop, attempt: u32, piece: Piece) {
+    fn take_piece(&mut self, hop: &RequestSpan, attempt: u32, piece: Piece) {
         let now = self.shared.now();
         let Some(known) = self.attempts.get_mut(&attempt) else {
             return;
@@ -274,7 +274,7 @@
     }
 
     // An attempt's thread ends after its last piece; what is missing then will not come.
-    fn fail(&mut self, hop: &Hop, attempt: u32, end: AttemptEnd) {
+    fn fail(&mut self, hop: &RequestSpan, attempt: u32, end: AttemptEnd) {
         let Some(known) = self.attempts.remove(&attempt) else {
             return;
         };
@@ -301,7 +301,7 @@
         self.step(hop, Event::Failed { attempt, failure });
     }
 
-    fn relocate(&mut self, hop: &Hop, attempt: u32, plan: Move) {
+    fn relocate(&mut self, hop: &RequestSpan, attempt: u32, plan: Move) {
         let Some(known) = self.attempts.get(&attempt) else {
             return;
         };
@@ -333,11 +333,11 @@
     }
 
     // A batch stream makes room: it stops, waits at the gate again and goes on where it was.
-    fn make_room(&mut self, hop: &Hop, attempt: u32) {
+    fn make_room(&mut self, hop: &RequestSpan, attempt: u32) {
         if !self.attempts.contains_key(&attempt) || self.call.priority != Priority::BATCH {
             return;
         }
-        self.shared.metrics.count(Counter::Yields);
+        self.shared.metrics.count(Counter::Preemptions);
         record(
             self.shared,
             &self.call,
@@ -349,7 +349,7 @@
         self.step(hop, Event::Move { attempt });
     }
 
-    fn readmitted(&mut self, hop: &Hop) {
+    fn readmitted(&mut self, hop: &RequestSpan) {
         let now = self.shared.now();
         self.yielding = false;
         for pending in &mut self.pending {
@@ -358,7 +358,7 @@
         self.send_due(hop, now);
     }
 
-    fn step(&mut self, hop: &Hop, event: Event<String>) {
+    fn step(&mut self, hop: &RequestSpan, event: Event<String>) {
         let now = self.shared.now();
         let mut actions: Vec<Action<String>> = self.session.step(now, event);
         actions.reverse();
--- a/components/node/src/chat_run/answer.rs
+++ b/components/node/src/chat_run/answer.rs
@@ -24,7 +24,7 @@
             self.first_token = true;
             self.shared
                 .metrics
-                .time(Timer::FirstToken, now - self.call.arrived);
+                .record_duration(Timer::FirstToken, now - self.call.arrived);
             if let Some(known) = self.attempts.get(&attempt) {
                 self.shared.traffic().router.answered(&known.endpoint);
             }
@@ -75,7 +75,7 @@
         );
         self.shared
             .metrics
-            .time(Timer::Whole, now - self.call.arrived);
+            .record_duration(Timer::RequestTotal, now - self.call.arrived);
         let output = std::mem::replace(&mut self.output, Output::Gone);
         match outcome {
             Outcome::Done { total } => {
--- a/components/node/src/chat_run/dispatch.rs
+++ b/components/node/src/chat_run/dispatch.rs
@@ -8,7 +8,7 @@
 use routing::{Decision, RoutingRequest};
 use schema::settings::Priority;
 use session::{Cause, Event};
-use telemetry::{Counter, Hop, Timer};
+use telemetry::{Counter, RequestSpan, Timer};
 use transport::Generate;
 
 use super::{ChatRun, Pending, Planned, DEFAULT_TOKENS, HEDGE_TARGETS, LOOK_AGAIN};
@@ -17,7 +17,7 @@
 use crate::traffic::Live;
 
 impl ChatRun<'_> {
-    pub(super) fn send_due(&mut self, hop: &Hop, now: Duration) {
+    pub(super) fn send_due(&mut self, hop: &RequestSpan, now: Duration) {
         let due = |p: &Pending| p.not_before <= now;
         while let Some(at) = self.pending.iter().position(due) {
             let pending = self.pending.remove(at);
@@ -28,10 +28,10 @@
         }
     }
 
-    pub(super) fn send(&mut self, hop: &Hop, pending: Pending) {
+    pub(super) fn send(&mut self, hop: &RequestSpan, pending: Pending) {
         let now = self.shared.now();
         if pending.cause == Cause::Retry && !self.shared.traffic().may_retry() {
-            self.shared.metrics.count(Counter::RetryBudget);
+            self.shared.metrics.count(Counter::RetryBudgetExhausted);
             let attempt = pending.attempt;
             return self.step(hop, Event::NoEndpoint { attempt });
         }
@@ -90,7 +90,7 @@
         drop(traffic);
         self.shared
             .metrics
-            .time(Timer::Decision, self.shared.now() - started);
+            .record_duration(Timer::Decision, self.shared.now() - started);
         self.note(&decision);
         Some((decision.chosen.endpoint, address))
     }
@@ -115,7 +115,7 @@
 
     pub(super) fn dispatch(
         &mut self,
-        hop: &Hop,
+        hop: &RequestSpan,
         pending: &Pending,
         endpoint: String,
         address: String,
@@ -205,7 +205,7 @@
 
     // A request that was accepted and has begun looks again until its deadline; one that has not
     // begun is refused at once.
-    pub(super) fn without_endpoint(&mut self, hop: &Hop, pending: Pending, now: Duration) {
+    pub(super) fn without_endpoint(&mut self, hop: &RequestSpan, pending: Pending, now: Duration) {
         if pending.cause == Cause::First {
             let attempt = pending.attempt;
             return self.step(hop, Event::NoEndpoint { attempt });
--- a/components/node/src/control.rs
+++ b/components/node/src/control.rs
@@ -9,7 +9,7 @@
 use control::{Action, Core, CoreTerms, Event, TeamLimit};
 use flume::{Receiver, RecvTimeoutError, Sender};
 use membership::{Contact, EndpointSpec, NodeIdentity};
-use provider::{body_hash, Notice};
+use provider::{body_hash, ReclaimNotice};
 use rand::SeedableRng;
 use rand_chacha::ChaCha8Rng;
 use routing::{CacheEvent, CacheUpdate, Reading};
@@ -38,7 +38,7 @@
     /// Something for the control state.
     Core(Event),
     /// The cloud answered with notices, or did not answer.
-    Notices(Option<Vec<Notice>>),
+    Notices(Option<Vec<ReclaimNotice>>),
     /// The cloud answered with its list, or did not answer.
     Listed(Option<Vec<Contact>>),
     /// An engine reported changes of its cache.
@@ -185,7 +185,7 @@
         }
     }
 
-    fn take_notices(&mut self, notices: Option<Vec<Notice>>) {
+    fn take_notices(&mut self, notices: Option<Vec<ReclaimNotice>>) {
         self.core.gate().note(notices.is_some());
         for notice in notices.into_iter().flatten() {
             if notice.sequence <= self.last_notice {
@@ -400,7 +400,7 @@
         let now = self.shared.now();
         self.shared.traffic().configure(now, &configuration);
         info!(self.shared.log, "configuration in force"; "version" => version.number);
-        self.shared.metrics.count(Counter::Applied);
+        self.shared.metrics.count(Counter::ConfigurationsApplied);
         let event = self.configured(&configuration);
         self.shared.snapshot.store(Arc::new(Snapshot {
             version,
--- a/components/node/src/node.rs
+++ b/components/node/src/node.rs
@@ -9,10 +9,10 @@
 
 use error_stack::{Report, ResultExt};
 use flume::{Receiver, Sender};
-use provider::{Cloud, HttpCloud, HttpObjects, HttpTable, Objects, Table};
+use provider::{Cloud, HttpCloud, HttpObjectStore, HttpTable, ObjectStore, Table};
 use schema::settings::NodeSettings;
 use slog::{info, Logger};
-use telemetry::{Metrics, Traces};
+use telemetry::{Metrics, RequestTracer};
 use transport::{bind_bodies, bind_http, Bounds, Engine, HttpEngine};
 
 use crate::caller::accept;
@@ -47,7 +47,7 @@
     /// Transactional table.
     pub table: Box<dyn Table>,
     /// Object store.
-    pub objects: Box<dyn Objects>,
+    pub objects: Box<dyn ObjectStore>,
     /// Cloud API.
     pub cloud: Box<dyn Cloud>,
 }
@@ -58,7 +58,7 @@
         Platform {
             engine: Box::new(HttpEngine),
             table: Box::new(HttpTable::new(&settings.table_url)),
-            objects: Box::new(HttpObjects::new(&settings.objects_url)),
+            objects: Box::new(HttpObjectStore::new(&settings.objects_url)),
             cloud: Box::new(HttpCloud::new(&settings.cloud_url)),
         }
     }
@@ -162,7 +162,7 @@
 
     /// What was counted, by name.
     pub fn counters(&self) -> BTreeMap<&'static str, u64> {
-        self.shared.metrics.all()
+        self.shared.metrics.counters_by_name()
     }
 
     /// Starts a planned stop: readiness fails, nothing new is taken, what runs goes on.
@@ -261,7 +261,7 @@
     let metrics = Metrics::new(settings.statsd.parse().ok())
         .change_context(NodeError)
         .attach_with(|| format!("statsd = {}", settings.statsd))?;
-    let traces = Traces::new(&settings.trace_file)
+    let traces = RequestTracer::new(&settings.trace_file)
         .change_context(NodeError)
         .attach_with(|| format!("trace_file = {}", settings.trace_file))?;
     Ok(Shared::new(Parts {
--- a/components/node/src/peers.rs
+++ b/components/node/src/peers.rs
@@ -31,7 +31,7 @@
                 continue;
             }
         };
-        shared.metrics.count(Counter::PacketsTaken);
+        shared.metrics.count(Counter::PacketsReceived);
         let _ = shared.control.send(ControlEvent::Core(event));
     }
 }
--- a/components/node/src/service.rs
+++ b/components/node/src/service.rs
@@ -10,7 +10,7 @@
 use schema::settings::Pool;
 use session::{Action, Event, Failure, Outcome, Session, Terms};
 use state::{Claim, ClaimAction, ClaimEvent, ClaimRequest, StoredOutcome, TableCall};
-use telemetry::{Counter, Hop, Timer};
+use telemetry::{Counter, RequestSpan, Timer};
 use tiny_http::Request;
 use transport::{AttemptEnd, ServiceCall, ServiceReply};
 
@@ -31,7 +31,13 @@
 const CALL_COST_MILLI: u64 = 0;
 
 /// Serves one service call to its end.
-pub fn serve_service(shared: &Arc<Shared>, request: Request, body: Vec<u8>, call: Call, hop: Hop) {
+pub fn serve_service(
+    shared: &Arc<Shared>,
+    request: Request,
+    body: Vec<u8>,
+    call: Call,
+    hop: RequestSpan,
+) {
     let snapshot = shared.snapshot.load_full();
     let path = request.url().to_string();
     let Some(pool) = snapshot.service_pool(&call.team, &path).cloned() else {
@@ -142,7 +148,7 @@
         }
     }
 
-    fn serve(mut self, request: Request, hop: &Hop) {
+    fn serve(mut self, request: Request, hop: &RequestSpan) {
         self.start(hop);
         while self.answer.is_none() {
             self.turn(hop);
@@ -161,7 +167,7 @@
         }
     }
 
-    fn start(&mut self, hop: &Hop) {
+    fn start(&mut self, hop: &RequestSpan) {
         let Some(key) = self.call.idempotency_key.clone() else {
             return self.step(hop, Event::Start);
         };
@@ -187,7 +193,7 @@
         ))
     }
 
-    fn turn(&mut self, hop: &Hop) {
+    fn turn(&mut self, hop: &RequestSpan) {
         let now = self.shared.now();
         let due = self.due.iter().map(|(at, _)| *at);
         let waiting = self.answer.is_none().then_some(self.call.deadline);
@@ -201,7 +207,7 @@
         }
     }
 
-    fn take_timers(&mut self, hop: &Hop) {
+    fn take_timers(&mut self, hop: &RequestSpan) {
         let now = self.shared.now();
         let deadline = now >= self.call.deadline && self.answer.is_none();
         if deadline || self.claim_wake.is_some_and(|at| now >= at) {
@@ -214,7 +220,7 @@
         }
     }
 
-    fn take(&mut self, hop: &Hop, event: RunEvent) {
+    fn take(&mut self, hop: &RequestSpan, event: RunEvent) {
         match event {
             RunEvent::Answered { attempt, reply } => {
                 self.settle();
@@ -246,7 +252,7 @@
         Some(attempt)
     }
 
-    fn fail(&mut self, hop: &Hop, number: u32, end: AttemptEnd) {
+    fn fail(&mut self, hop: &RequestSpan, number: u32, end: AttemptEnd) {
         if let Some(attempt) = self.settle() {
             let now = self.shared.now();
             self.shared.traffic().router.failed(now, &attempt.endpoint);
@@ -272,7 +278,7 @@
         );
     }
 
-    fn step(&mut self, hop: &Hop, event: Event<ServiceReply>) {
+    fn step(&mut self, hop: &RequestSpan, event: Event<ServiceReply>) {
         self.started = true;
         let now = self.shared.now();
         for action in self.session.step(now, event) {
@@ -290,16 +296,16 @@
         self.send_due(hop, now);
     }
 
-    fn send_due(&mut self, hop: &Hop, now: Duration) {
+    fn send_due(&mut self, hop: &RequestSpan, now: Duration) {
         while let Some(at) = self.due.iter().position(|(at, _)| *at <= now) {
             let (_, attempt) = self.due.remove(at);
             self.send(hop, attempt, now);
         }
     }
 
-    fn send(&mut self, hop: &Hop, number: u32, now: Duration) {
+    fn send(&mut self, hop: &RequestSpan, number: u32, now: Duration) {
         if number > 1 && !self.shared.traffic().may_retry() {
-            self.shared.metrics.count(Counter::RetryBudget);
+            self.shared.metrics.count(Counter::RetryBudgetExhausted);
             return self.step(hop, Event::NoEndpoint { attempt: number });
         }
         let Some((endpoint, address)) = self.choose(now) else {
@@ -328,7 +334,7 @@
         Some((chosen, address))
     }
 
-    fn finish(&mut self, hop: &Hop, outcome: Outcome) {
+    fn finish(&mut self, hop: &RequestSpan, outcome: Outcome) {
         record(
             self.shared,
             &self.call,
@@ -353,13 +359,13 @@
         }
     }
 
-    fn done(&mut self, hop: &Hop, reply: ServiceReply) {
+    fn done(&mut self, hop: &RequestSpan, reply: ServiceReply) {
         self.shared.traffic().succeeded();
         self.claim_event(hop, ClaimEvent::Completed(stored(&reply)));
         self.answer.get_or_insert(Answer::Reply(reply));
     }
 
-    fn failed(&mut self, hop: &Hop, problem: &Problem) {
+    fn failed(&mut self, hop: &RequestSpan, problem: &Problem) {
         let stored = StoredOutcome {
             status: i32::from(Kind::OutcomeUnknown.status()),
             body: unknown().to_json(),
@@ -368,7 +374,7 @@
         self.answer.get_or_insert(Answer::Problem(problem.clone()));
     }
 
-    fn claim_event(&mut self, hop: &Hop, event: ClaimEvent) {
+    fn claim_event(&mut self, hop: &RequestSpan, event: ClaimEvent) {
         let now = self.shared.now();
         let Some(claim) = &mut self.claim else {
             return;
@@ -377,7 +383,7 @@
         self.claim_actions(hop, actions);
     }
 
-    fn claim_actions(&mut self, hop: &Hop, actions: Vec<ClaimAction>) {
+    fn claim_actions(&mut self, hop: &RequestSpan, actions: Vec<ClaimAction>) {
         for action in actions {
             match action {
                 ClaimAction::Call { call, table } => self.call_table(call, table),
@@ -445,7 +451,7 @@
     fn count_answer(&self) {
         let now = self.shared.now();
         let metrics = &self.shared.metrics;
-        metrics.time(Timer::Whole, now - self.call.arrived);
+        metrics.record_duration(Timer::RequestTotal, now - self.call.arrived);
         match &self.answer {
             Some(Answer::Reply(_)) => metrics.count(Counter::Done),
             Some(Answer::Problem(p)) if p.run == errors::MaybeRun::NotRun => {
--- a/components/node/src/shared.rs
+++ b/components/node/src/shared.rs
@@ -7,11 +7,11 @@
 use arc_swap::ArcSwap;
 use control::{Admitted, PlatformGate, CLAIM_PAUSE};
 use flume::Sender;
-use provider::{Cloud, Objects, Table};
+use provider::{Cloud, ObjectStore, Table};
 use schema::settings::NodeSettings;
 use slog::Logger;
 use state::{Reply, TableCall};
-use telemetry::{Counter, Metrics, Traces};
+use telemetry::{Counter, Metrics, RequestTracer};
 use transport::{Engine, Key};
 
 use crate::control::{control_rate, ControlEvent};
@@ -24,11 +24,11 @@
     pub settings: NodeSettings,
     pub resume_key: Key,
     pub metrics: Metrics,
-    pub traces: Traces,
+    pub traces: RequestTracer,
     pub log: Logger,
     pub engine: Box<dyn Engine>,
     pub table: Box<dyn Table>,
-    pub objects: Box<dyn Objects>,
+    pub objects: Box<dyn ObjectStore>,
     pub cloud: Box<dyn Cloud>,
     pub snapshot: ArcSwap<Snapshot>,
     pub records: Mutex<Records>,
@@ -48,11 +48,11 @@
 pub struct Parts {
     pub settings: NodeSettings,
     pub metrics: Metrics,
-    pub traces: Traces,
+    pub traces: RequestTracer,
     pub log: Logger,
     pub engine: Box<dyn Engine>,
     pub table: Box<dyn Table>,
-    pub objects: Box<dyn Objects>,
+    pub objects: Box<dyn ObjectStore>,
     pub cloud: Box<dyn Cloud>,
     pub control: Sender<ControlEvent>,
     pub peer_address: String,
--- a/components/node/src/status.rs
+++ b/components/node/src/status.rs
@@ -78,7 +78,7 @@
         "in_flight": in_flight,
         "cached_blocks_believed": cached_blocks,
         "endpoints": endpoints,
-        "counters": shared.metrics.all(),
+        "counters": shared.metrics.counters_by_name(),
         "control": shared.control_status(),
     })
 }
--- a/components/provider/src/cloud.rs
+++ b/components/provider/src/cloud.rs
@@ -1,32 +1,33 @@
-//! The cloud API: buying and giving back VMs, the lagging list of them, and reclaim notices.
+//! Client of the cloud API, which buys and gives back VMs, lists them, and reports reclaim notices.
 
 use crate::http::send;
-use crate::wire::{Notice, Vm, VmOrder};
+use crate::wire::{ReclaimNotice, Vm, VmOrder};
 
-/// What croftpond asks of the cloud.
+/// Calls to the cloud API.
 pub trait Cloud: Send + Sync {
-    /// The lagging list of VMs, or `None` if no answer came.
+    /// List of VMs, which lags behind the real state; `None` if no readable answer came.
     fn vms(&self) -> Option<Vec<Vm>>;
 
-    /// Notices after a sequence, or `None` if no answer came.
-    fn notices(&self, after: u64) -> Option<Vec<Notice>>;
+    /// Reclaim notices with a sequence above `after`; `None` if no readable answer came.
+    fn notices(&self, after: u64) -> Option<Vec<ReclaimNotice>>;
 
     /// Buys a VM: `Some(true)` if it starts or exists under that name, `Some(false)` if the start
     /// is refused, `None` if no answer came.
     fn buy(&self, order: &VmOrder) -> Option<bool>;
 
-    /// Gives a VM back; giving back one that is gone does nothing. `None` if no answer came.
+    /// Gives a VM back: `Some(true)` if it is given back or already gone, `Some(false)` if the call is
+    /// refused, `None` if no answer came.
     fn give_back(&self, name: &str) -> Option<bool>;
 }
 
-/// The cloud protocol of docs/interfaces.md.
+/// HTTP client of the cloud API; docs/interfaces.md describes the protocol.
 #[derive(Clone, Debug)]
 pub struct HttpCloud {
     url: String,
 }
 
 impl HttpCloud {
-    /// A client of the cloud API at a base URL.
+    /// Creates a client of the cloud API at a base URL.
     pub fn new(url: &str) -> Self {
         HttpCloud {
             url: url.to_string(),
@@ -40,7 +41,7 @@
         serde_json::from_slice(response.as_bytes()).ok()
     }
 
-    fn notices(&self, after: u64) -> Option<Vec<Notice>> {
+    fn notices(&self, after: u64) -> Option<Vec<ReclaimNotice>> {
         let url = format!("{}/notices", self.url);
         let response = send(minreq::get(url).with_param("after", after.to_string()))?;
         serde_json::from_slice(response.as_bytes()).ok()
--- a/components/provider/src/http.rs
+++ b/components/provider/src/http.rs
@@ -1,13 +1,13 @@
-//! Plain JSON calls with a bounded time.
+//! HTTP calls to the platform with a timeout.
 
 use minreq::{Request, Response};
 
-/// Longest time of a call, in seconds; minreq counts whole seconds.
+/// Timeout of a call; minreq takes whole seconds.
 const TIMEOUT_SECS: u64 = 2;
-/// Status of a call that the service's rate limit refused.
-pub(crate) const TOO_MANY: u16 = 429;
+/// Status of a call refused by the rate limit of the platform service.
+pub(crate) const TOO_MANY_REQUESTS: u16 = 429;
 
-/// Sends a request; `None` says that no answer came.
+/// Sends a request; returns `None` if no answer came.
 pub(crate) fn send(request: Request) -> Option<Response> {
     let request = request
         .with_timeout(TIMEOUT_SECS)
--- a/components/provider/src/lib.rs
+++ b/components/provider/src/lib.rs
@@ -7,6 +7,6 @@
 mod wire;
 
 pub use cloud::{Cloud, HttpCloud};
-pub use objects::{body_hash, HttpObjects, Objects};
+pub use objects::{body_hash, HttpObjectStore, ObjectStore};
 pub use table::{HttpTable, Table};
-pub use wire::{Notice, RowBody, TransactBody, Vm, VmOrder, WriteBody};
+pub use wire::{ReclaimNotice, RowBody, TransactBody, Vm, VmOrder, WriteBody};
--- a/components/provider/src/objects.rs
+++ b/components/provider/src/objects.rs
@@ -1,39 +1,40 @@
-//! The object store, which keeps bodies under their hash.
+//! Client of the object store, which holds bodies under their hash.
 
 use sha2::{Digest, Sha256};
 
 use crate::http::send;
 
-/// Hash that a body is kept under: SHA-256 in hexadecimal.
+/// Key of a body in the object store: its SHA-256 in hexadecimal.
 pub fn body_hash(body: &str) -> String {
     hex::encode(Sha256::digest(body.as_bytes()))
 }
 
-/// What croftpond asks of the object store.
-pub trait Objects: Send + Sync {
-    /// Stores a body under its hash; storing it twice does nothing. `false` if no answer came.
+/// Calls to the object store.
+pub trait ObjectStore: Send + Sync {
+    /// Stores a body under its hash; storing it again has no effect. Returns `false` unless the store
+    /// answers with status 200.
     fn put(&self, hash: &str, body: &str) -> bool;
 
-    /// The body of a hash, checked against it.
+    /// Body stored under a hash, or `None` if it can't be read or doesn't match the hash.
     fn get(&self, hash: &str) -> Option<String>;
 }
 
-/// The object store protocol of docs/interfaces.md.
+/// HTTP client of the object store; docs/interfaces.md describes the protocol.
 #[derive(Clone, Debug)]
-pub struct HttpObjects {
+pub struct HttpObjectStore {
     url: String,
 }
 
-impl HttpObjects {
-    /// A client of the store at a base URL.
+impl HttpObjectStore {
+    /// Creates a client of the store at a base URL.
     pub fn new(url: &str) -> Self {
-        HttpObjects {
+        HttpObjectStore {
             url: url.to_string(),
         }
     }
 }
 
-impl Objects for HttpObjects {
+impl ObjectStore for HttpObjectStore {
     fn put(&self, hash: &str, body: &str) -> bool {
         let request = minreq::put(format!("{}/objects/{hash}", self.url)).with_body(body);
         send(request).is_some_and(|r| r.status_code == 200)
--- a/components/provider/src/table.rs
+++ b/components/provider/src/table.rs
@@ -1,26 +1,27 @@
-//! The transactional table.
+//! Client of the transactional table.
 
 use base64::engine::general_purpose::STANDARD;
 use base64::Engine as _;
 use state::{Reply, Row, TableCall, Write, ABSENT};
 
-use crate::http::{send, TOO_MANY};
+use crate::http::{send, TOO_MANY_REQUESTS};
 use crate::wire::{RowBody, TransactBody, WriteBody};
 
-/// What croftpond asks of the table. A call blocks for at most a few seconds.
+/// Calls to the transactional table. A call blocks for at most a few seconds.
 pub trait Table: Send + Sync {
-    /// Makes one call.
+    /// Makes one call; `Reply::Unanswered` stands for no answer, an unreadable one or an
+    /// unexpected status.
     fn call(&self, call: &TableCall) -> Reply;
 }
 
-/// The table protocol of docs/interfaces.md.
+/// HTTP client of the table; docs/interfaces.md describes the protocol.
 #[derive(Clone, Debug)]
 pub struct HttpTable {
     url: String,
 }
 
 impl HttpTable {
-    /// A client of the table at a base URL.
+    /// Creates a client of the table at a base URL.
     pub fn new(url: &str) -> Self {
         HttpTable {
             url: url.to_string(),
@@ -33,16 +34,16 @@
             return Reply::Unanswered;
         };
         match response.status_code {
-            200 => row_of(response.as_bytes()),
+            200 => parse_row(response.as_bytes()),
             404 => Reply::Row(None),
-            TOO_MANY => Reply::Refused,
+            TOO_MANY_REQUESTS => Reply::Refused,
             _ => Reply::Unanswered,
         }
     }
 
     fn transact(&self, writes: &[Write]) -> Reply {
         let body = TransactBody {
-            writes: writes.iter().map(body_of).collect(),
+            writes: writes.iter().map(write_body).collect(),
         };
         let Ok(json) = serde_json::to_string(&body) else {
             return Reply::Refused;
@@ -53,7 +54,7 @@
                 version: writes.first().map_or(ABSENT, |write| write.expect + 1),
             },
             Some(409) => Reply::Conflict,
-            Some(TOO_MANY) => Reply::Refused,
+            Some(TOO_MANY_REQUESTS) => Reply::Refused,
             _ => Reply::Unanswered,
         }
     }
@@ -68,7 +69,7 @@
     }
 }
 
-fn body_of(write: &Write) -> WriteBody {
+fn write_body(write: &Write) -> WriteBody {
     WriteBody {
         key: write.key.clone(),
         expect: write.expect,
@@ -76,7 +77,7 @@
     }
 }
 
-fn row_of(bytes: &[u8]) -> Reply {
+fn parse_row(bytes: &[u8]) -> Reply {
     let row = serde_json::from_slice::<RowBody>(bytes).ok();
     let value = row.as_ref().and_then(|r| STANDARD.decode(&r.value).ok());
     match (row, value) {
--- a/components/provider/src/wire.rs
+++ b/components/provider/src/wire.rs
@@ -2,12 +2,12 @@
 
 use serde::{Deserialize, Serialize};
 
-/// A row as the table gives it; the value is base64.
+/// A row of the table.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct RowBody {
-    /// Number of writes so far.
+    /// Version: number of writes to the row.
     pub version: u64,
-    /// Value.
+    /// Value in base64.
     pub value: String,
 }
 
@@ -16,7 +16,7 @@
 pub struct WriteBody {
     /// Key of the row.
     pub key: String,
-    /// Version the row must have, 0 for none.
+    /// Expected version of the row; 0 if the row must not exist.
     pub expect: u64,
     /// Value in base64.
     pub value: String,
@@ -25,22 +25,22 @@
 /// Body of `POST /transact`.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct TransactBody {
-    /// Writes that all take effect or none.
+    /// Writes, applied atomically.
     pub writes: Vec<WriteBody>,
 }
 
-/// A VM as the cloud's lagging list shows it.
+/// A VM in the list of the cloud, which lags behind the real state.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Vm {
-    /// Name it was bought under.
+    /// Name that the VM was bought under.
     pub name: String,
     /// Data hall.
     pub hall: String,
-    /// Pool it serves, or `entry` for croftpond's own.
+    /// Pool that it serves, or `entry` for VMs of croftpond itself.
     pub pool: String,
-    /// Whether it is on demand.
+    /// Whether it is on demand, as opposed to reclaimable.
     pub on_demand: bool,
-    /// Address other nodes reach it at.
+    /// Address at which other nodes reach it.
     pub address: String,
     /// Whether it is leaving.
     pub leaving: bool,
@@ -49,23 +49,23 @@
 /// Body of `POST /vms`.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct VmOrder {
-    /// Name to buy it under; the cloud refuses a second one of that name.
+    /// Name to buy it under; the cloud refuses a second VM of that name.
     pub name: String,
     /// Data hall.
     pub hall: String,
     /// Pool.
     pub pool: String,
-    /// Whether on demand.
+    /// Whether to buy it on demand.
     pub on_demand: bool,
 }
 
 /// A reclaim notice.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Notice {
-    /// Counter of the notices.
+pub struct ReclaimNotice {
+    /// Sequence number of the notice.
     pub sequence: u64,
-    /// VM that is reclaimed.
+    /// Name of the reclaimed VM.
     pub vm: String,
-    /// Milliseconds left when it was answered.
+    /// Milliseconds until the VM is reclaimed, counted from the cloud's answer.
     pub leaving_in_ms: u64,
 }
--- a/components/telemetry/src/lib.rs
+++ b/components/telemetry/src/lib.rs
@@ -1,4 +1,5 @@
-//! What a node shows of itself: counters first, log lines for changes of state, a span a hop.
+//! Telemetry of a node: counters, gauges and timers; log lines for changes of state; a trace span per
+//! step of a request.
 
 mod log;
 mod metrics;
@@ -6,4 +7,4 @@
 
 pub use log::{discard, logger, stdout_logger, LogGuard};
 pub use metrics::{Counter, Gauge, Metrics, Timer};
-pub use trace::{Hop, Traces};
+pub use trace::{RequestSpan, RequestTracer};
--- a/components/telemetry/src/metrics.rs
+++ b/components/telemetry/src/metrics.rs
@@ -1,4 +1,4 @@
-//! Counters and timers, sent to statsd and kept for `status`.
+//! Metrics: counters and timers are sent to statsd and kept for `status`; gauges are only kept.
 
 use std::collections::BTreeMap;
 use std::net::{SocketAddr, UdpSocket};
@@ -7,20 +7,20 @@
 
 use cadence::{Counted, NopMetricSink, QueuingMetricSink, StatsdClient, Timed, UdpMetricSink};
 
-/// Prefix of every name.
+/// Prefix of every metric name.
 const PREFIX: &str = "croftpond";
 
-macro_rules! named {
+macro_rules! metric_names {
     ($(#[$outer:meta])* $kind:ident { $($(#[$doc:meta])* $variant:ident => $name:literal,)* }) => {
         $(#[$outer])*
         #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
         pub enum $kind { $($(#[$doc])* $variant,)* }
 
         impl $kind {
-            /// All of them, in the order of the documentation.
+            /// All variants, in the order of docs/OPERATIONS.md.
             pub const ALL: &'static [$kind] = &[$($kind::$variant,)*];
 
-            /// Name sent to statsd.
+            /// Metric name without the prefix.
             pub fn name(self) -> &'static str {
                 match self { $($kind::$variant => $name,)* }
             }
@@ -28,38 +28,38 @@
     };
 }
 
-named! {
+metric_names! {
     /// Counters; docs/OPERATIONS.md lists them.
     Counter {
-        /// Requests accepted for work.
+        /// Requests accepted for processing.
         Accepted => "request.accepted",
-        /// Requests answered whole.
+        /// Requests answered completely.
         Done => "request.done",
-        /// Requests refused as not run.
+        /// Requests refused and reported as not run.
         Refused => "request.refused",
-        /// Requests that may have run and have no whole answer.
+        /// Requests that may have run and got no complete answer.
         Failed => "request.failed",
-        /// Requests whose caller hung up.
+        /// Requests whose caller closed the connection.
         Abandoned => "request.abandoned",
         /// Attempts sent to endpoints.
         Attempts => "attempt.sent",
-        /// Attempts after a failure.
+        /// Retries after a failed attempt.
         Retries => "attempt.retry",
-        /// Attempts beside a slow one.
+        /// Hedged attempts, sent in parallel to a slow one.
         Hedges => "attempt.hedge",
-        /// Streams moved off a leaving endpoint.
+        /// Streams moved away from a leaving endpoint.
         Moves => "attempt.move",
-        /// Batch streams that made room.
-        Yields => "attempt.yield",
-        /// Retries refused for lack of budget.
-        RetryBudget => "attempt.no_budget",
-        /// Streams taken up from a resume token.
+        /// Batch streams preempted for requests of a higher class.
+        Preemptions => "attempt.yield",
+        /// Retries refused because the retry budget was exhausted.
+        RetryBudgetExhausted => "attempt.no_budget",
+        /// Streams resumed from a resume token.
         Resumed => "request.resumed",
-        /// Tokens given to callers.
+        /// Tokens sent to callers.
         Tokens => "token.sent",
-        /// Tokens of prompt and answer computed again after a move or resume.
+        /// Prompt and answer tokens recomputed after a move or a resume.
         Recomputed => "token.recomputed",
-        /// Claims made.
+        /// Claims made for calls with an idempotency key.
         Claims => "claim.made",
         /// Duplicates answered from a stored outcome.
         ClaimStored => "claim.stored",
@@ -71,11 +71,11 @@
         StoreEndpointsBytes => "platform.bytes.endpoints",
         /// Bytes of the list of gateways read from the store.
         StoreGatewaysBytes => "platform.bytes.gateways",
-        /// Pages asked for again since they did not come.
-        StoreRepeats => "platform.repeats",
-        /// Bytes of rows taken from gateways of the own region.
+        /// Pages requested again because no answer came.
+        StoreRetries => "platform.repeats",
+        /// Bytes of rows received from gateways of the own region.
         RowsBytesOwnRegion => "rows.bytes.own_region",
-        /// Bytes of rows taken from gateways of other regions.
+        /// Bytes of rows received from gateways of other regions.
         RowsBytesOtherRegion => "rows.bytes.other_region",
         /// Calls to the platform without an answer.
         PlatformUnanswered => "platform.unanswered",
@@ -85,121 +85,124 @@
         PacketsSent => "peer.sent",
         /// Bytes of those datagrams.
         BytesSent => "peer.bytes_sent",
-        /// Datagrams taken from other nodes.
-        PacketsTaken => "peer.taken",
+        /// Datagrams received from other nodes and accepted.
+        PacketsReceived => "peer.taken",
         /// Datagrams dropped as malformed, foreign, oversized or replayed.
         PacketsDropped => "peer.dropped",
-        /// Configurations put in force.
-        Applied => "config.applied",
+        /// Configurations put into effect.
+        ConfigurationsApplied => "config.applied",
         /// Orders sent to endpoints.
         Orders => "fleet.order",
         /// Requests sent to another region.
         RegionSent => "region.sent",
-        /// Bytes of those requests and their answers, as they are counted on the link.
+        /// Bytes of those requests and their answers, as counted against the link between the regions.
         RegionBytes => "region.bytes",
-        /// Requests that would have gained in another region and were kept, for want of room on the link.
+        /// Requests that would have gained in another region, kept because the link between the regions
+        /// had no capacity left.
         RegionDeclined => "region.declined",
-        /// Plans of endpoints while it is not known what one bears.
-        PlansUnknown => "fleet.unknown",
+        /// Scaling plans made while the capacity of an endpoint was unknown.
+        PlansUnknownCapacity => "fleet.unknown",
         /// Orders that give endpoints back.
         GivenBack => "fleet.given_back",
         /// Listener restarts after a failed accept.
         ListenerRestarts => "listener.restart",
-        /// Entries of endpoints that can't be read.
-        EntriesPassedOver => "entries.passed_over",
-        /// Suspensions of the VM that the gateway noticed.
+        /// Unreadable entries of endpoints, skipped.
+        EntriesSkipped => "entries.passed_over",
+        /// Suspensions of the VM that the gateway detected.
         Suspensions => "vm.suspended",
-        /// Jumps of the VM's clock of the day.
-        DayJumps => "clock.day_jumped",
-        /// Endpoints that started again under their id.
-        Restarts => "endpoint.started_again",
-        /// Answers in which an endpoint said that it leaves.
-        LeavingSaid => "endpoint.leaving_said",
-        /// Answers in which an endpoint asked for a pause.
-        PauseAsked => "endpoint.pause_asked",
-        /// Answers in which an endpoint named a limit.
-        LimitNamed => "endpoint.limit_named",
-        /// Sends to endpoints that name limits that were granted to this gateway.
+        /// Jumps of the VM's wall clock.
+        WallClockJumps => "clock.day_jumped",
+        /// Endpoints that restarted under the same id.
+        EndpointRestarts => "endpoint.started_again",
+        /// Answers in which an endpoint announced that it leaves.
+        LeavingAnnounced => "endpoint.leaving_said",
+        /// Answers in which an endpoint requested a pause.
+        PauseRequested => "endpoint.pause_asked",
+        /// Answers in which an endpoint reported a limit.
+        LimitReported => "endpoint.limit_named",
+        /// Sends granted to this gateway, at endpoints that report limits.
         SendsGranted => "endpoint.sends_granted",
-        /// Sends to endpoints that name limits that were not granted.
+        /// Sends not granted to this gateway, at endpoints that report limits.
         SendsRefused => "endpoint.sends_refused",
-        /// Contents held back since the endpoints that ran them ended.
+        /// Request contents quarantined because the endpoints that ran them ended.
         Quarantined => "quarantine.held",
-        /// Requests refused since their content is held back.
+        /// Requests refused because their content is quarantined.
         QuarantineRefused => "quarantine.refused",
-        /// Requests refused for want of memory.
+        /// Requests refused because of the memory budget.
         MemoryRefused => "memory.refused",
-        /// Answers whose endpoint was not read on for a time, for want of memory.
+        /// Pauses in reading an answer from its endpoint (back-pressure) because of the memory budget.
         MemoryWaits => "memory.wait",
-        /// Answers cut off since their callers read too slowly and others needed the memory.
-        MemoryCut => "memory.cut",
-        /// Times that no connections were taken for want of memory.
+        /// Answers interrupted because their callers read too slowly and others needed the memory.
+        MemoryInterruptions => "memory.cut",
+        /// Pauses in accepting connections because of the memory budget.
         AcceptPaused => "memory.accept_paused",
-        /// Connections ended since a head took too long.
+        /// Connections closed because a request head took too long.
         SlowHeads => "caller.slow_head",
-        /// Connections ended since an answer was not taken long after its time.
-        UntakenAnswers => "caller.untaken",
+        /// Connections closed because the caller did not read an answer until long after its time.
+        UnreadAnswers => "caller.untaken",
     }
 }
 
-named! {
+metric_names! {
     /// Gauges, in bytes; docs/OPERATIONS.md lists them.
     Gauge {
-        /// Callers' bodies that are being read.
+        /// Request bodies being read.
         BodiesRead => "memory.bodies_read",
-        /// Callers' bodies kept until they need not be sent again.
+        /// Request bodies kept until they can no longer be sent again.
         BodiesKept => "memory.bodies_kept",
-        /// Events that wait for their callers.
+        /// Events buffered for callers that have not read them yet.
         ReadAhead => "memory.read_ahead",
-        /// Answers known as a whole, or being read.
+        /// Answers that are buffered completely, or being read for that.
         WholeAnswers => "memory.whole_answers",
-        /// Open connections, at a measured cost each.
+        /// Open connections, each at a measured memory cost.
         Connections => "memory.connections",
-        /// Most that was held at once.
+        /// Peak of the memory held at once.
         HeldPeak => "memory.held_peak",
-        /// What may be held; 0 sets no bound.
+        /// Maximum memory that may be held; 0 means no limit.
         Budget => "memory.budget",
     }
 }
 
-named! {
+metric_names! {
     /// Timers; docs/OPERATIONS.md lists them.
     Timer {
         /// From a request's arrival to its first token or service answer.
         FirstToken => "time.first_token",
-        /// From a request's arrival to its end.
-        Whole => "time.whole",
+        /// From a request's arrival to its end, in total.
+        RequestTotal => "time.whole",
         /// One routing decision.
         Decision => "time.decision",
     }
 }
 
-/// Upper bounds of a timer's buckets, in milliseconds; one more bucket takes what is longer.
-const BUCKETS_MS: [u64; 12] = [2, 5, 10, 25, 50, 100, 250, 500, 1000, 2500, 5000, 10_000];
+/// Inclusive upper bounds of a timer's buckets, in milliseconds; one more bucket counts longer durations.
+const BUCKET_BOUNDS_MS: [u64; 12] = [2, 5, 10, 25, 50, 100, 250, 500, 1000, 2500, 5000, 10_000];
 
-/// How often a timer fell into each bucket.
+/// Number of durations per bucket, and their sum.
 #[derive(Debug, Default)]
 struct Histogram {
-    buckets: [AtomicU64; BUCKETS_MS.len() + 1],
+    buckets: [AtomicU64; BUCKET_BOUNDS_MS.len() + 1],
     sum_us: AtomicU64,
 }
 
 impl Histogram {
-    fn note(&self, duration: Duration) {
+    fn record(&self, duration: Duration) {
         let ms = duration.as_millis() as u64;
-        let bucket = BUCKETS_MS.partition_point(|bound| *bound < ms);
+        let bucket = BUCKET_BOUNDS_MS.partition_point(|bound| *bound < ms);
         self.buckets[bucket].fetch_add(1, Ordering::Relaxed);
         let micros = duration.as_micros() as u64;
         self.sum_us.fetch_add(micros, Ordering::Relaxed);
     }
 
-    // Cumulative counts, as readers of histograms expect them.
-    fn text(&self, name: &str) -> String {
+    // Prometheus text format, in which the bucket counts are cumulative.
+    fn to_text(&self, name: &str) -> String {
         let mut text = String::new();
         let mut count = 0;
         for (i, bucket) in self.buckets.iter().enumerate() {
             count += bucket.load(Ordering::Relaxed);
-            let bound = BUCKETS_MS.get(i).map_or("+Inf".to_string(), u64::to_string);
+            let bound = BUCKET_BOUNDS_MS
+                .get(i)
+                .map_or("+Inf".to_string(), u64::to_string);
             text += &format!("{name}_ms_bucket{{le=\"{bound}\"}} {count}\n");
         }
         let sum_ms = self.sum_us.load(Ordering::Relaxed) / 1000;
@@ -207,7 +210,7 @@
     }
 }
 
-/// The counters and timers of one node.
+/// The counters, gauges and timers of one node.
 pub struct Metrics {
     client: StatsdClient,
     counts: BTreeMap<Counter, AtomicU64>,
@@ -224,11 +227,12 @@
 }
 
 impl Metrics {
-    /// Metrics sent to a statsd address, or only kept when there is none.
+    /// Creates metrics that are sent to a statsd address, or only kept if there is none. Returns
+    /// an error if the socket can't be opened.
     pub fn new(statsd: Option<SocketAddr>) -> std::io::Result<Self> {
         let client = match statsd {
             None => StatsdClient::from_sink(PREFIX, NopMetricSink),
-            Some(address) => StatsdClient::from_sink(PREFIX, sink(address)?),
+            Some(address) => StatsdClient::from_sink(PREFIX, udp_sink(address)?),
         };
         let counts = Counter::ALL
             .iter()
@@ -250,12 +254,12 @@
         })
     }
 
-    /// Adds one.
+    /// Increments a counter by one.
     pub fn count(&self, counter: Counter) {
         self.add(counter, 1);
     }
 
-    /// Adds `n`.
+    /// Increments a counter by `n`.
     pub fn add(&self, counter: Counter, n: u64) {
         if let Some(count) = self.counts.get(&counter) {
             count.fetch_add(n, Ordering::Relaxed);
@@ -263,18 +267,18 @@
         let _ = self.client.count(counter.name(), n as i64);
     }
 
-    /// Notes a duration.
-    pub fn time(&self, timer: Timer, duration: Duration) {
+    /// Records a duration.
+    pub fn record_duration(&self, timer: Timer, duration: Duration) {
         if let Some(histogram) = self.timers.get(&timer) {
-            histogram.note(duration);
+            histogram.record(duration);
         }
         let _ = self.client.time(timer.name(), duration);
     }
 
     /// Sets a gauge.
     pub fn set(&self, gauge: Gauge, value: u64) {
-        if let Some(kept) = self.gauges.get(&gauge) {
-            kept.store(value, Ordering::Relaxed);
+        if let Some(current) = self.gauges.get(&gauge) {
+            current.store(value, Ordering::Relaxed);
         }
     }
 
@@ -284,32 +288,32 @@
         value.map_or(0, |value| value.load(Ordering::Relaxed))
     }
 
-    /// What was counted so far.
+    /// Value of a counter.
     pub fn get(&self, counter: Counter) -> u64 {
         self.counts
             .get(&counter)
             .map_or(0, |c| c.load(Ordering::Relaxed))
     }
 
-    /// All counters, gauges and histograms as text, a line each.
-    pub fn text(&self) -> String {
+    /// All counters, gauges and histograms in the Prometheus text format.
+    pub fn to_text(&self) -> String {
         let mut text = String::new();
         for (counter, count) in &self.counts {
             let count = count.load(Ordering::Relaxed);
-            text += &format!("{} {count}\n", plain_name(counter.name()));
+            text += &format!("{} {count}\n", text_format_name(counter.name()));
         }
         for (gauge, value) in &self.gauges {
             let value = value.load(Ordering::Relaxed);
-            text += &format!("{} {value}\n", plain_name(gauge.name()));
+            text += &format!("{} {value}\n", text_format_name(gauge.name()));
         }
         for (timer, histogram) in &self.timers {
-            text += &histogram.text(&plain_name(timer.name()));
+            text += &histogram.to_text(&text_format_name(timer.name()));
         }
         text
     }
 
-    /// All counters by name.
-    pub fn all(&self) -> BTreeMap<&'static str, u64> {
+    /// Values of all counters by metric name.
+    pub fn counters_by_name(&self) -> BTreeMap<&'static str, u64> {
         Counter::ALL
             .iter()
             .map(|c| (c.name(), self.get(*c)))
@@ -317,13 +321,13 @@
     }
 }
 
-/// Name of a metric where only letters, digits and underscores are allowed.
-fn plain_name(name: &str) -> String {
+/// Metric name for the text format, which allows only letters, digits and underscores.
+fn text_format_name(name: &str) -> String {
     format!("{PREFIX}_{}", name.replace('.', "_"))
 }
 
-// A queue of its own keeps a slow network off the traffic threads.
-fn sink(address: SocketAddr) -> std::io::Result<QueuingMetricSink> {
+// The sink queues metrics for a thread of its own, so that a slow network does not block traffic threads.
+fn udp_sink(address: SocketAddr) -> std::io::Result<QueuingMetricSink> {
     let socket = UdpSocket::bind("0.0.0.0:0")?;
     let udp = UdpMetricSink::from(address, socket).map_err(std::io::Error::other)?;
     Ok(QueuingMetricSink::from(udp))
--- a/components/telemetry/src/trace.rs
+++ b/components/telemetry/src/trace.rs
@@ -1,4 +1,5 @@
-//! A span for each hop of a request, with W3C `traceparent` in and out.
+//! Trace spans for the steps of a request, with the trace context read from and written to the W3C
+//! `traceparent` header.
 
 use std::collections::HashMap;
 use std::fs::File;
@@ -17,87 +18,89 @@
 
 const TRACEPARENT: &str = "traceparent";
 
-/// Makes the spans of one node.
+/// Creates the spans of one node.
 #[derive(Clone, Debug)]
-pub struct Traces {
+pub struct RequestTracer {
     provider: Option<SdkTracerProvider>,
-    tracer: Option<SdkTracer>,
+    sdk_tracer: Option<SdkTracer>,
 }
 
-impl Traces {
-    /// Spans appended to a file as JSON lines; an empty path keeps none.
+impl RequestTracer {
+    /// Creates a tracer that appends spans to a file as JSON lines; with an empty path it records none.
+    /// Returns an error if the file can't be opened.
     pub fn new(path: &str) -> io::Result<Self> {
         if path.is_empty() {
-            return Ok(Traces {
+            return Ok(RequestTracer {
                 provider: None,
-                tracer: None,
+                sdk_tracer: None,
             });
         }
         let file = File::options().create(true).append(true).open(path)?;
-        let exporter = LineExporter {
+        let exporter = JsonLineExporter {
             file: Mutex::new(file),
         };
         let processor = BatchSpanProcessor::builder(exporter).build();
         let provider = SdkTracerProvider::builder()
             .with_span_processor(processor)
             .build();
-        let tracer = Some(provider.tracer("croftpond"));
-        Ok(Traces {
+        let sdk_tracer = Some(provider.tracer("croftpond"));
+        Ok(RequestTracer {
             provider: Some(provider),
-            tracer,
+            sdk_tracer,
         })
     }
 
-    /// The first hop here of a request that came with this `traceparent`.
-    pub fn enter(&self, name: &'static str, traceparent: Option<&str>) -> Hop {
+    /// Starts the first span of a request at this node, as a child of the request's `traceparent` if it has
+    /// one.
+    pub fn start_request(&self, name: &'static str, traceparent: Option<&str>) -> RequestSpan {
         let carrier: HashMap<String, String> = traceparent
             .map(|value| (TRACEPARENT.to_string(), value.to_string()))
             .into_iter()
             .collect();
         let parent = TraceContextPropagator::new().extract_with_context(&Context::new(), &carrier);
-        self.start(name, &parent)
+        self.start_span(name, &parent)
     }
 
-    /// Writes out the spans that ended.
+    /// Exports the ended spans to the file.
     pub fn flush(&self) {
         if let Some(provider) = &self.provider {
             let _ = provider.force_flush();
         }
     }
 
-    fn start(&self, name: &'static str, parent: &Context) -> Hop {
-        let context = match &self.tracer {
+    fn start_span(&self, name: &'static str, parent: &Context) -> RequestSpan {
+        let context = match &self.sdk_tracer {
             Some(tracer) => parent.with_span(tracer.start_with_context(name, parent)),
             None => parent.clone(),
         };
-        Hop {
-            traces: self.clone(),
+        RequestSpan {
+            tracer: self.clone(),
             context,
         }
     }
 }
 
-/// One hop; it ends when dropped.
+/// Span of one step of a request; it ends when dropped.
 #[derive(Debug)]
-pub struct Hop {
-    traces: Traces,
+pub struct RequestSpan {
+    tracer: RequestTracer,
     context: Context,
 }
 
-impl Hop {
-    /// A hop inside this one.
-    pub fn child(&self, name: &'static str) -> Hop {
-        self.traces.start(name, &self.context)
+impl RequestSpan {
+    /// Starts a child span.
+    pub fn child(&self, name: &'static str) -> RequestSpan {
+        self.tracer.start_span(name, &self.context)
     }
 
-    /// Notes a fact. Never put a secret or a prompt here.
-    pub fn set(&self, key: &'static str, value: impl Into<String>) {
+    /// Sets an attribute. Secrets and prompts must not be recorded.
+    pub fn set_attribute(&self, key: &'static str, value: impl Into<String>) {
         self.context
             .span()
             .set_attribute(KeyValue::new(key, value.into()));
     }
 
-    /// The `traceparent` to send on.
+    /// `traceparent` value to send with outgoing requests.
     pub fn traceparent(&self) -> Option<String> {
         let mut carrier = HashMap::new();
         TraceContextPropagator::new().inject_context(&self.context, &mut carrier);
@@ -105,22 +108,22 @@
     }
 }
 
-impl Drop for Hop {
+impl Drop for RequestSpan {
     fn drop(&mut self) {
-        if self.traces.tracer.is_some() {
+        if self.tracer.sdk_tracer.is_some() {
             self.context.span().end();
         }
     }
 }
 
 #[derive(Debug)]
-struct LineExporter {
+struct JsonLineExporter {
     file: Mutex<File>,
 }
 
-impl SpanExporter for LineExporter {
+impl SpanExporter for JsonLineExporter {
     async fn export(&self, batch: Vec<SpanData>) -> OTelSdkResult {
-        let lines: String = batch.iter().map(line_of).collect();
+        let lines: String = batch.iter().map(json_line).collect();
         let mut file = self
             .file
             .lock()
@@ -130,7 +133,7 @@
     }
 }
 
-fn line_of(span: &SpanData) -> String {
+fn json_line(span: &SpanData) -> String {
     let micros = |at: std::time::SystemTime| {
         at.duration_since(UNIX_EPOCH)
             .map_or(0, |d| d.as_micros() as u64)
--- a/standins/src/platform_service.rs
+++ b/standins/src/platform_service.rs
@@ -5,7 +5,7 @@
 use std::net::SocketAddr;
 use std::sync::{Arc, Mutex, PoisonError};
 
-use provider::{Notice, RowBody, TransactBody, Vm, VmOrder};
+use provider::{ReclaimNotice, RowBody, TransactBody, Vm, VmOrder};
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 use tiny_http::{Method, Request};
@@ -27,7 +27,7 @@
     rows: BTreeMap<String, RowBody>,
     objects: HashMap<String, String>,
     vms: BTreeMap<String, Vm>,
-    notices: Vec<Notice>,
+    notices: Vec<ReclaimNotice>,
     refuse_starts: bool,
     faults: Faults,
     rng: ChaCha8Rng,
@@ -77,7 +77,7 @@
     pub fn give_notice(&self, vm: &str, leaving_in_ms: u64) {
         self.with(|s| {
             let sequence = s.notices.len() as u64 + 1;
-            s.notices.push(Notice {
+            s.notices.push(ReclaimNotice {
                 sequence,
                 vm: vm.to_string(),
                 leaving_in_ms,
@@ -203,7 +203,7 @@
     let after = parameter(url, "after")
         .and_then(|n| n.parse().ok())
         .unwrap_or(0);
-    let newer: Vec<&Notice> = state
+    let newer: Vec<&ReclaimNotice> = state
         .notices
         .iter()
         .filter(|n| n.sequence > after)
