--- a/components/telemetry/src/metrics.rs
+++ b/components/telemetry/src/metrics.rs
@@ -1,4 +1,4 @@
-//! Metrics: counters and timers are sent to statsd and kept for `status`; gauges are only kept.
+//! Counters, gauges and timers of a node, kept in memory; counters and timers are also sent to statsd.
 
 use std::collections::BTreeMap;
 use std::net::{SocketAddr, UdpSocket};
